--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 	go test ./internal/rpc -run none -fuzz FuzzFrames -fuzztime $(FUZZTIME)
 	go test ./internal/nodefile -run none -fuzz FuzzParse -fuzztime $(FUZZTIME)
 	go test ./internal/meshconfig -run none -fuzz FuzzConfig -fuzztime $(FUZZTIME)
-	go test ./internal/store -run none -fuzz FuzzRecovery -fuzztime $(FUZZTIME)
+	go test ./internal/controlplane/store -run none -fuzz FuzzRecovery -fuzztime $(FUZZTIME)
 	go test ./internal/bytedelta -run none -fuzz FuzzDelta -fuzztime $(FUZZTIME)
 
 # The searches for faults of the consensus: see docs/verification.md.
@@ -18,4 +18,4 @@
 .PHONY: verify
 verify:
 	go run ./cmd/meshlab check --walks $(WALKS)
-	go test ./internal/raft -run Linearizable -v -timeout 0 -seeds $(SEEDS)
+	go test ./internal/controlplane/raft -run Linearizable -v -timeout 0 -seeds $(SEEDS)
--- a/cmd/ivydeck-control/main.go
+++ b/cmd/ivydeck-control/main.go
@@ -3,7 +3,7 @@
 package main
 
 import (
-	"ivydeck/internal/control"
+	"ivydeck/internal/controlplane/control"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
 )
--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -10,7 +10,7 @@
 	"slices"
 	"text/tabwriter"
 
-	"ivydeck/internal/control"
+	"ivydeck/internal/controlplane/control"
 )
 
 type statusCmd struct {
--- a/cmd/ivydeckctl/store.go
+++ b/cmd/ivydeckctl/store.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"math/rand/v2"
 
-	"ivydeck/internal/backup"
-	"ivydeck/internal/catalog"
-	"ivydeck/internal/store"
+	"ivydeck/internal/controlplane/backup"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/store"
 )
 
 type verifyCmd struct {
--- a/cmd/ivydeckctl/top.go
+++ b/cmd/ivydeckctl/top.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"ivydeck/internal/control"
+	"ivydeck/internal/controlplane/control"
 )
 
 type topCmd struct {
--- a/cmd/ivydeckctl/top_test.go
+++ b/cmd/ivydeckctl/top_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/control"
+	"ivydeck/internal/controlplane/control"
 )
 
 // TestRates: a node that has started anew between two looks counts from its start, not from what it was before.
--- a/internal/agent/register.go
+++ b/internal/agent/register.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/timerpool"
 	"ivydeck/internal/wire"
--- a/internal/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -15,8 +15,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/catalog"
-	"ivydeck/internal/store"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/compaction.go
+++ b/internal/controlplane/control/compaction.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"ivydeck/internal/catalog"
-	"ivydeck/internal/store"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/store"
 )
 
 // compact begins a snapshot of the state where one is due. Only the copy of the state is taken in the loop, which also
--- a/internal/control/contact.go
+++ b/internal/controlplane/control/contact.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/relay"
 )
 
--- a/internal/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -15,17 +15,17 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/backup"
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/backup"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/raft"
+	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/gossip"
 	"ivydeck/internal/identity"
 	"ivydeck/internal/metrics"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
-	"ivydeck/internal/raft"
 	"ivydeck/internal/relay"
 	"ivydeck/internal/rpc"
-	"ivydeck/internal/store"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/join_test.go
+++ b/internal/controlplane/control/join_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
+	"ivydeck/internal/controlplane/raft"
+	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/raft"
 	"ivydeck/internal/rpc"
-	"ivydeck/internal/store"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/loop.go
+++ b/internal/controlplane/control/loop.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
-	"ivydeck/internal/catalog"
-	"ivydeck/internal/raft"
-	"ivydeck/internal/store"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/raft"
+	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/member_api.go
+++ b/internal/controlplane/control/member_api.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"strconv"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 )
 
 // removeMember is the operator's removal of a member that is gone for good and has no successor. 409 says that it would
--- a/internal/control/node_api.go
+++ b/internal/controlplane/control/node_api.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/operator_api.go
+++ b/internal/controlplane/control/operator_api.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/backup"
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/backup"
+	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/operator_api_test.go
+++ b/internal/controlplane/control/operator_api_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/backup"
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/backup"
+	"ivydeck/internal/controlplane/catalog"
 )
 
 // TestAnyMemberKnowsWhatWasAccepted: one without a leader acknowledges a change that it has applied, and nothing else.
--- a/internal/control/operator_http_test.go
+++ b/internal/controlplane/control/operator_http_test.go
@@ -14,12 +14,12 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/relay"
 	"ivydeck/internal/rpc"
-	"ivydeck/internal/store"
 )
 
 // aloneNode is the one member of a quorum, on a disk in a folder of the test.
--- a/internal/control/operator_sim_test.go
+++ b/internal/controlplane/control/operator_sim_test.go
@@ -11,10 +11,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/backup"
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/backup"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/raft"
 	"ivydeck/internal/simdisk"
 	"ivydeck/internal/wire"
 )
--- a/internal/control/proposals.go
+++ b/internal/controlplane/control/proposals.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/proposals_test.go
+++ b/internal/controlplane/control/proposals_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/control/snapshots.go
+++ b/internal/controlplane/control/snapshots.go
@@ -8,10 +8,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/catalog"
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/raft"
+	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/rpc"
-	"ivydeck/internal/store"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/raft/sim_run_test.go
+++ b/internal/controlplane/raft/sim_run_test.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/simdisk"
 	"ivydeck/internal/wire"
 )
--- a/internal/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -15,8 +15,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/store"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/data/mesh_test.go
+++ b/internal/data/mesh_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"ivydeck/internal/control"
+	"ivydeck/internal/controlplane/control"
 	"ivydeck/internal/identity"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/operator"
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/entry"
 )
 
--- a/internal/lab/core.go
+++ b/internal/lab/core.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/catalog"
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/relay"
 	"ivydeck/internal/simdisk"
 	"ivydeck/internal/wire"
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/budget"
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/relay"
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 )
 
 // begin lets a trouble befall its target, and end in time.
--- a/internal/modelcheck/event.go
+++ b/internal/modelcheck/event.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/modelcheck/key.go
+++ b/internal/modelcheck/key.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"ivydeck/internal/raft"
+	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/mutation/run.go
+++ b/internal/mutation/run.go
@@ -18,8 +18,8 @@
 // packages have the tests that speak of what is decided, beside those of the changed file's own package and those that a
 // bug names; the drivers' take long and find little more.
 var packages = []string{
-	"./decide", "./internal/catalog", "./internal/entry", "./internal/station", "./internal/relay",
-	"./internal/membership", "./internal/budget", "./internal/health", "./internal/store",
+	"./decide", "./internal/controlplane/catalog", "./internal/entry", "./internal/station", "./internal/relay",
+	"./internal/membership", "./internal/budget", "./internal/health", "./internal/controlplane/store",
 }
 
 // Options say how much is tried.
@@ -137,8 +137,8 @@
 	if out, ok := b.tool("build", "-o", b.meshlab, "./cmd/meshlab"); !ok {
 		return fmt.Errorf("mutation: %s does not build:\n%s", r.Name, out)
 	}
-	consensus := strings.HasPrefix(r.File, "internal/raft/")
-	state := strings.HasPrefix(r.File, "internal/catalog/")
+	consensus := strings.HasPrefix(r.File, "internal/controlplane/raft/")
+	state := strings.HasPrefix(r.File, "internal/controlplane/catalog/")
 	if consensus && !opt.skips("model") {
 		r.tryModel(b, opt)
 	}
@@ -162,7 +162,7 @@
 }
 
 func (r *Row) trySimulation(b *build, opt Options) {
-	out, ok := b.tool("test", "./internal/raft", "-run", "Linearizable", "-stop", "-seeds", strconv.Itoa(opt.Seeds))
+	out, ok := b.tool("test", "./internal/controlplane/raft", "-run", "Linearizable", "-stop", "-seeds", strconv.Itoa(opt.Seeds))
 	if !ok {
 		r.Simulation = simulationVerdict(out)
 	}
@@ -178,7 +178,7 @@
 func (r *Row) tryTests(b *build, consensus bool) {
 	args := []string{"test", "-skip", "Linearizable"} // it is run above
 	if consensus {
-		args = append(args, "./internal/raft")
+		args = append(args, "./internal/controlplane/raft")
 	} else {
 		args = append(args, packages...)
 		for _, own := range append([]string{"./" + filepath.ToSlash(filepath.Dir(r.File))}, r.Packages...) {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -14,8 +14,8 @@
 	"strconv"
 	"time"
 
-	"ivydeck/internal/backup"
-	"ivydeck/internal/control"
+	"ivydeck/internal/controlplane/backup"
+	"ivydeck/internal/controlplane/control"
 	"ivydeck/internal/identity"
 	"ivydeck/internal/meshconfig"
 )
--- a/internal/relay/hub.go
+++ b/internal/relay/hub.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/rpc"
 	"ivydeck/internal/wire"
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/control"
+	"ivydeck/internal/controlplane/control"
 	"ivydeck/internal/data"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
--- a/internal/scale/state.go
+++ b/internal/scale/state.go
@@ -14,7 +14,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/catalog"
+	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/membership"
 	"ivydeck/internal/proxy"
--- a/internal/simdisk/folder.go
+++ b/internal/simdisk/folder.go
@@ -8,7 +8,7 @@
 	"slices"
 	"sync"
 
-	"ivydeck/internal/store"
+	"ivydeck/internal/controlplane/store"
 )
 
 // Folder models a folder of files under a store. After a loss of power each name that was made, replaced or removed since
