--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/gossip"
+	"ivydeck/internal/cluster/gossip"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/relay"
--- a/internal/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"ivydeck/internal/cluster/membership"
 	"ivydeck/internal/identity"
-	"ivydeck/internal/membership"
 	"ivydeck/internal/rpc"
 	"ivydeck/internal/wire"
 )
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
+	"ivydeck/internal/cluster/gossip"
 	"ivydeck/internal/controlplane/backup"
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/gossip"
 	"ivydeck/internal/identity"
 	"ivydeck/internal/metrics"
 	"ivydeck/internal/nodefile"
--- a/internal/data/data.go
+++ b/internal/data/data.go
@@ -14,8 +14,8 @@
 
 	"ivydeck/internal/agent"
 	"ivydeck/internal/budget"
+	"ivydeck/internal/cluster/gossip"
 	"ivydeck/internal/entry"
-	"ivydeck/internal/gossip"
 	"ivydeck/internal/identity"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
--- a/internal/lab/peerview.go
+++ b/internal/lab/peerview.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/membership"
+	"ivydeck/internal/cluster/membership"
 	"ivydeck/internal/relay"
 	"ivydeck/internal/wire"
 )
--- a/internal/mutation/run.go
+++ b/internal/mutation/run.go
@@ -19,7 +19,7 @@
 // bug names; the drivers' take long and find little more.
 var packages = []string{
 	"./decide", "./internal/controlplane/catalog", "./internal/entry", "./internal/station", "./internal/relay",
-	"./internal/membership", "./internal/budget", "./internal/health", "./internal/controlplane/store",
+	"./internal/cluster/membership", "./internal/budget", "./internal/health", "./internal/controlplane/store",
 }
 
 // Options say how much is tried.
--- a/internal/scale/state.go
+++ b/internal/scale/state.go
@@ -14,9 +14,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
+	"ivydeck/internal/cluster/membership"
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/entry"
-	"ivydeck/internal/membership"
 	"ivydeck/internal/proxy"
 	"ivydeck/internal/relay"
 	"ivydeck/internal/wire"
