--- a/internal/controlplane/control/contact.go
+++ b/internal/controlplane/control/contact.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/relay"
+	"ivydeck/internal/distribution/relay"
 )
 
 // observeContact publishes how old the state here is, and logs when the member loses touch with the quorum and when it
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -20,11 +20,11 @@
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/identity"
 	"ivydeck/internal/metrics"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
-	"ivydeck/internal/relay"
 	"ivydeck/internal/rpc"
 	"ivydeck/internal/wire"
 )
--- a/internal/controlplane/control/operator_http_test.go
+++ b/internal/controlplane/control/operator_http_test.go
@@ -16,9 +16,9 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/store"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/relay"
 	"ivydeck/internal/rpc"
 )
 
--- a/internal/controlplane/raft/lease_relay_sim_test.go
+++ b/internal/controlplane/raft/lease_relay_sim_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivydeck/internal/relay"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/relay"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/simdisk"
 	"ivydeck/internal/wire"
 )
--- a/internal/data/data.go
+++ b/internal/data/data.go
@@ -12,15 +12,15 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/agent"
 	"ivydeck/internal/budget"
 	"ivydeck/internal/cluster/gossip"
+	"ivydeck/internal/distribution/agent"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/identity"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
 	"ivydeck/internal/proxy"
-	"ivydeck/internal/relay"
 	"ivydeck/internal/rpc"
 	"ivydeck/internal/trace"
 )
--- a/internal/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"ivydeck/internal/cluster/gossip"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/relay"
 	"ivydeck/internal/rpc"
 	"ivydeck/internal/wire"
 )
--- a/internal/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ivydeck/internal/relay"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/timerpool"
 )
 
--- a/internal/lab/core.go
+++ b/internal/lab/core.go
@@ -8,7 +8,7 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/relay"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/simdisk"
 	"ivydeck/internal/wire"
 )
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/relay"
 )
 
 func town(t *testing.T) *Scenario {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -8,9 +8,9 @@
 
 	"ivydeck/internal/budget"
 	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/relay"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/lab/peerview.go
+++ b/internal/lab/peerview.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/cluster/membership"
-	"ivydeck/internal/relay"
+	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/wire"
 )
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/agent"
+	"ivydeck/internal/distribution/agent"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/rpc"
