--- a/cmd/ivydeckctl/ca.go
+++ b/cmd/ivydeckctl/ca.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ivydeck/internal/identity"
+	"ivydeck/internal/transport/identity"
 )
 
 type caFlags struct {
--- a/cmd/ivydeckctl/main.go
+++ b/cmd/ivydeckctl/main.go
@@ -8,9 +8,9 @@
 	"github.com/alecthomas/kong"
 	"github.com/willabides/kongplete"
 
-	"ivydeck/internal/identity"
 	"ivydeck/internal/operator"
 	"ivydeck/internal/program"
+	"ivydeck/internal/transport/identity"
 )
 
 type commands struct {
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"ivydeck/internal/cluster/membership"
-	"ivydeck/internal/identity"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 const maxAway = 32 // probes under way
--- a/internal/cluster/membership/agreement_test.go
+++ b/internal/cluster/membership/agreement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // agreed tells whether all groups have one view.
--- a/internal/cluster/membership/dissemination.go
+++ b/internal/cluster/membership/dissemination.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Leave makes this node say that it goes. The answer is what to tell others.
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Timing and bounds of the protocol.
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // fleet plays groups in simulated time; a message takes no time, or gets lost.
--- a/internal/cluster/membership/probing.go
+++ b/internal/cluster/membership/probing.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Action is a probe to send: to Helper about Target where a helper is set, to
--- a/internal/cluster/membership/ranges.go
+++ b/internal/cluster/membership/ranges.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Two nodes compare their views by digests of ranges, so that what a comparison costs follows what differs and not how many
--- a/internal/cluster/membership/ranges_test.go
+++ b/internal/cluster/membership/ranges_test.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // compare has one group compare its view with another's, as a driver does, and returns the bytes of all messages.
--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -17,7 +17,7 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // magic begins a backup's file; its last byte is the format. A checksum follows, big-endian, and the message.
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -13,7 +13,7 @@
 
 	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // maxAccepted is how many accepted configurations are remembered, so that one that is sent again is told from another
--- a/internal/controlplane/catalog/accepted_test.go
+++ b/internal/controlplane/catalog/accepted_test.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestResendsAreNeverRefused: a change that was accepted is known after any number of later ones, or its sender is told
--- a/internal/controlplane/catalog/bench_test.go
+++ b/internal/controlplane/catalog/bench_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // largeBody is a configuration of some routes, each to a service of its own, of which a revision changes one.
--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const maxServers = 60000 // registered at a time
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 func config(t *testing.T, revision uint64, change func(map[string]any)) []byte {
--- a/internal/controlplane/catalog/image.go
+++ b/internal/controlplane/catalog/image.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Image is the state at one moment. It shares with the catalog what is never changed in place: resources, and the
--- a/internal/controlplane/catalog/image_test.go
+++ b/internal/controlplane/catalog/image_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestAnImageStaysAsItWas while the state that it was taken of goes on: servers come, change and go, and configurations
--- a/internal/controlplane/catalog/judge.go
+++ b/internal/controlplane/catalog/judge.go
@@ -7,7 +7,7 @@
 
 	"ivydeck/internal/bytedelta"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Current is the configuration in force at one moment.
--- a/internal/controlplane/catalog/judge_test.go
+++ b/internal/controlplane/catalog/judge_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // manyRoutes is a configuration of 400 routes, one of which has another timeout.
--- a/internal/controlplane/catalog/local.go
+++ b/internal/controlplane/catalog/local.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Local follows the servers of one node, at the cost of what changes.
--- a/internal/controlplane/catalog/resource.go
+++ b/internal/controlplane/catalog/resource.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // kind tells resources of the same name apart.
--- a/internal/controlplane/catalog/search_test.go
+++ b/internal/controlplane/catalog/search_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestSearchOfResends sends earlier changes again at random moments, of any age up to the first, with snapshots in between:
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Snapshot returns the whole state as bytes, with the index of each resource: replicas that begin with it go on to say
--- a/internal/controlplane/catalog/view.go
+++ b/internal/controlplane/catalog/view.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // maxTombstones is how many removed resources are remembered for those who have not heard of it. Who lags behind the
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // operatorState makes up changes as operators and nodes send them.
--- a/internal/controlplane/control/ask.go
+++ b/internal/controlplane/control/ask.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -21,12 +21,12 @@
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/identity"
 	"ivydeck/internal/metrics"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/control/control_test.go
+++ b/internal/controlplane/control/control_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestQuestionsEndWithTheProcess: whoever has asked the loop something is let go when the loop ends without having read
--- a/internal/controlplane/control/join_test.go
+++ b/internal/controlplane/control/join_test.go
@@ -15,8 +15,8 @@
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 // eventLog hands a process's log events on by name.
--- a/internal/controlplane/control/look.go
+++ b/internal/controlplane/control/look.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Look is what all nodes say of themselves at one moment.
--- a/internal/controlplane/control/loop.go
+++ b/internal/controlplane/control/loop.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // do runs a function in the loop; false: the node ends, or too much waits.
--- a/internal/controlplane/control/membership.go
+++ b/internal/controlplane/control/membership.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 func (n *Node) self(voter bool) *wire.Peer {
--- a/internal/controlplane/control/membership_manager.go
+++ b/internal/controlplane/control/membership_manager.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/control/node_api.go
+++ b/internal/controlplane/control/node_api.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // change proposes a command and waits for its verdict.
--- a/internal/controlplane/control/operator_api.go
+++ b/internal/controlplane/control/operator_api.go
@@ -8,7 +8,7 @@
 
 	"ivydeck/internal/controlplane/backup"
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Result is what an operator is told.
--- a/internal/controlplane/control/operator_http_test.go
+++ b/internal/controlplane/control/operator_http_test.go
@@ -19,7 +19,7 @@
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/rpc"
+	"ivydeck/internal/transport/rpc"
 )
 
 // aloneNode is the one member of a quorum, on a disk in a folder of the test.
--- a/internal/controlplane/control/operator_sim_test.go
+++ b/internal/controlplane/control/operator_sim_test.go
@@ -16,7 +16,7 @@
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 var (
--- a/internal/controlplane/control/proposals.go
+++ b/internal/controlplane/control/proposals.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Errors of a request to the log. None of them says that a command was not applied, but for those that wrap errNotRun.
--- a/internal/controlplane/control/proposals_test.go
+++ b/internal/controlplane/control/proposals_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // member is one of three voters; the others are not there.
--- a/internal/controlplane/control/snapshots.go
+++ b/internal/controlplane/control/snapshots.go
@@ -11,8 +11,8 @@
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/control/snapshots_test.go
+++ b/internal/controlplane/control/snapshots_test.go
@@ -12,7 +12,7 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // pipe is one end of a stream that breaks after so many messages from here.
--- a/internal/controlplane/control/trace.go
+++ b/internal/controlplane/control/trace.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"slices"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const maxTraces = 10_000
--- a/internal/controlplane/control/transport.go
+++ b/internal/controlplane/control/transport.go
@@ -4,8 +4,8 @@
 	"context"
 	"slices"
 
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 // sender carries messages to one member.
--- a/internal/controlplane/control/web.go
+++ b/internal/controlplane/control/web.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
-	"ivydeck/internal/identity"
 	"ivydeck/internal/metrics"
+	"ivydeck/internal/transport/identity"
 )
 
 // routes is what the operator calls.
--- a/internal/controlplane/raft/coldstart_test.go
+++ b/internal/controlplane/raft/coldstart_test.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // registerAll has a leader of three take registrations in bursts, as they wait for its loop, and counts what goes out.
--- a/internal/controlplane/raft/contact.go
+++ b/internal/controlplane/raft/contact.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // MaxContactAge is the age of a member that has just started: it does not know of any contact with a quorum.
--- a/internal/controlplane/raft/contact_test.go
+++ b/internal/controlplane/raft/contact_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestContactIsMeasuredByTheReceiversClock: what a follower makes of its leader's word on the quorum.
--- a/internal/controlplane/raft/election.go
+++ b/internal/controlplane/raft/election.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // promotable tells whether this member votes, in the newest set of members or in one
--- a/internal/controlplane/raft/election_test.go
+++ b/internal/controlplane/raft/election_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestAMemberForgetsALeaderThatItDoesNotHear: a learner, which never campaigns, as well as a voter.
--- a/internal/controlplane/raft/handover.go
+++ b/internal/controlplane/raft/handover.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/raft/lease_relay_sim_test.go
+++ b/internal/controlplane/raft/lease_relay_sim_test.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // leaseRelay is a data node below a member or below another relay, with a clock of its own. It is driven by package
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -12,7 +12,7 @@
 
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/raft/leave.go
+++ b/internal/controlplane/raft/leave.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // A planned end: the process that got the signal hands over the lead (HandOver), then asks the leader until what its
--- a/internal/controlplane/raft/log.go
+++ b/internal/controlplane/raft/log.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"google.golang.org/protobuf/proto"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // membership is the set of members from an index of the log on.
--- a/internal/controlplane/raft/membership.go
+++ b/internal/controlplane/raft/membership.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Timing and sizes of the membership. No voter is removed because a time has passed:
--- a/internal/controlplane/raft/membership_manager.go
+++ b/internal/controlplane/raft/membership_manager.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Timing of the questions for membership.
--- a/internal/controlplane/raft/membership_search_test.go
+++ b/internal/controlplane/raft/membership_search_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const searchedQuorums = 2000 // drawn by each of the searches below
--- a/internal/controlplane/raft/membership_sim_test.go
+++ b/internal/controlplane/raft/membership_sim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 var (
--- a/internal/controlplane/raft/membership_test.go
+++ b/internal/controlplane/raft/membership_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // answering brings the answers of members of a leader of term 4 up to its last entry, at a time.
--- a/internal/controlplane/raft/membership_world_test.go
+++ b/internal/controlplane/raft/membership_world_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // A simulated quorum for the tests of the membership: processes with disks at addresses, messages and join calls that
--- a/internal/controlplane/raft/raft.go
+++ b/internal/controlplane/raft/raft.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Timing of the protocol.
--- a/internal/controlplane/raft/raft_test.go
+++ b/internal/controlplane/raft/raft_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestOlderTermsAreNotCommittedByCount: an entry of an earlier term that a majority
--- a/internal/controlplane/raft/reads_test.go
+++ b/internal/controlplane/raft/reads_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestReadsShareARound: reads that come before a round's messages go out need no round of their own; one that comes
--- a/internal/controlplane/raft/replication.go
+++ b/internal/controlplane/raft/replication.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // progress is what a leader knows of another member.
--- a/internal/controlplane/raft/retention.go
+++ b/internal/controlplane/raft/retention.go
@@ -1,6 +1,6 @@
 package raft
 
-import "ivydeck/internal/wire"
+import "ivydeck/internal/transport/wire"
 
 // What stands behind a snapshot before the next is due: whichever comes first. A large state is written less often
 // than a small one, so that snapshots never cost more writes than snapshotShare times the log itself.
--- a/internal/controlplane/raft/retention_test.go
+++ b/internal/controlplane/raft/retention_test.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // acknowledge has a member say that it has the leader's log up to an index.
--- a/internal/controlplane/raft/sim_checks_test.go
+++ b/internal/controlplane/raft/sim_checks_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // checks are the properties that are looked at while a simulation runs. What clients see is checked at its end.
--- a/internal/controlplane/raft/sim_faultless_test.go
+++ b/internal/controlplane/raft/sim_faultless_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // newFaultless is a quorum of n voters with a log of one entry, without faults.
--- a/internal/controlplane/raft/sim_faults_test.go
+++ b/internal/controlplane/raft/sim_faults_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // reconcile is the leader's upkeep of its members, as the control plane does it.
--- a/internal/controlplane/raft/sim_run_test.go
+++ b/internal/controlplane/raft/sim_run_test.go
@@ -10,7 +10,7 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // simStep is the simulated time between two turns of a member's driver.
--- a/internal/controlplane/raft/snapshot_sim_test.go
+++ b/internal/controlplane/raft/snapshot_sim_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 var catchUpSeeds = flag.Int("catchup-seeds", 9, "simulated worlds of members that lag behind changes at full rate")
--- a/internal/controlplane/raft/state.go
+++ b/internal/controlplane/raft/state.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Clone returns a copy that goes its own way, for those who look at what could happen next. It is to be called once
--- a/internal/controlplane/raft/step.go
+++ b/internal/controlplane/raft/step.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Step takes a message from another member.
--- a/internal/controlplane/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -11,7 +11,7 @@
 	"github.com/syndtr/goleveldb/leveldb/util"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // load reads the folder. Without rng nothing in it is changed.
--- a/internal/controlplane/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -17,7 +17,7 @@
 
 	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // content is what a store should hold.
--- a/internal/controlplane/store/save.go
+++ b/internal/controlplane/store/save.go
@@ -7,7 +7,7 @@
 	"github.com/syndtr/goleveldb/leveldb/opt"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // removalBatch is how many entries that no longer count one Save removes, at most.
--- a/internal/controlplane/store/snapshot.go
+++ b/internal/controlplane/store/snapshot.go
@@ -8,7 +8,7 @@
 	"os"
 	"strings"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -20,7 +20,7 @@
 	"github.com/syndtr/goleveldb/leveldb/opt"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Store is one member's folder. It is not for use by several goroutines, but for Stage and Receive.
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/syndtr/goleveldb/leveldb/util"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 func open(t testing.TB, dir string) *Store {
--- a/internal/data/data.go
+++ b/internal/data/data.go
@@ -17,12 +17,12 @@
 	"ivydeck/internal/distribution/agent"
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/entry"
-	"ivydeck/internal/identity"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
 	"ivydeck/internal/proxy"
-	"ivydeck/internal/rpc"
 	"ivydeck/internal/trace"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/rpc"
 )
 
 const upkeepEvery = 500 * time.Millisecond
--- a/internal/data/look.go
+++ b/internal/data/look.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // look tells what this node sees at the moment.
--- a/internal/data/mesh_test.go
+++ b/internal/data/mesh_test.go
@@ -19,9 +19,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"ivydeck/internal/controlplane/control"
-	"ivydeck/internal/identity"
 	"ivydeck/internal/nodefile"
 	"ivydeck/internal/operator"
+	"ivydeck/internal/transport/identity"
 )
 
 // mesh is a whole one on the loopback range: each machine has an address of its
--- a/internal/data/metrics.go
+++ b/internal/data/metrics.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ivydeck/internal/metrics"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const shownPriorities = 4 // chances of 0 to 3
--- a/internal/data/trace.go
+++ b/internal/data/trace.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ivydeck/internal/trace"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // record returns what keeps and logs records whose times begin so much later than the node. How many are kept is set
--- a/internal/data/update.go
+++ b/internal/data/update.go
@@ -6,7 +6,7 @@
 
 	"ivydeck/internal/proxy"
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -14,8 +14,8 @@
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 // Options say whom an agent stands for.
--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/distribution/agent/leader_test.go
+++ b/internal/distribution/agent/leader_test.go
@@ -7,7 +7,7 @@
 
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/rpc"
+	"ivydeck/internal/transport/rpc"
 )
 
 // newAgent returns an agent of three seeds that does not run.
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -7,7 +7,7 @@
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/distribution/relay/age.go
+++ b/internal/distribution/relay/age.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/distribution/relay/age_test.go
+++ b/internal/distribution/relay/age_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestTransitDoesNotHideAge: whatever time a feed spends on its way, the child's moment of contact is the parent's one or
--- a/internal/distribution/relay/follow.go
+++ b/internal/distribution/relay/follow.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"ivydeck/internal/rpc"
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 // Follower keeps a node's hub fed by a parent.
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -9,8 +9,8 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/distribution/relay/pacing_test.go
+++ b/internal/distribution/relay/pacing_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // pathLevel is a node on the path from a quorum member down the tree.
--- a/internal/distribution/relay/pack_test.go
+++ b/internal/distribution/relay/pack_test.go
@@ -9,7 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestPackedChanges: small and large changes arrive as they were, and large ones take fewer bytes.
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Timing and shape of the tree.
--- a/internal/distribution/relay/selector_test.go
+++ b/internal/distribution/relay/selector_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestALongGoodParentThatFails is not the next one to be tried: its connection may take as long again to show that it is
--- a/internal/entry/cluster.go
+++ b/internal/entry/cluster.go
@@ -7,7 +7,7 @@
 
 	"ivydeck/internal/cowmap"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // ClusterState is what a node has been told: a configuration and the servers. It is
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // stateSource makes up what a node is told.
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -10,7 +10,7 @@
 	"ivydeck/decide"
 	"ivydeck/internal/cowmap"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const ms = time.Millisecond
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -6,7 +6,7 @@
 
 	"ivydeck/decide"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/entry/table.go
+++ b/internal/entry/table.go
@@ -16,7 +16,7 @@
 	"ivydeck/decide"
 	"ivydeck/internal/budget"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/entry/update.go
+++ b/internal/entry/update.go
@@ -9,7 +9,7 @@
 	"ivydeck/internal/budget"
 	"ivydeck/internal/cowmap"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Update takes a newer version of the cluster. It costs what has changed: a change of the configuration touches no list of
--- a/internal/lab/core.go
+++ b/internal/lab/core.go
@@ -10,7 +10,7 @@
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/simdisk"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -11,7 +11,7 @@
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 var (
--- a/internal/lab/peerview.go
+++ b/internal/lab/peerview.go
@@ -7,7 +7,7 @@
 
 	"ivydeck/internal/cluster/membership"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // peerView is what every machine has: a view of the others, and a place in the tree.
--- a/internal/lab/request.go
+++ b/internal/lab/request.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/health"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // ticket is a request that waits for a slot at a server.
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -7,7 +7,7 @@
 
 	"ivydeck/internal/entry"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // server is an application server beside a node.
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // sim is one run of a scenario.
--- a/internal/localserver/register.go
+++ b/internal/localserver/register.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Machine is where the servers of a admission are registered.
--- a/internal/localserver/runs.go
+++ b/internal/localserver/runs.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ivydeck/internal/health"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Called counts the calls that a run made to a service.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -8,7 +8,7 @@
 	"crypto/tls"
 	"errors"
 	"fmt"
-	"ivydeck/internal/identity"
+	"ivydeck/internal/transport/identity"
 	"log/slog"
 	"net"
 	"net/http"
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -1,6 +1,6 @@
 package metrics
 
-import "ivydeck/internal/rpc"
+import "ivydeck/internal/transport/rpc"
 
 // traffic returns the gauges of what this process exchanges with others; each process shows them.
 func traffic() []Gauge {
--- a/internal/modelcheck/driver.go
+++ b/internal/modelcheck/driver.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // settle carries out what a member asks for, as its driver does: disk first, then messages, then what is committed, then
--- a/internal/modelcheck/event.go
+++ b/internal/modelcheck/event.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // eventKind is a kind of transition.
--- a/internal/modelcheck/key.go
+++ b/internal/modelcheck/key.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // key is a hash of the state, alike for states that differ by the members' names alone.
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // breaks notes the first property that does not hold.
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // member is a quorum member: its disk, and while it runs its part in the protocol. It is shared between states until
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"ivydeck/decide"
-	"ivydeck/internal/sock"
+	"ivydeck/internal/transport/sock"
 )
 
 const maxBody = 64 << 10
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -16,8 +16,8 @@
 
 	"ivydeck/internal/controlplane/backup"
 	"ivydeck/internal/controlplane/control"
-	"ivydeck/internal/identity"
 	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/transport/identity"
 )
 
 const (
--- a/internal/program/identity.go
+++ b/internal/program/identity.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"log/slog"
 
-	"ivydeck/internal/identity"
 	"ivydeck/internal/nodefile"
+	"ivydeck/internal/transport/identity"
 )
 
 // Identity opens what the settings name as a process's identity; nil: they name none. It has to be the machine's.
--- a/internal/proxy/appconn.go
+++ b/internal/proxy/appconn.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"ivydeck/internal/http1"
-	"ivydeck/internal/sock"
+	"ivydeck/internal/transport/sock"
 )
 
 const (
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,9 +12,9 @@
 	"ivydeck/internal/entry"
 	"ivydeck/internal/http1"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/rpc"
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 // try is one, with its end where it has ended.
--- a/internal/proxy/bed_test.go
+++ b/internal/proxy/bed_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 	"ivydeck/internal/cowmap"
-	"ivydeck/internal/identity"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 // bed is one node with both sides, and stand-ins for two servers.
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"ivydeck/internal/http1"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // maxRecycled is the size up to which a message's buffer is used again.
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -11,10 +11,10 @@
 	"ivydeck/internal/health"
 	"ivydeck/internal/http1"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/rpc"
 	"ivydeck/internal/timerpool"
 	"ivydeck/internal/trace"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 func unsent(gone bool, format string, args ...any) *wire.Outcome {
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -12,8 +12,8 @@
 	"ivydeck/internal/entry"
 	"ivydeck/internal/http1"
 	"ivydeck/internal/metrics"
-	"ivydeck/internal/rpc"
 	"ivydeck/internal/trace"
+	"ivydeck/internal/transport/rpc"
 )
 
 const (
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ivydeck/internal/http1"
-	"ivydeck/internal/identity"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestAnOlderNodeGetsWhatItUnderstands: while the mesh is renewed, half of the nodes are of the version before. They
--- a/internal/proxy/schedule_test.go
+++ b/internal/proxy/schedule_test.go
@@ -17,8 +17,8 @@
 
 	"ivydeck/internal/http1"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/rpc"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/rpc"
+	"ivydeck/internal/transport/wire"
 )
 
 var (
--- a/internal/scale/agree.go
+++ b/internal/scale/agree.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // latestIndex asks the quorum how far the updates have come.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -16,7 +16,7 @@
 	"ivydeck/internal/distribution/agent"
 	"ivydeck/internal/localserver"
 	"ivydeck/internal/nodefile"
-	"ivydeck/internal/rpc"
+	"ivydeck/internal/transport/rpc"
 )
 
 // HollowCommand is the argument with which the program itself runs hollow nodes, see RunHollow.
--- a/internal/scale/hops.go
+++ b/internal/scale/hops.go
@@ -17,9 +17,9 @@
 
 	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/operator"
-	"ivydeck/internal/rpc"
 	"ivydeck/internal/standin"
 	"ivydeck/internal/timerpool"
+	"ivydeck/internal/transport/rpc"
 )
 
 // Bounds of a paired benchmark.
--- a/internal/scale/messages.go
+++ b/internal/scale/messages.go
@@ -1,6 +1,6 @@
 package scale
 
-import "ivydeck/internal/rpc"
+import "ivydeck/internal/transport/rpc"
 
 // job is what a process of hollow nodes is told first.
 type job struct {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"ivydeck/internal/rpc"
+	"ivydeck/internal/transport/rpc"
 )
 
 // role is what a process is in the mesh.
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/rpc"
+	"ivydeck/internal/transport/rpc"
 )
 
 // Report is what a run has measured. All of it is of one machine that played all others; it holds no paths of that
--- a/internal/scale/state.go
+++ b/internal/scale/state.go
@@ -19,7 +19,7 @@
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/proxy"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/simdisk/simdisk.go
+++ b/internal/simdisk/simdisk.go
@@ -6,7 +6,7 @@
 import (
 	"math/rand/v2"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Disk is one machine's. Its zero value is empty.
--- a/internal/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -23,9 +23,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/identity"
-	"ivydeck/internal/sock"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/sock"
+	"ivydeck/internal/transport/wire"
 )
 
 const (
--- a/internal/rpc/fuzz_test.go
+++ b/internal/transport/rpc/fuzz_test.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 	"ivydeck/internal/workerpool"
 )
 
--- a/internal/rpc/identity_test.go
+++ b/internal/transport/rpc/identity_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/identity"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/wire"
 )
 
 // TestIdentities: who is not trusted never reaches a handler, and who is reaches those of its role. A call that was
--- a/internal/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/identity"
+	"ivydeck/internal/transport/identity"
 )
 
 // Pool makes calls, over one connection for each address.
--- a/internal/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -14,8 +14,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/identity"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/identity"
+	"ivydeck/internal/transport/wire"
 	"ivydeck/internal/workerpool"
 )
 
--- a/internal/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 const largeChunks = 20 // of a message that takes many frames
--- a/internal/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // Stream is an exchange of messages on a connection. One goroutine may send
--- a/internal/rpc/unsent_test.go
+++ b/internal/transport/rpc/unsent_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // failingConn takes in a number of bytes, then every write fails.
--- a/internal/rpc/watch.go
+++ b/internal/transport/rpc/watch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/wire"
+	"ivydeck/internal/transport/wire"
 )
 
 // look pings a quiet peer, and gives up one that stays silent.
