--- a/Makefile
+++ b/Makefile
@@ -6,8 +6,8 @@
 	go test ./internal/http1 -run none -fuzz FuzzRequest -fuzztime $(FUZZTIME)
 	go test ./internal/http1 -run none -fuzz FuzzResponse -fuzztime $(FUZZTIME)
 	go test ./internal/transport/rpc -run none -fuzz FuzzFrames -fuzztime $(FUZZTIME)
-	go test ./internal/nodefile -run none -fuzz FuzzParse -fuzztime $(FUZZTIME)
-	go test ./internal/meshconfig -run none -fuzz FuzzConfig -fuzztime $(FUZZTIME)
+	go test ./internal/config/nodefile -run none -fuzz FuzzParse -fuzztime $(FUZZTIME)
+	go test ./internal/config/meshconfig -run none -fuzz FuzzConfig -fuzztime $(FUZZTIME)
 	go test ./internal/controlplane/store -run none -fuzz FuzzRecovery -fuzztime $(FUZZTIME)
 	go test ./internal/bytedelta -run none -fuzz FuzzDelta -fuzztime $(FUZZTIME)
 
--- a/cmd/ivydeck-control/main.go
+++ b/cmd/ivydeck-control/main.go
@@ -3,8 +3,8 @@
 package main
 
 import (
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/controlplane/control"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
 )
 
--- a/cmd/ivydeckctl/config.go
+++ b/cmd/ivydeckctl/config.go
@@ -8,7 +8,7 @@
 	"os"
 	"strings"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/operator"
 )
 
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -11,8 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -5,7 +5,7 @@
 	"crypto/sha256"
 	"slices"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/catalog/bench_test.go
+++ b/internal/controlplane/catalog/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/catalog/image.go
+++ b/internal/controlplane/catalog/image.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/catalog/judge.go
+++ b/internal/controlplane/catalog/judge.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"ivydeck/internal/bytedelta"
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/catalog/resource.go
+++ b/internal/controlplane/catalog/resource.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/control/ack_gate.go
+++ b/internal/controlplane/control/ack_gate.go
@@ -1,8 +1,8 @@
 package control
 
 import (
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/nodefile"
 )
 
 // ackGate says below how many voters nothing is acknowledged. At the first start of a system the quorum has to grow to the
--- a/internal/controlplane/control/ack_gate_test.go
+++ b/internal/controlplane/control/ack_gate_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ivydeck/internal/nodefile"
+	"ivydeck/internal/config/nodefile"
 )
 
 // TestAcknowledgementsWaitForTheFirstQuorum: at the first start for as many voters as are wanted, later for one fewer, as
--- a/internal/controlplane/control/join_test.go
+++ b/internal/controlplane/control/join_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/controlplane/control/operator_http.go
+++ b/internal/controlplane/control/operator_http.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 )
 
 // retryAfter is the pause in seconds that an operator is asked for where another member may do better.
--- a/internal/controlplane/control/operator_http_test.go
+++ b/internal/controlplane/control/operator_http_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"ivydeck/internal/config/meshconfig"
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/meshconfig"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/transport/rpc"
 )
 
--- a/internal/controlplane/control/operator_sim_test.go
+++ b/internal/controlplane/control/operator_sim_test.go
@@ -11,10 +11,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/controlplane/backup"
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/simdisk"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/data/data.go
+++ b/internal/data/data.go
@@ -14,10 +14,10 @@
 
 	"ivydeck/internal/budget"
 	"ivydeck/internal/cluster/gossip"
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/distribution/agent"
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/entry"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
 	"ivydeck/internal/proxy"
 	"ivydeck/internal/trace"
--- a/internal/data/listeners.go
+++ b/internal/data/listeners.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"net"
 
-	"ivydeck/internal/nodefile"
+	"ivydeck/internal/config/nodefile"
 )
 
 // listeners are where a node is called.
--- a/internal/data/mesh_test.go
+++ b/internal/data/mesh_test.go
@@ -18,8 +18,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/controlplane/control"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/operator"
 	"ivydeck/internal/transport/identity"
 )
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -24,7 +24,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/operator"
 	"ivydeck/internal/standin"
 )
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"ivydeck/internal/cluster/gossip"
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/distribution/agent/leader_test.go
+++ b/internal/distribution/agent/leader_test.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"testing"
 
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/transport/rpc"
 )
 
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/entry/cluster.go
+++ b/internal/entry/cluster.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/cowmap"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -8,8 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"ivydeck/decide"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/cowmap"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ivydeck/decide"
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/entry/table.go
+++ b/internal/entry/table.go
@@ -15,7 +15,7 @@
 
 	"ivydeck/decide"
 	"ivydeck/internal/budget"
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/entry/update.go
+++ b/internal/entry/update.go
@@ -7,8 +7,8 @@
 
 	"ivydeck/decide"
 	"ivydeck/internal/budget"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/cowmap"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/lab/request.go
+++ b/internal/lab/request.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"ivydeck/decide"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/entry"
 	"ivydeck/internal/health"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,7 +16,7 @@
 	"github.com/BurntSushi/toml"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 )
 
 // Scenario describes a mesh and what happens to it. Times end in their unit.
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -14,9 +14,9 @@
 	"strconv"
 	"time"
 
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/controlplane/backup"
 	"ivydeck/internal/controlplane/control"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/identity"
 )
 
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -13,7 +13,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"gopkg.in/yaml.v3"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 )
 
 // Load reads a configuration from a file: .toml, .yaml, .json, or MessagePack for
--- a/internal/program/identity.go
+++ b/internal/program/identity.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"log/slog"
 
-	"ivydeck/internal/nodefile"
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/transport/identity"
 )
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -16,7 +16,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/willabides/kongplete"
 
-	"ivydeck/internal/nodefile"
+	"ivydeck/internal/config/nodefile"
 )
 
 // Version is what --version prints; the build may set it.
--- a/internal/proxy/bed_test.go
+++ b/internal/proxy/bed_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/cowmap"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/meshconfig"
 	"ivydeck/internal/transport/identity"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/distribution/agent"
 	"ivydeck/internal/localserver"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/transport/rpc"
 )
 
--- a/internal/scale/hops.go
+++ b/internal/scale/hops.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/operator"
 	"ivydeck/internal/standin"
 	"ivydeck/internal/timerpool"
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,7 +14,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"ivydeck/internal/meshconfig"
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/operator"
 	"ivydeck/internal/standin"
 	"ivydeck/internal/timerpool"
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/controlplane/control"
 	"ivydeck/internal/data"
-	"ivydeck/internal/nodefile"
 	"ivydeck/internal/program"
 )
 
