--- a/Makefile
+++ b/Makefile
@@ -3,8 +3,8 @@
 
 .PHONY: fuzz
 fuzz:
-	go test ./internal/http1 -run none -fuzz FuzzRequest -fuzztime $(FUZZTIME)
-	go test ./internal/http1 -run none -fuzz FuzzResponse -fuzztime $(FUZZTIME)
+	go test ./internal/dataplane/http1 -run none -fuzz FuzzRequest -fuzztime $(FUZZTIME)
+	go test ./internal/dataplane/http1 -run none -fuzz FuzzResponse -fuzztime $(FUZZTIME)
 	go test ./internal/transport/rpc -run none -fuzz FuzzFrames -fuzztime $(FUZZTIME)
 	go test ./internal/config/nodefile -run none -fuzz FuzzParse -fuzztime $(FUZZTIME)
 	go test ./internal/config/meshconfig -run none -fuzz FuzzConfig -fuzztime $(FUZZTIME)
--- a/cmd/ivydeck-data/main.go
+++ b/cmd/ivydeck-data/main.go
@@ -4,7 +4,7 @@
 
 import (
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/data"
+	"ivydeck/internal/dataplane/data"
 	"ivydeck/internal/program"
 )
 
--- a/internal/data/servers.go
+++ b/internal/dataplane/data/servers.go
@@ -10,7 +10,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"ivydeck/internal/proxy"
+	"ivydeck/internal/dataplane/proxy"
 )
 
 const (
--- a/internal/data/trace.go
+++ b/internal/dataplane/data/trace.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ivydeck/internal/trace"
+	"ivydeck/internal/dataplane/trace"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/data/update.go
+++ b/internal/dataplane/data/update.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ivydeck/internal/proxy"
+	"ivydeck/internal/dataplane/proxy"
 	"ivydeck/internal/timerpool"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/entry/table.go
+++ b/internal/dataplane/entry/table.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"ivydeck/decide"
-	"ivydeck/internal/budget"
 	"ivydeck/internal/config/meshconfig"
+	"ivydeck/internal/dataplane/budget"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/entry/update.go
+++ b/internal/dataplane/entry/update.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"ivydeck/decide"
-	"ivydeck/internal/budget"
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/cowmap"
+	"ivydeck/internal/dataplane/budget"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"ivydeck/internal/health"
+	"ivydeck/internal/dataplane/health"
 )
 
 const (
--- a/internal/localserver/localserver_test.go
+++ b/internal/dataplane/localserver/localserver_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/health"
+	"ivydeck/internal/dataplane/health"
 )
 
 const ms = time.Millisecond
--- a/internal/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/health"
+	"ivydeck/internal/dataplane/health"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/localserver/slots.go
+++ b/internal/dataplane/localserver/slots.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ivydeck/internal/health"
+	"ivydeck/internal/dataplane/health"
 )
 
 // Ask is a request for a server here.
--- a/internal/proxy/appconn.go
+++ b/internal/dataplane/proxy/appconn.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"ivydeck/internal/http1"
+	"ivydeck/internal/dataplane/http1"
 	"ivydeck/internal/transport/sock"
 )
 
--- a/internal/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/decide"
-	"ivydeck/internal/entry"
-	"ivydeck/internal/http1"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/http1"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/timerpool"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
--- a/internal/proxy/bed_test.go
+++ b/internal/dataplane/proxy/bed_test.go
@@ -16,7 +16,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/cowmap"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/transport/identity"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
--- a/internal/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"ivydeck/internal/http1"
+	"ivydeck/internal/dataplane/http1"
 )
 
 // client is one connection.
--- a/internal/proxy/fields.go
+++ b/internal/dataplane/proxy/fields.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"sync"
 
-	"ivydeck/internal/http1"
+	"ivydeck/internal/dataplane/http1"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
-	"ivydeck/internal/health"
-	"ivydeck/internal/http1"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/health"
+	"ivydeck/internal/dataplane/http1"
+	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/dataplane/trace"
 	"ivydeck/internal/timerpool"
-	"ivydeck/internal/trace"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/http1"
+	"ivydeck/internal/dataplane/http1"
 	"ivydeck/internal/workerpool"
 )
 
--- a/internal/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"ivydeck/internal/localserver"
-	"ivydeck/internal/trace"
+	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/dataplane/trace"
 )
 
 const (
--- a/internal/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -9,10 +9,10 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/entry"
-	"ivydeck/internal/http1"
+	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/http1"
+	"ivydeck/internal/dataplane/trace"
 	"ivydeck/internal/metrics"
-	"ivydeck/internal/trace"
 	"ivydeck/internal/transport/rpc"
 )
 
--- a/internal/proxy/pressure.go
+++ b/internal/dataplane/proxy/pressure.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"ivydeck/internal/entry"
+	"ivydeck/internal/dataplane/entry"
 )
 
 // pressureEvery is the shortest time between two records of refusals for one service or by one server.
--- a/internal/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/http1"
+	"ivydeck/internal/dataplane/http1"
 	"ivydeck/internal/transport/identity"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/proxy/schedule_test.go
+++ b/internal/dataplane/proxy/schedule_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/http1"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/http1"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -12,8 +12,8 @@
 
 	"ivydeck/internal/cluster/gossip"
 	"ivydeck/internal/config/nodefile"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/localserver"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/distribution/agent/leader_test.go
+++ b/internal/distribution/agent/leader_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/transport/rpc"
 )
 
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/timerpool"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/entry"
+	"ivydeck/internal/dataplane/entry"
 )
 
 // request is what a client wants; it may take several tries.
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/entry"
-	"ivydeck/internal/localserver"
 )
 
 func town(t *testing.T) *Scenario {
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ivydeck/internal/entry"
+	"ivydeck/internal/dataplane/entry"
 )
 
 // What a request is worth to its client.
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -6,11 +6,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/budget"
 	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/dataplane/budget"
+	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/entry"
-	"ivydeck/internal/localserver"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/lab/request.go
+++ b/internal/lab/request.go
@@ -5,9 +5,9 @@
 
 	"ivydeck/decide"
 	"ivydeck/internal/config/meshconfig"
-	"ivydeck/internal/entry"
-	"ivydeck/internal/health"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/health"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"ivydeck/internal/entry"
-	"ivydeck/internal/localserver"
+	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"ivydeck/internal/config/nodefile"
+	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/distribution/agent"
-	"ivydeck/internal/localserver"
 	"ivydeck/internal/transport/rpc"
 )
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -14,7 +14,7 @@
 
 	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/controlplane/control"
-	"ivydeck/internal/data"
+	"ivydeck/internal/dataplane/data"
 	"ivydeck/internal/program"
 )
 
--- a/internal/scale/state.go
+++ b/internal/scale/state.go
@@ -16,9 +16,9 @@
 
 	"ivydeck/internal/cluster/membership"
 	"ivydeck/internal/controlplane/catalog"
+	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/proxy"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/entry"
-	"ivydeck/internal/proxy"
 	"ivydeck/internal/transport/wire"
 )
 
