--- a/cmd/meshlab/check.go
+++ b/cmd/meshlab/check.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"ivydeck/internal/modelcheck"
-	"ivydeck/internal/mutation"
+	"ivydeck/internal/simulation/modelcheck"
+	"ivydeck/internal/simulation/mutation"
 )
 
 type checkCmd struct {
--- a/cmd/meshlab/demo.go
+++ b/cmd/meshlab/demo.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"ivydeck/internal/demo"
+	"ivydeck/internal/simulation/demo"
 )
 
 type demoCmd struct {
--- a/cmd/meshlab/hops.go
+++ b/cmd/meshlab/hops.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"ivydeck/internal/scale"
+	"ivydeck/internal/simulation/scale"
 )
 
 type hopsCmd struct {
--- a/cmd/meshlab/main.go
+++ b/cmd/meshlab/main.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/schollz/progressbar/v3"
 
-	"ivydeck/internal/lab"
 	"ivydeck/internal/program"
+	"ivydeck/internal/simulation/lab"
 )
 
 type commands struct {
--- a/cmd/meshlab/scale.go
+++ b/cmd/meshlab/scale.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"ivydeck/internal/scale"
+	"ivydeck/internal/simulation/scale"
 )
 
 type scaleCmd struct {
--- a/cmd/meshlab/timeline.go
+++ b/cmd/meshlab/timeline.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"ivydeck/internal/timeline"
+	"ivydeck/internal/simulation/timeline"
 )
 
 type timelineCmd struct {
--- a/internal/controlplane/control/operator_sim_test.go
+++ b/internal/controlplane/control/operator_sim_test.go
@@ -15,7 +15,7 @@
 	"ivydeck/internal/controlplane/backup"
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/simdisk"
+	"ivydeck/internal/simulation/simdisk"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/simdisk"
+	"ivydeck/internal/simulation/simdisk"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/raft/sim_faultless_test.go
+++ b/internal/controlplane/raft/sim_faultless_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ivydeck/internal/simdisk"
+	"ivydeck/internal/simulation/simdisk"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/raft/sim_run_test.go
+++ b/internal/controlplane/raft/sim_run_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/simdisk"
+	"ivydeck/internal/simulation/simdisk"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/raft/snapshot_sim_test.go
+++ b/internal/controlplane/raft/snapshot_sim_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/simdisk"
+	"ivydeck/internal/simulation/simdisk"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/controlplane/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/controlplane/store"
-	"ivydeck/internal/simdisk"
+	"ivydeck/internal/simulation/simdisk"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/demo/demo.go
+++ b/internal/simulation/demo/demo.go
@@ -26,7 +26,7 @@
 
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/operator"
-	"ivydeck/internal/standin"
+	"ivydeck/internal/simulation/standin"
 )
 
 const (
--- a/internal/lab/core.go
+++ b/internal/simulation/lab/core.go
@@ -9,7 +9,7 @@
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/simdisk"
+	"ivydeck/internal/simulation/simdisk"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -17,7 +17,7 @@
 
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/operator"
-	"ivydeck/internal/standin"
+	"ivydeck/internal/simulation/standin"
 	"ivydeck/internal/timerpool"
 	"ivydeck/internal/transport/rpc"
 )
--- a/internal/scale/machines.go
+++ b/internal/simulation/scale/machines.go
@@ -10,7 +10,7 @@
 	"strings"
 	"sync"
 
-	"ivydeck/internal/standin"
+	"ivydeck/internal/simulation/standin"
 )
 
 // list returns the processes of some roles, all where none is named.
