--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ivydeck/decide"
-	"ivydeck/internal/settings"
+	"ivydeck/internal/balancer/settings"
 )
 
 const rosters = 16 // list numbers run from 0 to 15
--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ivydeck/decide"
-	"ivydeck/internal/settings"
+	"ivydeck/internal/balancer/settings"
 )
 
 // message is one line of input: an object with a single key, the event's name.
--- a/cmd/curlewring/main.go
+++ b/cmd/curlewring/main.go
@@ -13,7 +13,7 @@
 	"sync"
 	"syscall"
 
-	"ivydeck/internal/node"
+	"ivydeck/internal/balancer/node"
 )
 
 func main() {
--- a/internal/node/config.go
+++ b/internal/balancer/node/config.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"ivydeck/decide"
-	"ivydeck/internal/settings"
+	"ivydeck/internal/balancer/settings"
 )
 
 const (
