--- a/Makefile
+++ b/Makefile
@@ -9,7 +9,7 @@
 	go test ./internal/config/nodefile -run none -fuzz FuzzParse -fuzztime $(FUZZTIME)
 	go test ./internal/config/meshconfig -run none -fuzz FuzzConfig -fuzztime $(FUZZTIME)
 	go test ./internal/controlplane/store -run none -fuzz FuzzRecovery -fuzztime $(FUZZTIME)
-	go test ./internal/bytedelta -run none -fuzz FuzzDelta -fuzztime $(FUZZTIME)
+	go test ./internal/pkg/bytedelta -run none -fuzz FuzzDelta -fuzztime $(FUZZTIME)
 
 # The searches for faults of the consensus: see docs/verification.md.
 SEEDS ?= 10000
--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"ivydeck/internal/cowmap"
+	"ivydeck/internal/pkg/cowmap"
 )
 
 // Bounds on what an operator may send.
--- a/internal/controlplane/catalog/judge.go
+++ b/internal/controlplane/catalog/judge.go
@@ -5,8 +5,8 @@
 	"crypto/sha256"
 	"fmt"
 
-	"ivydeck/internal/bytedelta"
 	"ivydeck/internal/config/meshconfig"
+	"ivydeck/internal/pkg/bytedelta"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/dataplane/data/update.go
+++ b/internal/dataplane/data/update.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ivydeck/internal/dataplane/proxy"
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/dataplane/entry/cluster.go
+++ b/internal/dataplane/entry/cluster.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"ivydeck/internal/config/meshconfig"
-	"ivydeck/internal/cowmap"
+	"ivydeck/internal/pkg/cowmap"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/dataplane/entry/entry_test.go
+++ b/internal/dataplane/entry/entry_test.go
@@ -9,7 +9,7 @@
 
 	"ivydeck/decide"
 	"ivydeck/internal/config/meshconfig"
-	"ivydeck/internal/cowmap"
+	"ivydeck/internal/pkg/cowmap"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/dataplane/entry/update.go
+++ b/internal/dataplane/entry/update.go
@@ -7,8 +7,8 @@
 
 	"ivydeck/decide"
 	"ivydeck/internal/config/meshconfig"
-	"ivydeck/internal/cowmap"
 	"ivydeck/internal/dataplane/budget"
+	"ivydeck/internal/pkg/cowmap"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/dataplane/proxy/bed_test.go
+++ b/internal/dataplane/proxy/bed_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 	"ivydeck/internal/config/meshconfig"
-	"ivydeck/internal/cowmap"
 	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/pkg/cowmap"
 	"ivydeck/internal/transport/identity"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -12,7 +12,7 @@
 	"ivydeck/internal/dataplane/http1"
 	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/dataplane/trace"
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"ivydeck/internal/dataplane/http1"
-	"ivydeck/internal/workerpool"
+	"ivydeck/internal/pkg/workerpool"
 )
 
 const (
--- a/internal/distribution/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ivydeck/internal/distribution/relay"
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 )
 
 const (
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -6,7 +6,7 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/dataplane/localserver"
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/distribution/relay/follow.go
+++ b/internal/distribution/relay/follow.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
 )
--- a/internal/simulation/scale/events.go
+++ b/internal/simulation/scale/events.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 )
 
 const (
--- a/internal/simulation/scale/failures.go
+++ b/internal/simulation/scale/failures.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 )
 
 // some returns a part of the hollow nodes: each tenth, from one on.
--- a/internal/simulation/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -17,8 +17,8 @@
 
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/operator"
+	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/simulation/standin"
-	"ivydeck/internal/timerpool"
 	"ivydeck/internal/transport/rpc"
 )
 
--- a/internal/transport/rpc/fuzz_test.go
+++ b/internal/transport/rpc/fuzz_test.go
@@ -10,8 +10,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"ivydeck/internal/pkg/workerpool"
 	"ivydeck/internal/transport/wire"
-	"ivydeck/internal/workerpool"
 )
 
 // framed puts frames behind each other as they go over a connection.
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -14,9 +14,9 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"ivydeck/internal/pkg/workerpool"
 	"ivydeck/internal/transport/identity"
 	"ivydeck/internal/transport/wire"
-	"ivydeck/internal/workerpool"
 )
 
 const (
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/transport/wire"
 )
 
--- a/internal/transport/rpc/watch.go
+++ b/internal/transport/rpc/watch.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"ivydeck/internal/timerpool"
+	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/transport/wire"
 )
 
