--- a/cmd/ivydeck-control/main.go
+++ b/cmd/ivydeck-control/main.go
@@ -4,10 +4,10 @@
 
 import (
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/controlplane/control"
+	"ivydeck/internal/controlplane/server"
 	"ivydeck/internal/program"
 )
 
 func main() {
-	program.Main("ivydeck-control", "The control plane of the ivydeck mesh.", nodefile.Core, control.Run)
+	program.Main("ivydeck-control", "The control plane of the ivydeck mesh.", nodefile.Core, server.Run)
 }
--- a/cmd/ivydeck-data/main.go
+++ b/cmd/ivydeck-data/main.go
@@ -4,10 +4,10 @@
 
 import (
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/dataplane/data"
+	"ivydeck/internal/dataplane/sidecar"
 	"ivydeck/internal/program"
 )
 
 func main() {
-	program.Main("ivydeck-data", "The data plane of the ivydeck mesh.", nodefile.Sidecar, data.Run)
+	program.Main("ivydeck-data", "The data plane of the ivydeck mesh.", nodefile.Sidecar, sidecar.Run)
 }
--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -10,7 +10,7 @@
 	"slices"
 	"text/tabwriter"
 
-	"ivydeck/internal/controlplane/control"
+	"ivydeck/internal/controlplane/server"
 )
 
 type statusCmd struct {
@@ -45,10 +45,10 @@
 }
 
 // leader returns what the leader says.
-func (f *coreFlags) leader(ctx context.Context) (control.Status, error) {
+func (f *coreFlags) leader(ctx context.Context) (server.Status, error) {
 	core, err := f.core()
 	if err != nil {
-		return control.Status{}, err
+		return server.Status{}, err
 	}
 	all, errs := core.Status(ctx)
 	for _, s := range all {
@@ -56,7 +56,7 @@
 			return s, nil
 		}
 	}
-	return control.Status{}, errors.Join(append(errs, errors.New("none of these machines leads"))...)
+	return server.Status{}, errors.Join(append(errs, errors.New("none of these machines leads"))...)
 }
 
 // table prints rows under a head, or the same as JSON.
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	list := slices.DeleteFunc(s.Servers, func(v control.Server) bool { return c.Service != "" && v.Service != c.Service })
+	list := slices.DeleteFunc(s.Servers, func(v server.Server) bool { return c.Service != "" && v.Service != c.Service })
 	return table(c.Output, list, "server\tservice\tnode\tzone\tslots\tdraining", func(w io.Writer) {
 		for _, v := range list {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%v\n", v.Member, v.Service, v.Node, v.Zone, v.Slots, v.Draining)
--- a/cmd/ivydeckctl/top.go
+++ b/cmd/ivydeckctl/top.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"ivydeck/internal/controlplane/control"
+	"ivydeck/internal/controlplane/server"
 )
 
 type topCmd struct {
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	var before control.Look
+	var before server.Look
 	var at time.Time
 	for i := 0; c.Times == 0 || i < c.Times; i++ {
 		if i > 0 {
@@ -61,16 +61,16 @@
 
 // rates are a node's answers in a second, since the look before or its start.
 type rates struct {
-	control.NodeLook
+	server.NodeLook
 	served, refused, failed float64
 }
 
-func since(before control.Look, now control.NodeLook, passed time.Duration) rates {
+func since(before server.Look, now server.NodeLook, passed time.Duration) rates {
 	r := rates{NodeLook: now}
 	up := time.Duration(now.UpMs) * time.Millisecond
-	var old control.NodeLook
+	var old server.NodeLook
 	// One that has started anew since then counts from its start.
-	if i := slices.IndexFunc(before.Nodes, func(n control.NodeLook) bool { return n.Node == now.Node }); i >= 0 && up >= passed && before.Nodes[i].UpMs <= now.UpMs {
+	if i := slices.IndexFunc(before.Nodes, func(n server.NodeLook) bool { return n.Node == now.Node }); i >= 0 && up >= passed && before.Nodes[i].UpMs <= now.UpMs {
 		old = before.Nodes[i]
 	} else {
 		passed = up
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (c *topCmd) show(out io.Writer, before, now control.Look, passed time.Duration) {
+func (c *topCmd) show(out io.Writer, before, now server.Look, passed time.Duration) {
 	var nodes []rates
 	var served, refused, failed float64
 	type sum struct {
@@ -97,7 +97,7 @@
 	}
 	type ill struct {
 		node string
-		control.ServerLook
+		server.ServerLook
 	}
 	var servers []ill
 	for _, n := range now.Nodes {
--- a/internal/controlplane/control/operator_history_test.go
+++ b/internal/controlplane/server/operator_history_test.go
@@ -1,4 +1,4 @@
-package control
+package server
 
 import (
 	"math/rand/v2"
@@ -121,7 +121,7 @@
 		}
 		switch porcupine.CheckOperationsTimeout(orders, w.history(t), 20*time.Second) {
 		case porcupine.Illegal:
-			t.Errorf("seed %d: the history is not linearizable (go test ./internal/controlplane/control -run OneConfiguration -seed %d -seeds 1)", seed, seed)
+			t.Errorf("seed %d: the history is not linearizable (go test ./internal/controlplane/server -run OneConfiguration -seed %d -seeds 1)", seed, seed)
 		case porcupine.Unknown:
 			unknown++
 		}
--- a/internal/controlplane/control/recovery_sim_test.go
+++ b/internal/controlplane/server/recovery_sim_test.go
@@ -1,4 +1,4 @@
-package control
+package server
 
 import (
 	"slices"
@@ -47,7 +47,7 @@
 }
 
 // TestRecoveryAfterTheLeadersLoss measures the time from the loss of a leader to the next acknowledged change, by the
-// operators' calls and pauses as the pages give them (go test ./internal/controlplane/control -run Recovery -v -seeds 1000).
+// operators' calls and pauses as the pages give them (go test ./internal/controlplane/server -run Recovery -v -seeds 1000).
 func TestRecoveryAfterTheLeadersLoss(t *testing.T) {
 	for _, members := range []int{3, 5} {
 		for name, dark := range map[string]bool{"killed": false, "powered off": true} {
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/server/server.go
@@ -1,6 +1,6 @@
 // Package control is the program of the quorum members: it drives the consensus
 // on its disk, answers the operator, and is where the tree of relays begins.
-package control
+package server
 
 import (
 	"context"
--- a/internal/controlplane/control/snapshots.go
+++ b/internal/controlplane/server/snapshots.go
@@ -1,4 +1,4 @@
-package control
+package server
 
 import (
 	"context"
--- a/internal/dataplane/data/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -1,7 +1,7 @@
 // Package data is the program of the sidecar machines: it carries the requests
 // that begin there, stands beside the machine's server, and is one of the
 // relays of the updates.
-package data
+package sidecar
 
 import (
 	"context"
--- a/internal/dataplane/data/listeners.go
+++ b/internal/dataplane/sidecar/listeners.go
@@ -1,4 +1,4 @@
-package data
+package sidecar
 
 import (
 	"fmt"
--- a/internal/dataplane/data/mesh_test.go
+++ b/internal/dataplane/sidecar/mesh_test.go
@@ -1,4 +1,4 @@
-package data
+package sidecar
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/controlplane/control"
+	"ivydeck/internal/controlplane/server"
 	"ivydeck/internal/operator"
 	"ivydeck/internal/transport/identity"
 )
@@ -167,7 +167,7 @@
 		}
 	}()
 	for n := 1; n <= 3; n++ {
-		stops[n] = m.start(control.Run, m.settings(n, nodefile.Core, true))
+		stops[n] = m.start(server.Run, m.settings(n, nodefile.Core, true))
 	}
 	core := m.operator(identity.Operator)
 	ctx := context.Background()
@@ -243,7 +243,7 @@
 		t.Errorf("the nodes see %+v, %v", all, err)
 	}
 	way, err := core.Trace(ctx, "a")
-	var last []control.Part // of the served one
+	var last []server.Part // of the served one
 	if len(way.Parts) > 1 {
 		last = way.Parts[len(way.Parts)-2:]
 	}
@@ -270,7 +270,7 @@
 	stops[2]()
 	lost := m.settings(2, nodefile.Core, false)
 	lost.DataDir = filepath.Join(m.dir, "empty")
-	stops[2] = m.start(control.Run, lost)
+	stops[2] = m.start(server.Run, lost)
 	read := func() []byte {
 		body, _, err := core.Read(ctx)
 		if err != nil {
@@ -323,7 +323,7 @@
 				t.Fatal(err)
 			}
 		}
-		stops[n] = m.start(control.Run, set)
+		stops[n] = m.start(server.Run, set)
 	}
 	m.until("the configuration of the backup", func() bool { return bytes.Equal(read(), third) })
 	m.until("its routes on a node that has outlived the core", func() bool { return get("/three/x") == 200 && get("/four/x") == 404 })
@@ -338,7 +338,7 @@
 	defer m.running.Wait()
 	core := &operator.Client{}
 	for n := 1; n <= 3; n++ {
-		defer m.start(control.Run, m.settings(n, nodefile.Core, true))()
+		defer m.start(server.Run, m.settings(n, nodefile.Core, true))()
 		core.Addresses = append(core.Addresses, fmt.Sprintf("127.7.0.%d:%d", n, m.ports[1]))
 	}
 	ctx := context.Background()
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -16,7 +16,7 @@
 
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/controlplane/backup"
-	"ivydeck/internal/controlplane/control"
+	"ivydeck/internal/controlplane/server"
 	"ivydeck/internal/transport/identity"
 )
 
@@ -147,7 +147,7 @@
 }
 
 // Look asks a quorum member for what all nodes see.
-func (c *Client) Look(ctx context.Context) (l control.Look, err error) {
+func (c *Client) Look(ctx context.Context) (l server.Look, err error) {
 	return l, c.fetch(ctx, "/look", &l)
 }
 
@@ -164,15 +164,15 @@
 }
 
 // Trace asks for what the mesh has kept of a request and its calls.
-func (c *Client) Trace(ctx context.Context, attempt string) (t control.Trace, err error) {
+func (c *Client) Trace(ctx context.Context, attempt string) (t server.Trace, err error) {
 	return t, c.fetch(ctx, "/trace/"+url.PathEscape(attempt), &t)
 }
 
 // Status asks each machine for what it says of itself; what failed is in errs.
-func (c *Client) Status(ctx context.Context) (all []control.Status, errs []error) {
+func (c *Client) Status(ctx context.Context) (all []server.Status, errs []error) {
 	for _, a := range c.Addresses {
 		status, body, err := c.once(ctx, http.MethodGet, c.place(a, "/status"), nil, nil)
-		var s control.Status
+		var s server.Status
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("answers %d: %s", status, bytes.TrimSpace(body))
 		}
--- a/internal/simulation/scale/scale_test.go
+++ b/internal/simulation/scale/scale_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/controlplane/control"
-	"ivydeck/internal/dataplane/data"
+	"ivydeck/internal/controlplane/server"
+	"ivydeck/internal/dataplane/sidecar"
 	"ivydeck/internal/program"
 )
 
@@ -22,7 +22,7 @@
 func TestMain(m *testing.M) {
 	switch filepath.Base(os.Args[0]) {
 	case "ivydeck-control":
-		program.Main("ivydeck-control", "", nodefile.Core, control.Run)
+		program.Main("ivydeck-control", "", nodefile.Core, server.Run)
 	case "ivydeck-data":
 		program.Main("ivydeck-data", "", nodefile.Sidecar, data.Run)
 	case "meshlab":
