--- a/internal/simulation/scale/scale_test.go
+++ b/internal/simulation/scale/scale_test.go
@@ -24,7 +24,7 @@
 	case "ivydeck-control":
 		program.Main("ivydeck-control", "", nodefile.Core, server.Run)
 	case "ivydeck-data":
-		program.Main("ivydeck-data", "", nodefile.Sidecar, data.Run)
+		program.Main("ivydeck-data", "", nodefile.Sidecar, sidecar.Run)
 	case "meshlab":
 		if err := RunHollow(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
