--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -84,7 +84,7 @@
 	g.mu.Unlock()
 	told := 0
 	for _, m := range members {
-		if m.Name != self.Name && told < 4 && g.exchange(ctx, m.Address, &wire.Probe{From: self, Updates: []*wire.Member{self}}, membership.ProbeTimeout) != nil {
+		if m.Name != self.Name && told < 4 && g.exchange(ctx, m.Address, &wire.ProbeRequest{From: self, Updates: []*wire.Member{self}}, membership.ProbeTimeout) != nil {
 			told++
 		}
 	}
@@ -142,10 +142,10 @@
 }
 
 // exchange sends a probe and takes in the answer; nil: none came.
-func (g *Gossip) exchange(ctx context.Context, addr string, p *wire.Probe, wait time.Duration) *wire.Probed {
+func (g *Gossip) exchange(ctx context.Context, addr string, p *wire.ProbeRequest, wait time.Duration) *wire.ProbeResponse {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	answer := new(wire.Probed)
+	answer := new(wire.ProbeResponse)
 	if err := g.pool.Call(ctx, addr, "probe", p, answer); err != nil {
 		return nil
 	}
@@ -168,9 +168,9 @@
 }
 
 // probed answers a probe, of this node or through it of another.
-func (g *Gossip) probed(ctx context.Context, p *wire.Probe) (*wire.Probed, error) {
+func (g *Gossip) probed(ctx context.Context, p *wire.ProbeRequest) (*wire.ProbeResponse, error) {
 	if p.From != nil {
-		if caller, ok := rpc.Caller(ctx); ok && (caller.Name != p.From.Name || (caller.Role == identity.Core) != p.From.Core) {
+		if caller, ok := rpc.Caller(ctx); ok && (caller.Name != p.From.Name || (caller.Role == identity.Core) != p.From.QuorumMember) {
 			return nil, fmt.Errorf("the certificate is of %s, not of %s", caller, p.From.Name)
 		}
 		g.hear([]*wire.Member{p.From})
@@ -181,7 +181,7 @@
 		g.mu.Lock()
 		self := g.group.Self()
 		g.mu.Unlock()
-		reached = g.exchange(ctx, p.Target.Address, &wire.Probe{From: self}, membership.ProbeTimeout) != nil
+		reached = g.exchange(ctx, p.Target.Address, &wire.ProbeRequest{From: self}, membership.ProbeTimeout) != nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -25,7 +25,7 @@
 	return f.groups[to] != nil && (f.cut == nil || !f.cut(from, to)) && f.rng.Float64() >= f.loss
 }
 
-func (f *fleet) exchange(from, to string, p *wire.Probe) *wire.Probed {
+func (f *fleet) exchange(from, to string, p *wire.ProbeRequest) *wire.ProbeResponse {
 	if !f.reach(from, to) {
 		return nil
 	}
@@ -34,7 +34,7 @@
 	g.Merge(f.now, p.Updates...)
 	reached := true
 	if p.Target != nil {
-		reached = f.exchange(to, p.Target.Name, &wire.Probe{From: g.Self()}) != nil
+		reached = f.exchange(to, p.Target.Name, &wire.ProbeRequest{From: g.Self()}) != nil
 	}
 	answer := g.Answer(p)
 	answer.Reached = reached
@@ -69,7 +69,7 @@
 		f.groups[name] = New(&wire.Member{Name: name, Address: name, Generation: 1}, uint64(i), 0)
 	}
 	for i := 1; i < n; i++ {
-		f.exchange(fmt.Sprint("n", i), "n0", &wire.Probe{From: f.groups[fmt.Sprint("n", i)].Self(), Whole: true})
+		f.exchange(fmt.Sprint("n", i), "n0", &wire.ProbeRequest{From: f.groups[fmt.Sprint("n", i)].Self(), FullView: true})
 	}
 	return f
 }
@@ -103,12 +103,12 @@
 	}
 	// A new process is known again, though all have heard of the death.
 	f.groups["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 77, f.now)
-	f.exchange("n7", "n0", &wire.Probe{From: f.groups["n7"].Self(), Whole: true})
+	f.exchange("n7", "n0", &wire.ProbeRequest{From: f.groups["n7"].Self(), FullView: true})
 	f.run(10 * time.Second)
 	f.want(20, "after its return")
 	g := f.groups["n3"]
 	g.Leave()
-	f.exchange("n3", "n4", &wire.Probe{From: g.Self(), Updates: []*wire.Member{g.Self()}})
+	f.exchange("n3", "n4", &wire.ProbeRequest{From: g.Self(), Updates: []*wire.Member{g.Self()}})
 	delete(f.groups, "n3")
 	f.run(8 * time.Second)
 	f.want(19, "after it left")
@@ -140,7 +140,7 @@
 func TestClockSetBack(t *testing.T) {
 	f := newFleet(t, 8)
 	f.groups["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 1000}, 70, 0)
-	f.exchange("n7", "n0", &wire.Probe{From: f.groups["n7"].Self(), Whole: true})
+	f.exchange("n7", "n0", &wire.ProbeRequest{From: f.groups["n7"].Self(), FullView: true})
 	f.run(10 * time.Second)
 	delete(f.groups, "n7")
 	f.run(10 * time.Second)
--- a/internal/cluster/membership/probing.go
+++ b/internal/cluster/membership/probing.go
@@ -14,7 +14,7 @@
 	Target  string
 	Helper  string
 	Address string // where to
-	Probe   *wire.Probe
+	Probe   *wire.ProbeRequest
 }
 
 // Wait is how long the driver waits for the answer.
@@ -60,7 +60,7 @@
 	var out []Action
 	if m := g.nextTarget(); m != nil {
 		m.probing, m.asked = true, 0
-		out = append(out, Action{Target: m.Name, Address: m.Address, Probe: &wire.Probe{From: g.self, Updates: g.updates()}})
+		out = append(out, Action{Target: m.Name, Address: m.Address, Probe: &wire.ProbeRequest{From: g.self, Updates: g.updates()}})
 	}
 	return append(out, g.compare(seeds)...)
 }
@@ -99,7 +99,7 @@
 
 // Probed takes the answer to an action; nil: none came. What it says of others goes to
 // Merge first.
-func (g *Group) Probed(now time.Duration, a Action, answer *wire.Probed) []Action {
+func (g *Group) Probed(now time.Duration, a Action, answer *wire.ProbeResponse) []Action {
 	g.now = now
 	if a.Target == "" {
 		return g.compared(a, answer)
@@ -120,7 +120,7 @@
 		var out []Action
 		for _, h := range g.drawHelpers(a.Target) {
 			out = append(out, Action{Target: m.Name, Helper: h.Name, Address: h.Address,
-				Probe: &wire.Probe{Target: m.Member, From: g.self, Updates: g.updates()}})
+				Probe: &wire.ProbeRequest{Target: m.Member, From: g.self, Updates: g.updates()}})
 		}
 		if m.asked = uint8(len(out)); m.asked > 0 {
 			return out
--- a/internal/cluster/membership/ranges.go
+++ b/internal/cluster/membership/ranges.go
@@ -101,20 +101,20 @@
 
 // Answer returns what goes back to a node that has sent a probe: updates, or what it needs to compare its view with this
 // one, where that is asked for and the two differ. What the probe says of others goes to Merge first.
-func (g *Group) Answer(p *wire.Probe) *wire.Probed {
-	if !p.Whole || p.Digest == g.Digest() {
-		return &wire.Probed{Updates: g.updates()}
+func (g *Group) Answer(p *wire.ProbeRequest) *wire.ProbeResponse {
+	if !p.FullView || p.Digest == g.Digest() {
+		return &wire.ProbeResponse{Updates: g.updates()}
 	}
 	if len(p.Differing) == 0 {
 		g.compareSoon()
 	}
 	switch {
 	case !validRanges(p.Ranges):
-		return &wire.Probed{Updates: g.wholeView()}
+		return &wire.ProbeResponse{Updates: g.wholeView()}
 	case len(p.Differing) == 0:
-		return &wire.Probed{Updates: g.updates(), RangeDigests: g.digestsOf(p.Ranges)}
+		return &wire.ProbeResponse{Updates: g.updates(), RangeDigests: g.digestsOf(p.Ranges)}
 	}
-	return &wire.Probed{Updates: append([]*wire.Member{g.self}, g.membersOf(p.Ranges, p.Differing)...)}
+	return &wire.ProbeResponse{Updates: append([]*wire.Member{g.self}, g.membersOf(p.Ranges, p.Differing)...)}
 }
 
 // wholeView is all that is known.
@@ -128,7 +128,7 @@
 
 // compared takes the answer to a comparison: where it brings digests of ranges, the members of those that differ are
 // asked for next, or the whole view, if most do.
-func (g *Group) compared(a Action, answer *wire.Probed) []Action {
+func (g *Group) compared(a Action, answer *wire.ProbeResponse) []Action {
 	n := a.Probe.Ranges
 	if answer == nil || !validRanges(n) || len(answer.RangeDigests) != int(n) {
 		return nil
@@ -152,7 +152,7 @@
 
 // comparison is the question that begins to compare views by so many ranges; 0: it asks for the whole view.
 func (g *Group) comparison(address string, ranges uint32) Action {
-	return Action{Address: address, Probe: &wire.Probe{From: g.self, Whole: true, Digest: g.Digest(), Ranges: ranges}}
+	return Action{Address: address, Probe: &wire.ProbeRequest{From: g.self, FullView: true, Digest: g.Digest(), Ranges: ranges}}
 }
 
 // shortestComparisonInterval bounds what comparisons cost while views change.
--- a/internal/cluster/membership/ranges_test.go
+++ b/internal/cluster/membership/ranges_test.go
@@ -104,7 +104,7 @@
 		members = append(members, &wire.Member{Name: name, Address: "10.200.100.100:7380", Zone: "some-zone", Generation: 1 << 50})
 	}
 	x, y := groupOf("x", members), groupOf("y", append(members, &wire.Member{Name: "another", Address: "another", Generation: 1}))
-	whole := proto.Size(y.Answer(&wire.Probe{Whole: true}))
+	whole := proto.Size(y.Answer(&wire.ProbeRequest{FullView: true}))
 	bytes, messages := compare(0, x, y)
 	if x.members["another"] == nil || messages != 4 || bytes > 12<<10 || whole < 50*bytes {
 		t.Errorf("known: %v, after %d messages of %d bytes; a whole view has %d", x.members["another"] != nil, messages, bytes, whole)
@@ -120,14 +120,14 @@
 func TestComparisonsAreBounded(t *testing.T) {
 	g := groupOf("x", []*wire.Member{{Name: "n", Address: "n", Generation: 1}})
 	for _, ranges := range []uint32{3, maxRanges * 2, 1 << 31} {
-		if a := g.Answer(&wire.Probe{Whole: true, Ranges: ranges, Differing: []uint32{1 << 30}}); len(a.Updates) != 2 || len(a.RangeDigests) > 0 {
+		if a := g.Answer(&wire.ProbeRequest{FullView: true, Ranges: ranges, Differing: []uint32{1 << 30}}); len(a.Updates) != 2 || len(a.RangeDigests) > 0 {
 			t.Errorf("%d ranges: %v", ranges, a)
 		}
 	}
-	if a := g.Answer(&wire.Probe{Whole: true, Ranges: 4, Differing: []uint32{4, 1 << 31}}); len(a.Updates) != 1 {
+	if a := g.Answer(&wire.ProbeRequest{FullView: true, Ranges: 4, Differing: []uint32{4, 1 << 31}}); len(a.Updates) != 1 {
 		t.Errorf("ranges that are not there: %v", a)
 	}
-	if more := g.Probed(0, g.comparison("y", 4), &wire.Probed{RangeDigests: make([]uint64, 5)}); more != nil {
+	if more := g.Probed(0, g.comparison("y", 4), &wire.ProbeResponse{RangeDigests: make([]uint64, 5)}); more != nil {
 		t.Errorf("an answer of another number of ranges: %v", more)
 	}
 }
--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	peers := &wire.Peers{Peers: []*wire.Peer{{Id: s.ID, Address: address, Control: control, Voter: true}}}
+	peers := &wire.Peers{Peers: []*wire.Peer{{Id: s.ID, Address: address, ControlAddress: control, Voter: true}}}
 	err = s.Save(store.Batch{
 		Snapshot: &wire.RaftSnapshot{Term: b.Term + 1, Index: b.Index + 1, Peers: peers, Data: data}, Whole: true,
 		Hard: &wire.HardState{Term: b.Term + 1},
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -27,13 +27,13 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	commands := []*wire.Command{{What: &wire.Command_Server{Server: &wire.Server{Member: "i-1", Service: "s", Node: "n"}}}}
+	commands := []*wire.Command{{Change: &wire.Command_Server{Server: &wire.Server{Member: "i-1", Service: "s", Node: "n"}}}}
 	for r := range revisions {
 		body, err := msgpack.Marshal(&meshconfig.Config{Revision: r + 1, Backends: []meshconfig.Backend{{Name: "s"}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		commands = append(commands, &wire.Command{What: &wire.Command_Config{Config: &wire.PutConfig{Base: r, Body: body}}})
+		commands = append(commands, &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: r, Body: body}}})
 	}
 	var entries []*wire.Entry
 	for i, c := range commands {
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -74,21 +74,21 @@
 
 // encode puts the memory into a snapshot.
 func (a *acceptedChanges) encode(s *wire.Snapshot) {
-	s.Taken = make([]*wire.Taken, len(a.newest))
+	s.Accepted = make([]*wire.AcceptedConfig, len(a.newest))
 	for i := range a.newest {
-		s.Taken[i] = &wire.Taken{Revision: a.newest[i].revision, Hash: a.newest[i].digest[:]}
+		s.Accepted[i] = &wire.AcceptedConfig{Revision: a.newest[i].revision, Hash: a.newest[i].digest[:]}
 	}
-	s.Forgotten = &a.forgotten
+	s.ForgottenRevision = &a.forgotten
 }
 
 // decode replaces the memory by that of a snapshot.
 func (a *acceptedChanges) decode(s *wire.Snapshot) {
-	a.newest, a.forgotten = make([]Change, len(s.GetTaken())), s.GetForgotten()
-	for i, t := range s.GetTaken() {
+	a.newest, a.forgotten = make([]Change, len(s.GetAccepted())), s.GetForgottenRevision()
+	for i, t := range s.GetAccepted() {
 		a.newest[i].revision = t.Revision
 		copy(a.newest[i].digest[:], t.Hash)
 	}
-	if s.Forgotten == nil && len(a.newest) >= maxAcceptedBefore { // there may have been others
+	if s.ForgottenRevision == nil && len(a.newest) >= maxAcceptedBefore { // there may have been others
 		a.forgotten = a.newest[0].revision - 1
 	}
 }
--- a/internal/controlplane/catalog/accepted_test.go
+++ b/internal/controlplane/catalog/accepted_test.go
@@ -75,7 +75,7 @@
 	for _, kept := range []int{maxAcceptedBefore, maxAcceptedBefore - 1} {
 		s := &wire.Snapshot{State: &wire.State{Config: config(t, 9000, nil)}}
 		for i := range kept {
-			s.Taken = append(s.Taken, &wire.Taken{Revision: uint64(5000 + i), Hash: make([]byte, 32)})
+			s.Accepted = append(s.Accepted, &wire.AcceptedConfig{Revision: uint64(5000 + i), Hash: make([]byte, 32)})
 		}
 		data, err := proto.Marshal(s)
 		if err != nil {
--- a/internal/controlplane/catalog/bench_test.go
+++ b/internal/controlplane/catalog/bench_test.go
@@ -36,8 +36,8 @@
 	b.Helper()
 	c := New()
 	for i := range 28000 {
-		s := &wire.Server{Member: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s", i%routes), Node: fmt.Sprint("node-", i), Address: "10.1.2.3:7380", Zone: "zone-a", Slots: 12, Speaks: 1}
-		c.Apply(&wire.Command{What: &wire.Command_Server{Server: s}})
+		s := &wire.Server{Member: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s", i%routes), Node: fmt.Sprint("node-", i), Address: "10.1.2.3:7380", Zone: "zone-a", Slots: 12, ProtocolVersion: 1}
+		c.Apply(&wire.Command{Change: &wire.Command_Server{Server: s}})
 	}
 	if _, err := c.Apply(put(0, largeBody(b, routes, 1))); err != nil {
 		b.Fatal(err)
--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -86,7 +86,7 @@
 
 // resources carries a command out on all but the view.
 func (c *Catalog) resources(index uint64, cmd *wire.Command) (changed []*wire.Resource, err error) {
-	switch what := cmd.What.(type) {
+	switch what := cmd.Change.(type) {
 	case *wire.Command_Config:
 		accepted, err := c.judge(what.Config)
 		if accepted == nil || err != nil {
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -31,7 +31,7 @@
 }
 
 func put(base uint64, body []byte) *wire.Command {
-	return &wire.Command{What: &wire.Command_Config{Config: &wire.PutConfig{Base: base, Body: body}}}
+	return &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: base, Body: body}}}
 }
 
 func TestVerdictsOnConfigurations(t *testing.T) {
@@ -92,7 +92,7 @@
 	body := config(t, 3, nil)
 	c.Apply(put(0, body))
 	srv := &wire.Server{Member: "i-1", Service: "s", Node: "n", Slots: 4}
-	c.Apply(&wire.Command{What: &wire.Command_Server{Server: srv}})
+	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: srv}})
 	data, err := c.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/catalog/image_test.go
+++ b/internal/controlplane/catalog/image_test.go
@@ -19,10 +19,10 @@
 		}
 	}
 	server := func(name, node string) *wire.Command {
-		return &wire.Command{What: &wire.Command_Server{Server: &wire.Server{Member: name, Service: "s", Node: node}}}
+		return &wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: name, Service: "s", Node: node}}}
 	}
 	remove := func(names ...string) *wire.Command {
-		return &wire.Command{What: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: names}}}
+		return &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: names}}}
 	}
 	if data, err := c.Image().Encode(); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/catalog/judge.go
+++ b/internal/controlplane/catalog/judge.go
@@ -42,7 +42,7 @@
 			put = &wire.PutConfig{Base: base, Delta: delta, Revision: config.Revision, Hash: hash[:]}
 		}
 	}
-	return &wire.Command{What: &wire.Command_Config{Config: put}}
+	return &wire.Command{Change: &wire.Command_Config{Config: put}}
 }
 
 // judge decides on a configuration. It returns neither a configuration nor an
--- a/internal/controlplane/catalog/local.go
+++ b/internal/controlplane/catalog/local.go
@@ -23,7 +23,7 @@
 	if c == nil {
 		return
 	}
-	if c.Whole || l.servers == nil {
+	if c.Full || l.servers == nil {
 		l.servers = map[string]*wire.Server{}
 	}
 	for _, r := range c.Resources {
--- a/internal/controlplane/catalog/search_test.go
+++ b/internal/controlplane/catalog/search_test.go
@@ -72,11 +72,11 @@
 			for i := range batch {
 				name := fmt.Sprint("server-", round%5, "-", i)
 				names = append(names, name)
-				if _, err := source.Apply(&wire.Command{What: &wire.Command_Server{Server: &wire.Server{Member: name, Node: "n"}}}); err != nil {
+				if _, err := source.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: name, Node: "n"}}}); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if _, err := source.Apply(&wire.Command{What: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: names[rng.IntN(batch):]}}}); err != nil {
+			if _, err := source.Apply(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: names[rng.IntN(batch):]}}}); err != nil {
 				t.Fatal(err)
 			}
 			if rng.IntN(6) == 0 {
@@ -107,7 +107,7 @@
 					continue
 				}
 				sent := source.view.Changes(child.Index())
-				if sent.GetWhole() && child.Index() > 0 {
+				if sent.GetFull() && child.Index() > 0 {
 					wholes++
 				}
 				if sent != nil && !child.Apply(sent) || content(child) != content(source.view) {
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -77,7 +77,7 @@
 // changesOf returns a snapshot's state as changes. In one of an earlier version nothing has an index: all of it counts as
 // changed by the latest update, and nothing is known of what was removed.
 func changesOf(s *wire.State, config *meshconfig.Config) *wire.Changes {
-	c := &wire.Changes{To: s.Index, Whole: true, Floor: s.Floor, Resources: s.Removed}
+	c := &wire.Changes{To: s.Index, Full: true, Floor: s.Floor, Resources: s.Removed}
 	indexOf := func(indexes []uint64, i int) uint64 {
 		if i < len(indexes) {
 			return indexes[i]
--- a/internal/controlplane/catalog/view.go
+++ b/internal/controlplane/catalog/view.go
@@ -55,7 +55,7 @@
 	switch {
 	case c.To <= v.index:
 		return true
-	case c.Whole:
+	case c.Full:
 		*v = *NewView()
 		v.floor = c.Floor
 	case c.From != v.index:
@@ -124,7 +124,7 @@
 	}
 	c := &wire.Changes{From: since, To: v.index}
 	if since < v.floor || since == 0 {
-		c.Whole, c.From, c.Floor = true, 0, v.floor
+		c.Full, c.From, c.Floor = true, 0, v.floor
 		c.Resources = make([]*wire.Resource, 0, len(v.entries))
 	}
 	for e := v.order.prev; e != v.order && e.resource.Index > c.From; e = e.prev {
@@ -141,17 +141,17 @@
 	}
 	base := v.config
 	c := v.Changes(v.configAt)
-	if c.Whole {
+	if c.Full {
 		base = nil
 	}
 	v.configAt = v.index
 	changed := slices.DeleteFunc(c.Resources, func(r *wire.Resource) bool {
 		k, removed := keyOf(r)
-		return !k.ofConfig() || c.Whole && removed
+		return !k.ofConfig() || c.Full && removed
 	})
 	if len(changed) > 0 {
 		v.config = base.Apply(patchOf(changed))
-	} else if c.Whole {
+	} else if c.Full {
 		v.config = nil
 	}
 	return v.config
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -35,10 +35,10 @@
 	switch o.rng.IntN(5) {
 	case 0, 1:
 		s := &wire.Server{Member: fmt.Sprint("i", o.rng.IntN(40)), Service: "s0", Node: fmt.Sprint("n", o.rng.IntN(9)), Slots: uint32(o.rng.IntN(9))}
-		return &wire.Command{What: &wire.Command_Server{Server: s}}, 1
+		return &wire.Command{Change: &wire.Command_Server{Server: s}}, 1
 	case 2:
 		gone := []string{fmt.Sprint("i", o.rng.IntN(40)), fmt.Sprint("i", o.rng.IntN(40))}
-		return &wire.Command{What: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}}, 2
+		return &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}}, 2
 	}
 	base, touched := o.config.Revision, 1
 	o.config.Revision += 1 + uint64(o.rng.IntN(3))
@@ -219,7 +219,7 @@
 		t.Errorf("at %d: %v", v.Index(), v.Server("i"))
 	}
 	old := server(0, 2, 2)
-	old.Whole = true
+	old.Full = true
 	if !v.Apply(old) || v.Server("i").Slots != 3 {
 		t.Error("an older state was taken")
 	}
@@ -248,14 +248,14 @@
 	apply(serverResource(source.Index()+1, &wire.Server{Member: "last"}))
 	for name, child := range map[string]*View{"early": early, "late": late} {
 		sent := source.Changes(child.Index())
-		if sent.Whole != (name == "early") || !child.Apply(sent) || content(child) != content(source) || child.ServerCount() != 1 {
-			t.Errorf("the %s child got a whole state: %v, and has %d servers", name, sent.Whole, child.ServerCount())
+		if sent.Full != (name == "early") || !child.Apply(sent) || content(child) != content(source) || child.ServerCount() != 1 {
+			t.Errorf("the %s child got a whole state: %v, and has %d servers", name, sent.Full, child.ServerCount())
 		}
 	}
 	advanced := NewView()
 	advanced.Apply(source.Changes(0))
 	advanced.Advance(100)
-	if c := advanced.Changes(source.Index()); !c.Whole || c.To != source.Index()+100 {
+	if c := advanced.Changes(source.Index()); !c.Full || c.To != source.Index()+100 {
 		t.Errorf("after a restore a node is sent %v", c)
 	}
 }
@@ -264,11 +264,11 @@
 // would not.
 func TestSnapshotsKeepWhatIsForgotten(t *testing.T) {
 	c := New()
-	c.Apply(&wire.Command{What: &wire.Command_Server{Server: &wire.Server{Member: "i"}}})
+	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: "i"}}})
 	c.Apply(put(0, config(t, 3, nil)))
-	c.Apply(&wire.Command{What: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: []string{"i"}}}})
+	c.Apply(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: []string{"i"}}}})
 	c.Advance(10)
-	c.Apply(&wire.Command{What: &wire.Command_Server{Server: &wire.Server{Member: "j"}}})
+	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: "j"}}})
 	d := New()
 	data, err := c.Snapshot()
 	if err = joinRestore(d, data, err); err != nil {
@@ -279,7 +279,7 @@
 			t.Errorf("since %d: %v, want %v", since, got, want)
 		}
 	}
-	if c.view.Changes(12).GetWhole() != true || c.view.Changes(13).GetWhole() {
+	if c.view.Changes(12).GetFull() != true || c.view.Changes(13).GetFull() {
 		t.Errorf("a new history begins with %v", c.view.Changes(13))
 	}
 }
@@ -295,7 +295,7 @@
 	if err := c.Restore(data); err != nil || c.Index() != 40 || c.Revision() != 3 || len(c.Servers()) != 1 || !bytes.Equal(c.Body(), body) {
 		t.Fatalf("at %d: %v", c.Index(), err)
 	}
-	if sent := c.view.Changes(39); !sent.Whole {
+	if sent := c.view.Changes(39); !sent.Full {
 		t.Error("a difference is made up from what has no indexes")
 	}
 }
--- a/internal/controlplane/raft/contact.go
+++ b/internal/controlplane/raft/contact.go
@@ -44,11 +44,11 @@
 // sender's clock. The leader returns the newest stamp that it has from the receiver, with the time by which the quorum's
 // contact is older than the receipt of that stamp. Both moments are the leader's, and in the past: nothing that delays
 // the message changes what it says.
-func (c *Node) stampMessage(m *wire.Raft) {
+func (c *Node) stampMessage(m *wire.RaftMessage) {
 	switch m.Kind {
-	case wire.Raft_APPENDED:
+	case wire.RaftMessage_APPEND_ENTRIES_RESPONSE:
 		m.Stamp = &wire.Stamp{Process: c.process, AtNs: uint64(max(0, c.now))}
-	case wire.Raft_APPEND, wire.Raft_SNAPSHOT:
+	case wire.RaftMessage_APPEND_ENTRIES, wire.RaftMessage_INSTALL_SNAPSHOT:
 		p := c.progress[m.To]
 		if p == nil || p.stamp == nil || !c.committedInTerm() {
 			return
@@ -69,7 +69,7 @@
 // learnContact takes the quorum's contact from a leader's message that has been carried out. The stamp was sent before
 // the leader received it, so the contact was at the stamp's time less the given age, or later. It speaks of the state
 // that the leader had committed, and counts only once all of that is committed here.
-func (c *Node) learnContact(m *wire.Raft) {
+func (c *Node) learnContact(m *wire.RaftMessage) {
 	s := m.Stamp
 	if s == nil || s.Process != c.process || time.Duration(s.AtNs) > c.now || c.commit < m.Commit {
 		return
--- a/internal/controlplane/raft/contact_test.go
+++ b/internal/controlplane/raft/contact_test.go
@@ -25,7 +25,7 @@
 		{"a state that is behind the leader's", &wire.Stamp{Process: process, AtNs: uint64(7 * time.Second)}, 0, 2, MaxContactAge},
 	} {
 		follower := New(1, &wire.HardState{Term: 1}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: voters(3)}, nil, process, now)
-		follower.Step(now, &wire.Raft{Kind: wire.Raft_APPEND, From: 2, To: 1, Term: 1, Index: 1, LogTerm: 1, Commit: c.commit,
+		follower.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: 1, Index: 1, LogTerm: 1, Commit: c.commit,
 			Stamp: c.stamp, ContactAgeNs: uint64(c.age)})
 		if got := follower.QuorumContactAge(now); got != c.want {
 			t.Errorf("%s: the state is %v old, want %v", c.name, got, c.want)
@@ -38,11 +38,11 @@
 func TestLeadersReturnTheNewestStamp(t *testing.T) {
 	leader := leading(t)
 	now := lateNow
-	last := func() *wire.Raft {
+	last := func() *wire.RaftMessage {
 		leader.Tick(now)
-		var found *wire.Raft
+		var found *wire.RaftMessage
 		for _, m := range settle(leader).Messages {
-			if m.Kind == wire.Raft_APPEND && m.To == 2 {
+			if m.Kind == wire.RaftMessage_APPEND_ENTRIES && m.To == 2 {
 				found = m
 			}
 		}
@@ -53,7 +53,7 @@
 		t.Fatalf("%v before anything is committed", m)
 	}
 	answer := func(at uint64) {
-		leader.Step(now, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: 3, Round: leader.round, Stamp: &wire.Stamp{Process: 9, AtNs: at}})
+		leader.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: leader.round, Stamp: &wire.Stamp{Process: 9, AtNs: at}})
 		settle(leader)
 	}
 	now += 30 * time.Millisecond
--- a/internal/controlplane/raft/election.go
+++ b/internal/controlplane/raft/election.go
@@ -110,7 +110,7 @@
 	}
 	for _, p := range c.Peers() {
 		if p.Voter && p.Id != c.id {
-			c.send(&wire.Raft{Kind: wire.Raft_VOTE, To: p.Id, Term: term, Index: c.last(), LogTerm: c.lastTerm(), Pre: pre, Handed: handed})
+			c.send(&wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE, To: p.Id, Term: term, Index: c.last(), LogTerm: c.lastTerm(), PreVote: pre, LeadershipTransfer: handed})
 		}
 	}
 	c.countVotes()
@@ -142,7 +142,7 @@
 	clear(c.departing)
 	c.catchUp = catchUp{}
 	// Only an entry of the own term may be committed by count.
-	c.append(&wire.Entry{Term: c.hard.Term, Index: c.last() + 1, Kind: wire.Entry_BLANK})
+	c.append(&wire.Entry{Term: c.hard.Term, Index: c.last() + 1, Kind: wire.Entry_NO_OP})
 	c.trackPeers()
 	c.broadcastHeartbeat()
 }
--- a/internal/controlplane/raft/election_test.go
+++ b/internal/controlplane/raft/election_test.go
@@ -12,7 +12,7 @@
 	peers.Peers = append(peers.Peers, &wire.Peer{Id: 4})
 	for _, id := range []uint64{1, 4} {
 		member := New(id, &wire.HardState{Term: 1}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers}, nil, 1, lateNow)
-		member.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPEND, From: 2, To: id, Term: 1, Index: 1, LogTerm: 1, Commit: 1})
+		member.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: id, Term: 1, Index: 1, LogTerm: 1, Commit: 1})
 		if member.Leader() != 2 {
 			t.Fatalf("member %d: %d leads", id, member.Leader())
 		}
--- a/internal/controlplane/raft/handover.go
+++ b/internal/controlplane/raft/handover.go
@@ -71,6 +71,6 @@
 // handOver tells the transfer target to lead, once it has everything.
 func (c *Node) handOver(id uint64) {
 	if p := c.progress[id]; id != 0 && id == c.transferTarget && p != nil && p.match == c.last() {
-		c.send(&wire.Raft{Kind: wire.Raft_HANDOVER, To: id})
+		c.send(&wire.RaftMessage{Kind: wire.RaftMessage_TIMEOUT_NOW, To: id})
 	}
 }
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -47,7 +47,7 @@
 type leaseMessage struct {
 	arrives time.Duration
 	from    int
-	raft    *wire.Raft
+	raft    *wire.RaftMessage
 }
 
 // acknowledgement is a change that an operator was told is in force.
@@ -166,7 +166,7 @@
 }
 
 // send puts a message on its link, which keeps the order.
-func (w *leaseWorld) send(from *leaseMember, message *wire.Raft) {
+func (w *leaseWorld) send(from *leaseMember, message *wire.RaftMessage) {
 	to := w.members[message.To-1]
 	link := [2]int{from.number, to.number}
 	arrives := w.now + w.span(time.Millisecond, 10*time.Millisecond)
@@ -213,7 +213,7 @@
 	})
 	for _, x := range due {
 		m.node.Step(w.clock(m), x.raft)
-		if x.raft.Kind == wire.Raft_APPEND || x.raft.Kind == wire.Raft_SNAPSHOT {
+		if x.raft.Kind == wire.RaftMessage_APPEND_ENTRIES || x.raft.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
 			m.heard[x.raft.From] = w.now
 		}
 		w.settle(m)
--- a/internal/controlplane/raft/leave.go
+++ b/internal/controlplane/raft/leave.go
@@ -71,24 +71,24 @@
 func (c *Node) LastEntry() (index, term uint64) { return c.last(), c.lastTerm() }
 
 // staleRefusal says why a message of an older term was refused.
-func (c *Node) staleRefusal(from uint64) wire.Raft_Refusal {
+func (c *Node) staleRefusal(from uint64) wire.RaftMessage_Refusal {
 	if !c.isMember(from) && len(c.Peers()) > 0 {
-		return wire.Raft_NOT_MEMBER
+		return wire.RaftMessage_NOT_MEMBER
 	}
-	return wire.Raft_STALE_TERM
+	return wire.RaftMessage_STALE_TERM
 }
 
 // refusal says why a vote was refused, or none of it; see wire.Raft_Refusal.
-func (c *Node) refusal(m *wire.Raft, heard, current bool) wire.Raft_Refusal {
+func (c *Node) refusal(m *wire.RaftMessage, heard, current bool) wire.RaftMessage_Refusal {
 	switch {
 	case !c.isMember(m.From) && len(c.Peers()) > 0:
-		return wire.Raft_NOT_MEMBER
+		return wire.RaftMessage_NOT_MEMBER
 	case m.Term < c.hard.Term:
-		return wire.Raft_STALE_TERM
+		return wire.RaftMessage_STALE_TERM
 	case heard:
-		return wire.Raft_LEADER_ALIVE
+		return wire.RaftMessage_LEADER_ALIVE
 	case !current:
-		return wire.Raft_STALE_LOG
+		return wire.RaftMessage_STALE_LOG
 	}
-	return wire.Raft_VOTE_GIVEN
+	return wire.RaftMessage_ALREADY_VOTED
 }
--- a/internal/controlplane/raft/log.go
+++ b/internal/controlplane/raft/log.go
@@ -53,7 +53,7 @@
 }
 
 func (c *Node) trackMembership(e *wire.Entry) {
-	if e.Kind != wire.Entry_PEERS {
+	if e.Kind != wire.Entry_MEMBERSHIP {
 		return
 	}
 	var peers wire.Peers
--- a/internal/controlplane/raft/membership.go
+++ b/internal/controlplane/raft/membership.go
@@ -219,7 +219,7 @@
 		return MembershipChange{}
 	}
 	next := slices.Clone(peers)
-	next[i] = &wire.Peer{Id: p.Id, Address: p.Address, Control: p.Control, Voter: true}
+	next[i] = &wire.Peer{Id: p.Id, Address: p.Address, ControlAddress: p.ControlAddress, Voter: true}
 	return MembershipChange{Next: next, Peer: p, Event: MemberPromoted}
 }
 
@@ -295,14 +295,14 @@
 	peers := c.Peers()
 	i := peerIndex(peers, p.Id)
 	if i < 0 {
-		next := append(slices.Clone(peers), &wire.Peer{Id: p.Id, Address: p.Address, Control: p.Control})
+		next := append(slices.Clone(peers), &wire.Peer{Id: p.Id, Address: p.Address, ControlAddress: p.ControlAddress})
 		return MembershipChange{Next: next, Peer: p, Event: MemberAdded}, false
 	}
-	if peers[i].Address == p.Address && peers[i].Control == p.Control && !superseded(peers[i], peers) {
+	if peers[i].Address == p.Address && peers[i].ControlAddress == p.ControlAddress && !superseded(peers[i], peers) {
 		return MembershipChange{}, true
 	}
 	moved := proto.CloneOf(peers[i])
-	moved.Address, moved.Control = p.Address, p.Control
+	moved.Address, moved.ControlAddress = p.Address, p.ControlAddress
 	return MembershipChange{Next: append(without(peers, i), moved), Peer: p, Event: MemberMoved}, false
 }
 
--- a/internal/controlplane/raft/membership_manager.go
+++ b/internal/controlplane/raft/membership_manager.go
@@ -83,7 +83,7 @@
 		return true
 	}
 	own := c.Peers()[place]
-	if own.Address != self.Address || own.Control != self.Control {
+	if own.Address != self.Address || own.ControlAddress != self.ControlAddress {
 		return true
 	}
 	return now-max(c.startedAt, c.leaderContactAt, c.quorumContactAt) > noLeaderFor
@@ -121,7 +121,7 @@
 
 // Answered takes the answer of a process that was asked. It returns the leader's address if that is to be asked at once,
 // else nothing.
-func (m *MembershipManager) Answered(answer *wire.JoinedCore) string {
+func (m *MembershipManager) Answered(answer *wire.JoinResponse) string {
 	if answer.Member || answer.Leader == "" || m.leaving {
 		return ""
 	}
@@ -134,27 +134,27 @@
 }
 
 // Join answers a process that asks to be a member: it returns the change that a leader has to propose, if any.
-func (m *MembershipManager) Join(now time.Duration, p *wire.Peer) (MembershipChange, *wire.JoinedCore) {
+func (m *MembershipManager) Join(now time.Duration, p *wire.Peer) (MembershipChange, *wire.JoinResponse) {
 	c := m.node
 	if !c.Leads() {
-		return MembershipChange{}, &wire.JoinedCore{Leader: c.leaderAddress()}
+		return MembershipChange{}, &wire.JoinResponse{Leader: c.leaderAddress()}
 	}
 	c.now = now
 	delete(c.departing, p.Id) // it has come back
 	change, member := c.Joining(p)
-	return change, &wire.JoinedCore{Member: member}
+	return change, &wire.JoinResponse{Member: member}
 }
 
 // Leave begins the planned end of this process: it asks for membership no more.
 func (m *MembershipManager) Leave() { m.leaving = true }
 
 // Departing answers a member that is about to end.
-func (m *MembershipManager) Departing(now time.Duration, q *wire.LeaveCore, wanted int) *wire.LeftCore {
+func (m *MembershipManager) Departing(now time.Duration, q *wire.LeaveRequest, wanted int) *wire.LeaveResponse {
 	d, ok := m.node.Depart(now, q.Id, q.Index, q.LogTerm, wanted)
 	if !ok {
-		return &wire.LeftCore{Leader: m.node.leaderAddress()}
+		return &wire.LeaveResponse{Leader: m.node.leaderAddress()}
 	}
-	return &wire.LeftCore{Held: d.Held, Removed: d.Removed, Stays: d.Stays}
+	return &wire.LeaveResponse{Replicated: d.Held, Removed: d.Removed, KeepsVote: d.Stays}
 }
 
 // leaderAddress is the leader's, as this node knows it; empty: it knows none.
--- a/internal/controlplane/raft/membership_test.go
+++ b/internal/controlplane/raft/membership_test.go
@@ -12,7 +12,7 @@
 // answering brings the answers of members of a leader of term 4 up to its last entry, at a time.
 func answering(c *Node, now time.Duration, ids ...uint64) {
 	for _, id := range ids {
-		c.Step(now, &wire.Raft{Kind: wire.Raft_APPENDED, From: id, To: c.ID(), Term: c.Term(), Index: c.last(), Round: c.round})
+		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: c.ID(), Term: c.Term(), Index: c.last(), HeartbeatRound: c.round})
 		settle(c)
 	}
 }
@@ -25,7 +25,7 @@
 	settle(c)
 	for _, pre := range []bool{true, false} {
 		for id := 2; id <= n; id++ {
-			c.Step(lateNow, &wire.Raft{Kind: wire.Raft_VOTED, From: uint64(id), To: 1, Term: 4, Pre: pre})
+			c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: uint64(id), To: 1, Term: 4, PreVote: pre})
 			settle(c)
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	for range 3 { // it is one entry behind at each moment
 		before := propose()
-		c.Step(now, &wire.Raft{Kind: wire.Raft_APPENDED, From: 9, To: 1, Term: 4, Index: before, Round: c.round})
+		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 9, To: 1, Term: 4, Index: before, HeartbeatRound: c.round})
 		settle(c)
 		change = c.Reconcile(3)
 	}
@@ -266,11 +266,11 @@
 	c := leadingOf(t, 3, 2, 3)
 	for _, r := range []struct {
 		from, term uint64
-		want       wire.Raft_Refusal
-	}{{9, 9, wire.Raft_NOT_MEMBER}, {2, 3, wire.Raft_STALE_TERM}, {2, 9, wire.Raft_LEADER_ALIVE}} {
-		c.Step(c.now, &wire.Raft{Kind: wire.Raft_VOTE, From: r.from, To: 1, Term: r.term, Pre: true})
+		want       wire.RaftMessage_Refusal
+	}{{9, 9, wire.RaftMessage_NOT_MEMBER}, {2, 3, wire.RaftMessage_STALE_TERM}, {2, 9, wire.RaftMessage_LEADER_ALIVE}} {
+		c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE, From: r.from, To: 1, Term: r.term, PreVote: true})
 		for _, m := range settle(c).Messages {
-			if m.Kind == wire.Raft_VOTED && (m.Refusal != r.want || !m.Reject) {
+			if m.Kind == wire.RaftMessage_REQUEST_VOTE_RESPONSE && (m.Refusal != r.want || !m.Reject) {
 				t.Errorf("%d in term %d: %v, want %v", r.from, r.term, m.Refusal, r.want)
 			}
 		}
@@ -282,7 +282,7 @@
 	if a := manager.Tick(0, self, 3, nobody); len(a.Ask) != 0 {
 		t.Errorf("it asks %v before it knows of anything", a.Ask)
 	}
-	asker.Step(0, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 9, Term: 4, Pre: true, Reject: true, Refusal: wire.Raft_NOT_MEMBER})
+	asker.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 9, Term: 4, PreVote: true, Reject: true, Refusal: wire.RaftMessage_NOT_MEMBER})
 	if a := manager.Tick(0, self, 3, nobody); fmt.Sprint(a.Ask) != "[two]" {
 		t.Errorf("once it has been told, it asks %v", a.Ask)
 	}
--- a/internal/controlplane/raft/membership_world_test.go
+++ b/internal/controlplane/raft/membership_world_test.go
@@ -278,11 +278,11 @@
 	}
 	node := p.node
 	index, term := node.LastEntry()
-	request := &wire.LeaveCore{Id: p.disk.ID, Index: index, LogTerm: term}
+	request := &wire.LeaveRequest{Id: p.disk.ID, Index: index, LogTerm: term}
 	w.carry(p, w.at(node.leaderAddress()), func(to *process) {
 		answer := to.manager.Departing(w.now, request, w.wanted)
 		w.carry(to, p, func(*process) {
-			if p.node == node && (Departure{Held: answer.Held, Removed: answer.Removed, Stays: answer.Stays}).Done() {
+			if p.node == node && (Departure{Held: answer.Replicated, Removed: answer.Removed, Stays: answer.KeepsVote}).Done() {
 				w.stop(p)
 			}
 		})
@@ -313,7 +313,7 @@
 	}
 }
 
-func (w *membershipWorld) send(p *process, m *wire.Raft) {
+func (w *membershipWorld) send(p *process, m *wire.RaftMessage) {
 	address := p.heard[m.To]
 	if i := peerIndex(p.node.Peers(), m.To); i >= 0 {
 		address = p.node.Peers()[i].Address
--- a/internal/controlplane/raft/raft.go
+++ b/internal/controlplane/raft/raft.go
@@ -63,7 +63,7 @@
 	Snapshot  *wire.RaftSnapshot
 	Hard      *wire.HardState
 	Entries   []*wire.Entry
-	Messages  []*wire.Raft
+	Messages  []*wire.RaftMessage
 	Committed []*wire.Entry
 	Reads     []Read
 }
@@ -177,7 +177,7 @@
 // Settled tells whether the newest change of members is committed.
 func (c *Node) Settled() bool { return c.memberships[len(c.memberships)-1].index <= c.commit }
 
-func (c *Node) send(m *wire.Raft) {
+func (c *Node) send(m *wire.RaftMessage) {
 	m.From, m.Term = c.id, cmp.Or(m.Term, c.hard.Term)
 	c.stampMessage(m)
 	c.out.Messages = append(c.out.Messages, m)
@@ -205,7 +205,7 @@
 	if err != nil {
 		return err
 	}
-	c.append(&wire.Entry{Term: c.hard.Term, Index: c.last() + 1, Kind: wire.Entry_PEERS, Data: data})
+	c.append(&wire.Entry{Term: c.hard.Term, Index: c.last() + 1, Kind: wire.Entry_MEMBERSHIP, Data: data})
 	c.trackPeers()
 	c.replicateAll()
 	return nil
--- a/internal/controlplane/raft/raft_test.go
+++ b/internal/controlplane/raft/raft_test.go
@@ -12,7 +12,7 @@
 func TestOlderTermsAreNotCommittedByCount(t *testing.T) {
 	peers := &wire.Peers{Peers: []*wire.Peer{{Id: 1, Voter: true}, {Id: 2, Voter: true}, {Id: 3, Voter: true}}}
 	c := New(1, &wire.HardState{Term: 3}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers},
-		[]*wire.Entry{{Term: 2, Index: 2, Kind: wire.Entry_BLANK}}, 1, 0)
+		[]*wire.Entry{{Term: 2, Index: 2, Kind: wire.Entry_NO_OP}}, 1, 0)
 	now := 2 * time.Second
 	settle := func() {
 		for o := c.Take(); !o.Empty(); o = c.Take() {
@@ -23,15 +23,15 @@
 	}
 	c.Tick(now)
 	settle()
-	c.Step(now, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 1, Term: 4, Pre: true})
+	c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 4, PreVote: true})
 	settle()
-	c.Step(now, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 1, Term: 4})
+	c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 4})
 	settle()
 	if !c.Leads() || c.Term() != 4 {
 		t.Fatalf("leads %v in term %d", c.Leads(), c.Term())
 	}
 	for _, step := range []struct{ acked, commit uint64 }{{2, 1}, {3, 3}} {
-		c.Step(now, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: step.acked})
+		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: step.acked})
 		settle()
 		if c.Commit() != step.commit {
 			t.Errorf("with entry %d on a majority, %d is committed, want %d", step.acked, c.Commit(), step.commit)
@@ -69,16 +69,16 @@
 	peers := &wire.Peers{Peers: []*wire.Peer{{Id: 1, Voter: true}, {Id: 2, Voter: true}, {Id: 3, Voter: true}}}
 	c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers}, nil, 1, 0)
 	entries := []*wire.Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
-	c.Step(0, &wire.Raft{Kind: wire.Raft_APPEND, From: 2, To: 1, Term: 2, Index: 1, LogTerm: 1, Entries: entries, Commit: 2})
+	c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: 2, Index: 1, LogTerm: 1, Entries: entries, Commit: 2})
 	c.Take()
 	snap := &wire.RaftSnapshot{Term: 2, Index: 3, Peers: peers}
-	c.Step(0, &wire.Raft{Kind: wire.Raft_SNAPSHOT, From: 2, To: 1, Term: 2, Snapshot: snap, Commit: 3})
+	c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, From: 2, To: 1, Term: 2, Snapshot: snap, Commit: 3})
 	o := c.Take()
 	if o.Snapshot != nil || c.last() != 4 || c.Commit() != 3 || len(o.Committed) != 1 || o.Committed[0].Index != 3 {
 		t.Errorf("last %d, committed %d, handed out %v and snapshot %v", c.last(), c.Commit(), o.Committed, o.Snapshot)
 	}
 	// One whose end the log does not have as it is replaces all.
-	c.Step(0, &wire.Raft{Kind: wire.Raft_SNAPSHOT, From: 2, To: 1, Term: 3, Snapshot: &wire.RaftSnapshot{Term: 3, Index: 4, Peers: peers}})
+	c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, From: 2, To: 1, Term: 3, Snapshot: &wire.RaftSnapshot{Term: 3, Index: 4, Peers: peers}})
 	if o := c.Take(); o.Snapshot == nil || c.last() != 4 || c.Commit() != 4 || c.Backlog() != 0 {
 		t.Errorf("last %d, committed %d, %d entries", c.last(), c.Commit(), c.Backlog())
 	}
@@ -134,7 +134,7 @@
 	c.Tick(lateNow)
 	settle(c)
 	for _, pre := range []bool{true, false} {
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 1, Term: 4, Pre: pre})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 4, PreVote: pre})
 		settle(c)
 	}
 	if _, _, err := c.Propose(lateNow, []byte("x")); err != nil || !c.Leads() {
@@ -149,7 +149,7 @@
 func TestLateWordsCountForNothing(t *testing.T) {
 	handovers := func(o Output) (to []uint64) {
 		for _, m := range o.Messages {
-			if m.Kind == wire.Raft_HANDOVER {
+			if m.Kind == wire.RaftMessage_TIMEOUT_NOW {
 				to = append(to, m.To)
 			}
 		}
@@ -157,7 +157,7 @@
 	}
 	t.Run("answers of an earlier term", func(t *testing.T) {
 		c := leading(t)
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 3, Index: 3})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 3, Index: 3})
 		if settle(c); c.Commit() != 1 {
 			t.Errorf("%d is committed", c.Commit())
 		}
@@ -166,9 +166,9 @@
 		c := New(1, &wire.HardState{Term: 3}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: voters(3)}, nil, 1, 0)
 		c.Tick(lateNow)
 		settle(c)
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 1, Term: 4, Pre: true})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 4, PreVote: true})
 		settle(c)
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 1, Term: 3})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 3})
 		if settle(c); c.Leads() || c.Term() != 4 {
 			t.Errorf("leads %v in term %d", c.Leads(), c.Term())
 		}
@@ -179,7 +179,7 @@
 		settle(c)
 		for from, pre := range []bool{2: true, 3: true, 4: false} {
 			if from >= 2 {
-				c.Step(lateNow, &wire.Raft{Kind: wire.Raft_VOTED, From: uint64(from), To: 1, Term: 4, Pre: pre})
+				c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: uint64(from), To: 1, Term: 4, PreVote: pre})
 				settle(c)
 			}
 		}
@@ -189,13 +189,13 @@
 	})
 	t.Run("rounds of contact from before a read", func(t *testing.T) {
 		c := leading(t)
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: 3, Round: c.round})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.round})
 		settle(c)
 		c.Read(lateNow, 7)
 		before := settle(c)
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: 3, Round: c.round - 1})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.round - 1})
 		before.Reads = append(before.Reads, settle(c).Reads...)
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: 3, Round: c.round})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.round})
 		if after := settle(c); len(before.Reads) != 0 || len(after.Reads) != 1 || !after.Reads[0].OK {
 			t.Errorf("answered %v before a round of contact, %v after it", before.Reads, after.Reads)
 		}
@@ -203,36 +203,36 @@
 	t.Run("an index that is committed beyond what a message has matched", func(t *testing.T) {
 		c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: voters(3)},
 			[]*wire.Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}}, 1, 0) // 3 may be another at the leader
-		c.Step(0, &wire.Raft{Kind: wire.Raft_APPEND, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []*wire.Entry{{Term: 2, Index: 2}}, Commit: 3})
+		c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []*wire.Entry{{Term: 2, Index: 2}}, Commit: 3})
 		if settle(c); c.Commit() != 2 {
 			t.Errorf("%d is committed", c.Commit())
 		}
 	})
 	t.Run("a snapshot from before the own one", func(t *testing.T) {
 		c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 2, Index: 5, Peers: voters(3)}, nil, 1, 0)
-		c.Step(0, &wire.Raft{Kind: wire.Raft_SNAPSHOT, From: 2, To: 1, Term: 2, Snapshot: &wire.RaftSnapshot{Term: 1, Index: 3, Peers: voters(3)}})
+		c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, From: 2, To: 1, Term: 2, Snapshot: &wire.RaftSnapshot{Term: 1, Index: 3, Peers: voters(3)}})
 		if o := settle(c); o.Snapshot != nil || c.Commit() != 5 || c.last() != 5 {
 			t.Errorf("snapshot %v, committed %d of %d", o.Snapshot, c.Commit(), c.last())
 		}
 	})
 	t.Run("a log that lacks entries, of one that the leader has asked to lead", func(t *testing.T) {
 		c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: voters(3)}, []*wire.Entry{{Term: 2, Index: 2}}, 1, 0)
-		c.Step(0, &wire.Raft{Kind: wire.Raft_VOTE, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Handed: true})
+		c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, LeadershipTransfer: true})
 		for _, m := range settle(c).Messages {
-			if m.Kind == wire.Raft_VOTED && !m.Reject {
+			if m.Kind == wire.RaftMessage_REQUEST_VOTE_RESPONSE && !m.Reject {
 				t.Error("it has the vote")
 			}
 		}
 	})
 	t.Run("a member that lacks entries, as the transfer target", func(t *testing.T) {
 		c := leading(t)
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: 2})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 2})
 		settle(c)
 		c.HandOver(lateNow)
 		if to := handovers(settle(c)); len(to) != 0 {
 			t.Errorf("%v is asked to lead without the last entry", to)
 		}
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: 3})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3})
 		if to := handovers(settle(c)); len(to) != 1 || to[0] != 2 {
 			t.Errorf("%v is asked to lead once 2 has all", to)
 		}
--- a/internal/controlplane/raft/reads_test.go
+++ b/internal/controlplane/raft/reads_test.go
@@ -11,7 +11,7 @@
 func TestReadsShareARound(t *testing.T) {
 	c := leading(t)
 	answer := func(round uint64) {
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_APPENDED, From: 2, To: 1, Term: 4, Index: 3, Round: round})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: round})
 	}
 	answer(c.round)
 	settle(c)
--- a/internal/controlplane/raft/replication.go
+++ b/internal/controlplane/raft/replication.go
@@ -76,7 +76,7 @@
 		c.transfer(id, p, heartbeat)
 		return
 	}
-	m := &wire.Raft{Kind: wire.Raft_APPEND, To: id, Index: p.next - 1, LogTerm: prev, Commit: c.commit, Round: c.round}
+	m := &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: p.next - 1, LogTerm: prev, Commit: c.commit, HeartbeatRound: c.round}
 	bytes := 0
 	for i := p.next; i <= c.last() && len(m.Entries) < c.batch && bytes < maxBytes; i++ {
 		e := c.entries[i-c.first()]
@@ -92,7 +92,7 @@
 
 // rejected goes back to where a member's log may join, over whole terms that only one of the two has. Entry by entry, a log
 // that differs in more of them than rounds go between two heartbeats would never join: each heartbeat asks for the end.
-func (c *Node) rejected(p *progress, m *wire.Raft) {
+func (c *Node) rejected(p *progress, m *wire.RaftMessage) {
 	hint := m.Index
 	for t, ok := c.term(hint); ok && 0 < m.LogTerm && m.LogTerm < t; t, ok = c.term(hint) {
 		hint--
--- a/internal/controlplane/raft/retention_test.go
+++ b/internal/controlplane/raft/retention_test.go
@@ -13,7 +13,7 @@
 
 // acknowledge has a member say that it has the leader's log up to an index.
 func acknowledge(c *Node, from, index uint64) Output {
-	c.Step(c.now, &wire.Raft{Kind: wire.Raft_APPENDED, From: from, To: c.id, Term: c.hard.Term, Index: index, Round: c.round})
+	c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: from, To: c.id, Term: c.hard.Term, Index: index, HeartbeatRound: c.round})
 	return settle(c)
 }
 
@@ -30,7 +30,7 @@
 }
 
 // sentTo returns what is sent to a member of one kind.
-func sentTo(o Output, to uint64, kind wire.Raft_Kind) (list []*wire.Raft) {
+func sentTo(o Output, to uint64, kind wire.RaftMessage_Kind) (list []*wire.RaftMessage) {
 	for _, m := range o.Messages {
 		if m.To == to && m.Kind == kind {
 			list = append(list, m)
@@ -49,8 +49,8 @@
 		t.Fatalf("%v, %d behind it", snapshot, c.Backlog())
 	}
 	lagging := snapshot.Index - 3
-	c.Step(c.now, &wire.Raft{Kind: wire.Raft_APPENDED, From: 3, To: 1, Term: 4, Reject: true, Index: lagging})
-	if o := settle(c); len(sentTo(o, 3, wire.Raft_SNAPSHOT)) > 0 || len(sentTo(o, 3, wire.Raft_APPEND)) != 1 || len(sentTo(o, 3, wire.Raft_APPEND)[0].Entries) != 3 {
+	c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 3, To: 1, Term: 4, Reject: true, Index: lagging})
+	if o := settle(c); len(sentTo(o, 3, wire.RaftMessage_INSTALL_SNAPSHOT)) > 0 || len(sentTo(o, 3, wire.RaftMessage_APPEND_ENTRIES)) != 1 || len(sentTo(o, 3, wire.RaftMessage_APPEND_ENTRIES)[0].Entries) != 3 {
 		t.Errorf("a member that lacks three entries gets %v", o.Messages)
 	}
 	kept := slices.Clone(c.entries)
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept[5] = &wire.Entry{Term: kept[5].Term, Index: kept[5].Index, Kind: wire.Entry_PEERS, Data: older}
+	kept[5] = &wire.Entry{Term: kept[5].Term, Index: kept[5].Index, Kind: wire.Entry_MEMBERSHIP, Data: older}
 	if again = New(1, nil, snapshot, kept, 1, c.now); len(again.Peers()) != 3 {
 		t.Errorf("members of before the snapshot are in force: %v", again.Peers())
 	}
@@ -110,7 +110,7 @@
 	c.Retain(4, catchUpEntries)
 	proposeMany(t, c, 40, 10)
 	c.Compact(c.applied, []byte("first"))
-	c.Step(c.now, &wire.Raft{Kind: wire.Raft_APPENDED, From: 3, To: 1, Term: 4, Reject: true, Index: 1})
+	c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 3, To: 1, Term: 4, Reject: true, Index: 1})
 	return c
 }
 
@@ -119,7 +119,7 @@
 // member says to have.
 func TestOneTransferAtATime(t *testing.T) {
 	c := needsSnapshot(t)
-	begun := sentTo(settle(c), 3, wire.Raft_SNAPSHOT)
+	begun := sentTo(settle(c), 3, wire.RaftMessage_INSTALL_SNAPSHOT)
 	if len(begun) != 1 || c.Transferring(3) != begun[0].Snapshot.Index {
 		t.Fatalf("%d transfers are begun", len(begun))
 	}
@@ -128,7 +128,7 @@
 		c.Tick(c.now + d)
 		o := settle(c)
 		for _, id := range []uint64{2, 3} { // both are there
-			c.Step(c.now, &wire.Raft{Kind: wire.Raft_APPENDED, From: id, To: 1, Term: 4, Index: 1, Round: c.round})
+			c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: 1, Term: 4, Index: 1, HeartbeatRound: c.round})
 		}
 		o.Messages = append(o.Messages, settle(c).Messages...)
 		return o
@@ -136,25 +136,25 @@
 	for range 40 { // three seconds of heartbeats, with progress
 		o := later(Heartbeat)
 		c.Transfer(c.now, 3, first.Index, TransferProgress)
-		if len(sentTo(o, 3, wire.Raft_SNAPSHOT)) > 0 || len(sentTo(o, 3, wire.Raft_APPEND)) == 0 {
+		if len(sentTo(o, 3, wire.RaftMessage_INSTALL_SNAPSHOT)) > 0 || len(sentTo(o, 3, wire.RaftMessage_APPEND_ENTRIES)) == 0 {
 			t.Fatalf("under a transfer a member gets %v", o.Messages)
 		}
 		proposeMany(t, c, 10, 10)
 		c.Compact(c.applied, []byte("newer"))
 	}
 	c.Transfer(c.now, 3, first.Index, TransferFailed)
-	if o := later(Heartbeat); len(sentTo(o, 3, wire.Raft_SNAPSHOT)) > 0 {
+	if o := later(Heartbeat); len(sentTo(o, 3, wire.RaftMessage_INSTALL_SNAPSHOT)) > 0 {
 		t.Error("a transfer that has failed is begun again at once")
 	}
-	var resumed []*wire.Raft
+	var resumed []*wire.RaftMessage
 	for range 4 {
-		resumed = append(resumed, sentTo(later(Heartbeat), 3, wire.Raft_SNAPSHOT)...)
+		resumed = append(resumed, sentTo(later(Heartbeat), 3, wire.RaftMessage_INSTALL_SNAPSHOT)...)
 	}
 	if len(resumed) != 1 || resumed[0].Snapshot != first {
 		t.Fatalf("%d transfers are resumed after a failure, with another snapshot", len(resumed))
 	}
 	c.Transfer(c.now, 3, first.Index, TransferFinished)
-	next := sentTo(settle(c), 3, wire.Raft_APPEND)
+	next := sentTo(settle(c), 3, wire.RaftMessage_APPEND_ENTRIES)
 	if len(next) == 0 || next[0].Index != first.Index || len(next[0].Entries) == 0 {
 		t.Errorf("the log does not go on from the snapshot at %d: %v", first.Index, next)
 	}
@@ -177,22 +177,22 @@
 // that has gone, nothing is kept for it.
 func TestATransferThatTakesTooLongIsSuperseded(t *testing.T) {
 	c := needsSnapshot(t)
-	first := sentTo(settle(c), 3, wire.Raft_SNAPSHOT)[0].Snapshot
+	first := sentTo(settle(c), 3, wire.RaftMessage_INSTALL_SNAPSHOT)[0].Snapshot
 	proposeMany(t, c, 20, tailBytes/4)
 	c.Compact(c.applied, []byte("newer"))
 	if bytes := tailBytes / 4 * int(c.last()-c.base.index); bytes > catchUpBytes || c.base.index <= first.Index {
 		t.Errorf("%d bytes are kept for a transfer", bytes)
 	}
-	heartbeats := func(d time.Duration, thirdAnswers bool) (begun []*wire.Raft) {
+	heartbeats := func(d time.Duration, thirdAnswers bool) (begun []*wire.RaftMessage) {
 		for until := c.now + d; c.now < until; {
 			c.Tick(c.now + Heartbeat)
 			o := settle(c)
 			acknowledge(c, 2, c.last())
 			if thirdAnswers {
-				c.Step(c.now, &wire.Raft{Kind: wire.Raft_APPENDED, From: 3, To: 1, Term: 4, Reject: true, Index: 1, Round: c.round})
+				c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 3, To: 1, Term: 4, Reject: true, Index: 1, HeartbeatRound: c.round})
 				o.Messages = append(o.Messages, settle(c).Messages...)
 			}
-			begun = append(begun, sentTo(o, 3, wire.Raft_SNAPSHOT)...)
+			begun = append(begun, sentTo(o, 3, wire.RaftMessage_INSTALL_SNAPSHOT)...)
 		}
 		return begun
 	}
@@ -209,11 +209,11 @@
 // leader of, is not sent another.
 func TestAMemberWithASnapshotOfAnotherGoesOn(t *testing.T) {
 	c := needsSnapshot(t)
-	first := sentTo(settle(c), 3, wire.Raft_SNAPSHOT)[0].Snapshot
+	first := sentTo(settle(c), 3, wire.RaftMessage_INSTALL_SNAPSHOT)[0].Snapshot
 	proposeMany(t, c, 10, 10)
 	c.Compact(c.applied, []byte("newer"))
-	c.Step(c.now, &wire.Raft{Kind: wire.Raft_APPENDED, From: 3, To: 1, Term: 4, Reject: true, Index: first.Index, LogTerm: first.Term})
-	if next := sentTo(settle(c), 3, wire.Raft_APPEND); len(next) == 0 || next[0].Index != first.Index {
+	c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 3, To: 1, Term: 4, Reject: true, Index: first.Index, LogTerm: first.Term})
+	if next := sentTo(settle(c), 3, wire.RaftMessage_APPEND_ENTRIES); len(next) == 0 || next[0].Index != first.Index {
 		t.Errorf("it gets %v", next)
 	}
 }
@@ -240,11 +240,11 @@
 	c.Tick(lateNow)
 	settle(c)
 	for _, pre := range []bool{true, false} {
-		c.Step(lateNow, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 1, Term: term + 1, Pre: pre})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: term + 1, PreVote: pre})
 		settle(c)
 	}
 	f := New(3, &wire.HardState{Term: term}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: voters(3)}, diverged, 1, c.now)
-	toLeader, toFollower := make([][]*wire.Raft, most+delay+1), make([][]*wire.Raft, most+delay+1)
+	toLeader, toFollower := make([][]*wire.RaftMessage, most+delay+1), make([][]*wire.RaftMessage, most+delay+1)
 	for turn := 0; turn < most && c.progress[3].match != c.last(); turn++ {
 		c.Tick(c.now + Heartbeat)
 		sent := acknowledge(c, 2, c.last())
@@ -258,7 +258,7 @@
 			}
 		}
 		sent.Messages = append(sent.Messages, settle(c).Messages...)
-		toFollower[turn+delay] = sentTo(sent, 3, wire.Raft_APPEND)
+		toFollower[turn+delay] = sentTo(sent, 3, wire.RaftMessage_APPEND_ENTRIES)
 	}
 	return c
 }
@@ -296,7 +296,7 @@
 	}
 	for range 20 {
 		e := &wire.Entry{Term: 5, Index: c.last() + 1}
-		c.Step(c.now, &wire.Raft{Kind: wire.Raft_APPEND, From: 2, To: 1, Term: 5, Index: c.last(), LogTerm: c.lastTerm(), Entries: []*wire.Entry{e}, Commit: e.Index})
+		c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: 5, Index: c.last(), LogTerm: c.lastTerm(), Entries: []*wire.Entry{e}, Commit: e.Index})
 		settle(c)
 	}
 	if c.Compact(c.applied, nil); c.Leads() || c.last()-c.base.index != 4 {
--- a/internal/controlplane/raft/sim_checks_test.go
+++ b/internal/controlplane/raft/sim_checks_test.go
@@ -106,8 +106,8 @@
 
 // transfer: a snapshot that is under way is sent to its end, as long as the log leads on from it and its receiver is not
 // gone.
-func (c *checks) transfer(now time.Duration, m *simMember, message *wire.Raft) {
-	if message.Kind != wire.Raft_SNAPSHOT {
+func (c *checks) transfer(now time.Duration, m *simMember, message *wire.RaftMessage) {
+	if message.Kind != wire.RaftMessage_INSTALL_SNAPSHOT {
 		return
 	}
 	to := message.To
--- a/internal/controlplane/raft/sim_run_test.go
+++ b/internal/controlplane/raft/sim_run_test.go
@@ -47,7 +47,7 @@
 type parcel struct {
 	at      time.Duration
 	from    int
-	message *wire.Raft
+	message *wire.RaftMessage
 }
 
 // profile is what a seed draws for its whole run.
@@ -249,7 +249,7 @@
 }
 
 // send puts a message on its way: it may be lost, arrive twice, or arrive again much later.
-func (w *simulation) send(m *simMember, message *wire.Raft) {
+func (w *simulation) send(m *simMember, message *wire.RaftMessage) {
 	to, ok := w.find(message.To, m)
 	if !ok || w.cut[[2]int{m.number, to}] || w.rng.IntN(50) == 0 {
 		return
--- a/internal/controlplane/raft/snapshot_sim_test.go
+++ b/internal/controlplane/raft/snapshot_sim_test.go
@@ -47,7 +47,7 @@
 
 type delivery struct {
 	at time.Duration
-	m  *wire.Raft
+	m  *wire.RaftMessage
 }
 
 // snapshotInWork is a copy of the state that is being encoded and written.
@@ -179,9 +179,9 @@
 	}
 }
 
-func (c *cluster) send(r *replica, m *wire.Raft) {
+func (c *cluster) send(r *replica, m *wire.RaftMessage) {
 	to := c.replicas[m.To-1]
-	if m.Kind == wire.Raft_SNAPSHOT {
+	if m.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
 		c.beginTransfer(r, to, m.Snapshot)
 		return
 	}
--- a/internal/controlplane/raft/state.go
+++ b/internal/controlplane/raft/state.go
@@ -121,7 +121,7 @@
 	b = binary.AppendUvarint(b, e.Term)
 	b = binary.AppendUvarint(b, e.Index)
 	b = binary.AppendUvarint(b, uint64(e.Kind))
-	if e.Kind == wire.Entry_PEERS {
+	if e.Kind == wire.Entry_MEMBERSHIP {
 		var peers wire.Peers
 		if proto.Unmarshal(e.Data, &peers) == nil {
 			return appendPeers(b, peers.Peers, rename)
@@ -132,7 +132,7 @@
 }
 
 // AppendMessage does the same for a message.
-func AppendMessage(b []byte, m *wire.Raft, rename func(uint64) uint64) []byte {
+func AppendMessage(b []byte, m *wire.RaftMessage, rename func(uint64) uint64) []byte {
 	u := func(x uint64) { b = binary.AppendUvarint(b, x) }
 	u(uint64(m.Kind))
 	u(rename(m.From))
@@ -141,8 +141,8 @@
 	u(m.Index)
 	u(m.LogTerm)
 	u(m.Commit)
-	u(m.Round)
-	for _, f := range []bool{m.Reject, m.Pre, m.Handed} {
+	u(m.HeartbeatRound)
+	for _, f := range []bool{m.Reject, m.PreVote, m.LeadershipTransfer} {
 		if f {
 			u(1)
 		} else {
--- a/internal/controlplane/raft/step.go
+++ b/internal/controlplane/raft/step.go
@@ -7,19 +7,19 @@
 )
 
 // Step takes a message from another member.
-func (c *Node) Step(now time.Duration, m *wire.Raft) {
+func (c *Node) Step(now time.Duration, m *wire.RaftMessage) {
 	c.now = now
 	if m.To != c.id { // for the one that had this address before
 		return
 	}
-	if m.Refusal == wire.Raft_NOT_MEMBER {
+	if m.Refusal == wire.RaftMessage_NOT_MEMBER {
 		c.expelled = true // MembershipManager asks
 	}
-	if m.Kind == wire.Raft_VOTE {
+	if m.Kind == wire.RaftMessage_REQUEST_VOTE {
 		c.vote(m)
 		return
 	}
-	if m.Kind == wire.Raft_VOTED && m.Pre && !m.Reject {
+	if m.Kind == wire.RaftMessage_REQUEST_VOTE_RESPONSE && m.PreVote && !m.Reject {
 		if c.role == preCandidate && m.Term == c.hard.Term+1 {
 			c.votes[m.From] = true
 			c.countVotes()
@@ -28,34 +28,34 @@
 	}
 	if m.Term > c.hard.Term {
 		lead := uint64(0)
-		if m.Kind == wire.Raft_APPEND || m.Kind == wire.Raft_SNAPSHOT {
+		if m.Kind == wire.RaftMessage_APPEND_ENTRIES || m.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
 			lead = m.From
 		}
 		c.becomeFollower(m.Term, lead)
 	}
 	if m.Term < c.hard.Term {
-		if m.Kind == wire.Raft_APPEND || m.Kind == wire.Raft_SNAPSHOT {
-			c.send(&wire.Raft{Kind: wire.Raft_APPENDED, To: m.From, Reject: true, Refusal: c.staleRefusal(m.From)}) // tells it the term
+		if m.Kind == wire.RaftMessage_APPEND_ENTRIES || m.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
+			c.send(&wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, To: m.From, Reject: true, Refusal: c.staleRefusal(m.From)}) // tells it the term
 		}
 		return
 	}
 	switch m.Kind {
-	case wire.Raft_VOTED:
+	case wire.RaftMessage_REQUEST_VOTE_RESPONSE:
 		if c.role == candidate && !m.Reject {
 			c.votes[m.From] = true
 			c.countVotes()
 		}
-	case wire.Raft_APPEND:
+	case wire.RaftMessage_APPEND_ENTRIES:
 		c.follow(m.From)
 		c.appendFrom(m)
 		c.learnContact(m)
-	case wire.Raft_SNAPSHOT:
+	case wire.RaftMessage_INSTALL_SNAPSHOT:
 		c.follow(m.From)
 		c.installFrom(m)
 		c.learnContact(m)
-	case wire.Raft_APPENDED:
+	case wire.RaftMessage_APPEND_ENTRIES_RESPONSE:
 		c.appended(m)
-	case wire.Raft_HANDOVER:
+	case wire.RaftMessage_TIMEOUT_NOW:
 		if m.From == c.leaderID && c.promotable() {
 			c.campaign(false, true)
 		}
@@ -63,14 +63,14 @@
 }
 
 // vote answers one who wants to lead.
-func (c *Node) vote(m *wire.Raft) {
-	reply := &wire.Raft{Kind: wire.Raft_VOTED, To: m.From, Pre: m.Pre, Reject: true}
+func (c *Node) vote(m *wire.RaftMessage) {
+	reply := &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, To: m.From, PreVote: m.PreVote, Reject: true}
 	// One that hears its leader helps nobody to unseat it.
-	heard := !m.Handed && (c.role == leader || c.leaderID != 0 && c.now-c.leaderContactAt < electionMin)
+	heard := !m.LeadershipTransfer && (c.role == leader || c.leaderID != 0 && c.now-c.leaderContactAt < electionMin)
 	current := m.LogTerm > c.lastTerm() || m.LogTerm == c.lastTerm() && m.Index >= c.last()
 	switch {
 	case m.Term < c.hard.Term || heard:
-	case m.Pre:
+	case m.PreVote:
 		if current && m.Term > c.hard.Term {
 			reply.Reject, reply.Term = false, m.Term
 		}
@@ -100,8 +100,8 @@
 }
 
 // appendFrom takes entries of the leader where they join the own log.
-func (c *Node) appendFrom(m *wire.Raft) {
-	reply := &wire.Raft{Kind: wire.Raft_APPENDED, To: m.From, Round: m.Round, SyncUs: uint32(c.syncTime.Microseconds())}
+func (c *Node) appendFrom(m *wire.RaftMessage) {
+	reply := &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, To: m.From, HeartbeatRound: m.HeartbeatRound, SyncUs: uint32(c.syncTime.Microseconds())}
 	defer func() { c.send(reply) }()
 	index, entries := m.Index, m.Entries
 	for len(entries) > 0 && index < c.snap.Index { // these are in the snapshot
@@ -140,8 +140,8 @@
 }
 
 // installFrom replaces the log by a snapshot that is ahead of it.
-func (c *Node) installFrom(m *wire.Raft) {
-	reply := &wire.Raft{Kind: wire.Raft_APPENDED, To: m.From, Round: m.Round}
+func (c *Node) installFrom(m *wire.RaftMessage) {
+	reply := &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, To: m.From, HeartbeatRound: m.HeartbeatRound}
 	reply.Index = c.install(m.Snapshot)
 	c.send(reply)
 }
@@ -164,15 +164,15 @@
 }
 
 // appended takes a member's answer.
-func (c *Node) appended(m *wire.Raft) {
+func (c *Node) appended(m *wire.RaftMessage) {
 	p := c.progress[m.From]
 	if c.role != leader || p == nil {
 		return
 	}
 	p.lastContact, p.syncTime = c.now, time.Duration(m.SyncUs)*time.Microsecond
 	c.keepStamp(p, m.Stamp)
-	if m.Round > p.round {
-		p.round = m.Round
+	if m.HeartbeatRound > p.round {
+		p.round = m.HeartbeatRound
 		c.confirmContact()
 	}
 	if m.Reject {
--- a/internal/controlplane/raft/transfer.go
+++ b/internal/controlplane/raft/transfer.go
@@ -65,7 +65,7 @@
 func (c *Node) transfer(id uint64, p *progress, heartbeat bool) {
 	if c.now < p.transferRetryAt || c.now-p.lastContact >= transferSilence {
 		if heartbeat {
-			c.send(&wire.Raft{Kind: wire.Raft_APPEND, To: id, Index: c.snap.Index, LogTerm: c.snap.Term, Round: c.round, Commit: c.commit})
+			c.send(&wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: c.snap.Index, LogTerm: c.snap.Term, HeartbeatRound: c.round, Commit: c.commit})
 		}
 		return
 	}
@@ -73,7 +73,7 @@
 		p.transfer = c.snap
 	}
 	p.transferRetryAt = c.now + transferSilence
-	c.send(&wire.Raft{Kind: wire.Raft_SNAPSHOT, To: id, Snapshot: p.transfer, Round: c.round, Commit: c.commit})
+	c.send(&wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, To: id, Snapshot: p.transfer, HeartbeatRound: c.round, Commit: c.commit})
 }
 
 // endTransfer forgets a transfer that has reached its member, or whose member is gone.
--- a/internal/controlplane/server/ask.go
+++ b/internal/controlplane/server/ask.go
@@ -27,7 +27,7 @@
 	places := make(chan struct{}, askAtOnce)
 	var asking sync.WaitGroup
 	for _, m := range n.gossip.Members() {
-		if m.Core || m.State != wire.Member_ALIVE {
+		if m.QuorumMember || m.State != wire.Member_ALIVE {
 			continue
 		}
 		asked++
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -115,9 +115,9 @@
 		workers.Go(func() {
 			for i := range next {
 				server := &wire.Server{Member: fmt.Sprintf("server-%d", i), Service: "some-service", Node: fmt.Sprintf("node-%d", i), Address: "10.0.0.1:80"}
-				propose := &wire.Propose{Command: &wire.Command{What: &wire.Command_Server{Server: server}}}
-				for answer := new(wire.Proposed); !answer.Done && ctx.Err() == nil; {
-					answer = new(wire.Proposed)
+				propose := &wire.ProposeRequest{Command: &wire.Command{Change: &wire.Command_Server{Server: server}}}
+				for answer := new(wire.ProposeResponse); !answer.Committed && ctx.Err() == nil; {
+					answer = new(wire.ProposeResponse)
 					pool.Call(ctx, *leader.Load(), "propose", propose, answer)
 					if answer.Leader != "" {
 						leader.Store(&answer.Leader)
--- a/internal/controlplane/server/look.go
+++ b/internal/controlplane/server/look.go
@@ -53,14 +53,14 @@
 // look asks all nodes what they see.
 func (n *Node) look(w http.ResponseWriter, r *http.Request) {
 	var all Look
-	all.Asked, all.Silent = askAll(r.Context(), n, "look", &wire.Ask{}, func(l *wire.Looked) {
+	all.Asked, all.Silent = askAll(r.Context(), n, "look", &wire.Empty{}, func(l *wire.NodeStatus) {
 		node := NodeLook{Node: l.Node, Zone: l.Zone, Served: l.Served, Refused: l.Refused, Failed: l.Failed, Pending: l.Pending,
 			UpdateIndex: l.UpdateIndex, UpdateAgeMs: l.UpdateAgeMs, UpMs: l.UpMs}
 		for _, s := range l.Services {
-			node.Services = append(node.Services, ServiceLook{s.Service, s.R, s.Chances, s.Left})
+			node.Services = append(node.Services, ServiceLook{s.Service, s.NormalizedLatency, s.AdmissionProbabilities, s.RetryBudgetLeft})
 		}
 		for _, s := range l.Servers {
-			node.Servers = append(node.Servers, ServerLook{s.Member, s.Service, s.Running, s.Waiting, s.Slots, s.Out, s.Draining})
+			node.Servers = append(node.Servers, ServerLook{s.Member, s.Service, s.Running, s.Queued, s.Slots, s.EjectedZones, s.Draining})
 		}
 		all.Nodes = append(all.Nodes, node)
 	})
--- a/internal/controlplane/server/member_api.go
+++ b/internal/controlplane/server/member_api.go
@@ -19,7 +19,7 @@
 	}
 	if leader, self := n.ask(r.Context()); !self {
 		answer := Answer{Result: Unavailable, Reason: errNoLeader}
-		if leader.GetControl() != "" {
+		if leader.GetControlAddress() != "" {
 			answer = Answer{Result: Redirected, Leader: leader}
 		}
 		n.write(w, "/member/remove/"+identity, answer)
--- a/internal/controlplane/server/membership.go
+++ b/internal/controlplane/server/membership.go
@@ -10,7 +10,7 @@
 
 func (n *Node) self(voter bool) *wire.Peer {
 	set := n.set.Load()
-	return &wire.Peer{Id: n.store.ID, Address: set.Internal(), Control: set.Control, Voter: voter}
+	return &wire.Peer{Id: n.store.ID, Address: set.Internal(), ControlAddress: set.Control, Voter: voter}
 }
 
 // leader returns the leader as this node knows it, or nil.
@@ -70,7 +70,7 @@
 	if len(gone) == 0 || len(n.requests.proposed) > 0 {
 		return
 	}
-	data, err := proto.Marshal(&wire.Command{What: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}})
+	data, err := proto.Marshal(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}})
 	if err == nil {
 		if _, _, err = n.consensus.Propose(n.now(), data); err == nil {
 			n.log.Info("servers.gone", "members", gone)
--- a/internal/controlplane/server/membership_manager.go
+++ b/internal/controlplane/server/membership_manager.go
@@ -55,7 +55,7 @@
 func (m *membershipManager) known() []string {
 	known := m.node.set.Load().SeedNodes()
 	for _, member := range m.node.gossip.Members() {
-		if member.Core {
+		if member.QuorumMember {
 			known = append(known, member.Address)
 		}
 	}
@@ -125,8 +125,8 @@
 func (m *membershipManager) askOne(ctx context.Context, address string) {
 	call, cancel := context.WithTimeout(ctx, joinCallTimeout)
 	defer cancel()
-	answer := new(wire.JoinedCore)
-	if err := m.node.pool.Call(call, address, "join", &wire.JoinCore{Peer: m.node.self(false)}, answer); err != nil {
+	answer := new(wire.JoinResponse)
+	if err := m.node.pool.Call(call, address, "join", &wire.JoinRequest{Peer: m.node.self(false)}, answer); err != nil {
 		return
 	}
 	m.node.do(func() {
@@ -137,12 +137,12 @@
 }
 
 // join takes a process in as a learner: it has no vote before it has the log.
-func (m *membershipManager) join(ctx context.Context, j *wire.JoinCore) (*wire.JoinedCore, error) {
+func (m *membershipManager) join(ctx context.Context, j *wire.JoinRequest) (*wire.JoinResponse, error) {
 	p := j.GetPeer()
 	if p.GetId() == 0 || p.GetAddress() == "" {
 		return nil, errors.New("no identity or address")
 	}
-	return inLoop(ctx, m.node, func() *wire.JoinedCore {
+	return inLoop(ctx, m.node, func() *wire.JoinResponse {
 		change, answer := m.policy.Join(m.node.now(), p)
 		m.propose(change)
 		return answer
@@ -150,8 +150,8 @@
 }
 
 // leave answers a member that is about to end.
-func (m *membershipManager) leave(ctx context.Context, q *wire.LeaveCore) (*wire.LeftCore, error) {
-	return inLoop(ctx, m.node, func() *wire.LeftCore {
+func (m *membershipManager) leave(ctx context.Context, q *wire.LeaveRequest) (*wire.LeaveResponse, error) {
+	return inLoop(ctx, m.node, func() *wire.LeaveResponse {
 		return m.policy.Departing(m.node.now(), q, m.node.wantedVoters())
 	})
 }
@@ -206,7 +206,7 @@
 type leaveStep struct {
 	alone   bool   // nobody else is concerned
 	leader  string // to be asked; empty: not known
-	request *wire.LeaveCore
+	request *wire.LeaveRequest
 }
 
 func (m *membershipManager) leaveStep() leaveStep {
@@ -228,17 +228,17 @@
 		return leaveStep{}
 	}
 	index, term := n.consensus.LastEntry()
-	return leaveStep{leader: n.leader().GetAddress(), request: &wire.LeaveCore{Id: n.store.ID, Index: index, LogTerm: term}}
+	return leaveStep{leader: n.leader().GetAddress(), request: &wire.LeaveRequest{Id: n.store.ID, Index: index, LogTerm: term}}
 }
 
 func (m *membershipManager) askToLeave(ctx context.Context, step leaveStep) (done bool) {
 	call, cancel := context.WithTimeout(ctx, leaveCallTimeout)
 	defer cancel()
-	answer := new(wire.LeftCore)
+	answer := new(wire.LeaveResponse)
 	if err := m.node.pool.Call(call, step.leader, "leave", step.request, answer); err != nil {
 		return false
 	}
-	return raft.Departure{Held: answer.Held, Removed: answer.Removed, Stays: answer.Stays}.Done()
+	return raft.Departure{Held: answer.Replicated, Removed: answer.Removed, Stays: answer.KeepsVote}.Done()
 }
 
 // inLoop runs f in the node's loop and returns what it returns.
--- a/internal/controlplane/server/node_api.go
+++ b/internal/controlplane/server/node_api.go
@@ -69,30 +69,30 @@
 }
 
 // propose takes a data node's change of the list of servers.
-func (n *Node) propose(ctx context.Context, p *wire.Propose) (*wire.Proposed, error) {
+func (n *Node) propose(ctx context.Context, p *wire.ProposeRequest) (*wire.ProposeResponse, error) {
 	if p.GetCommand().GetConfig() != nil {
 		return nil, errors.New("configurations are taken from operators only")
 	}
 	leader, self := n.ask(ctx)
 	if !self {
-		return &wire.Proposed{Leader: leader.GetAddress()}, nil
+		return &wire.ProposeResponse{Leader: leader.GetAddress()}, nil
 	}
 	if err := n.change(ctx, p.Command); err != nil {
 		n.log.Debug("change.refused", "err", err)
-		return &wire.Proposed{}, nil
+		return &wire.ProposeResponse{}, nil
 	}
-	return &wire.Proposed{Done: true}, nil
+	return &wire.ProposeResponse{Committed: true}, nil
 }
 
 // latest tells how far the updates have come.
-func (n *Node) latest(ctx context.Context, _ *wire.Ask) (*wire.Latest, error) {
+func (n *Node) latest(ctx context.Context, _ *wire.Empty) (*wire.LatestResponse, error) {
 	leader, self := n.ask(ctx)
 	if !self {
-		return &wire.Latest{Leader: leader.GetAddress()}, nil
+		return &wire.LatestResponse{Leader: leader.GetAddress()}, nil
 	}
-	answer := &wire.Latest{Known: true}
+	answer := &wire.LatestResponse{Known: true}
 	if err := n.read(ctx, func() { answer.Index = n.catalog.Index() }); err != nil {
-		return &wire.Latest{}, nil
+		return &wire.LatestResponse{}, nil
 	}
 	return answer, nil
 }
--- a/internal/controlplane/server/operator_api.go
+++ b/internal/controlplane/server/operator_api.go
@@ -148,7 +148,7 @@
 // unanswered is the answer to a request of which nothing is known for sure.
 func unanswered(err error) Answer {
 	var elsewhere *notLeaderError
-	if errors.As(err, &elsewhere) && elsewhere.leader.GetControl() != "" {
+	if errors.As(err, &elsewhere) && elsewhere.leader.GetControlAddress() != "" {
 		return Answer{Result: Redirected, Leader: elsewhere.leader, Reason: err}
 	}
 	return Answer{Result: Unavailable, Reason: err}
--- a/internal/controlplane/server/operator_http.go
+++ b/internal/controlplane/server/operator_http.go
@@ -128,7 +128,7 @@
 		if n.set.Load().SecureOperator {
 			scheme = "https://"
 		}
-		w.Header().Set("Location", scheme+a.Leader.Control+path)
+		w.Header().Set("Location", scheme+a.Leader.ControlAddress+path)
 	}
 	text := a.Result.String()
 	if a.Reason != nil {
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -53,7 +53,7 @@
 type simMessage struct {
 	arrives time.Duration
 	from    int // a member, or operatorSide
-	raft    *wire.Raft
+	raft    *wire.RaftMessage
 	deliver func() // what an operator sends
 }
 
@@ -123,7 +123,7 @@
 	peers := &wire.Peers{}
 	for i := range w.members {
 		w.ids++
-		peers.Peers = append(peers.Peers, &wire.Peer{Id: uint64(w.ids), Address: fmt.Sprint(i), Control: fmt.Sprint(i), Voter: true})
+		peers.Peers = append(peers.Peers, &wire.Peer{Id: uint64(w.ids), Address: fmt.Sprint(i), ControlAddress: fmt.Sprint(i), Voter: true})
 	}
 	for i, m := range w.members {
 		m.disk = simdisk.Disk{Tail: 6 * (i % 2), ID: peers.Peers[i].Id, Hard: &wire.HardState{Term: term}, Snap: &wire.RaftSnapshot{Term: term, Index: 1, Peers: peers, Data: data}}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (w *simWorld) post(from *simMember, message *wire.Raft) {
+func (w *simWorld) post(from *simMember, message *wire.RaftMessage) {
 	for _, to := range w.members {
 		if to.disk.ID == message.To && !w.cut[[2]int{from.number, to.number}] && (w.calm || w.rng.IntN(60) > 0) {
 			to.inbox = append(to.inbox, simMessage{arrives: w.now + w.span(1, 8), from: from.number, raft: proto.CloneOf(message)})
@@ -340,7 +340,7 @@
 			return
 		}
 		number := 0
-		fmt.Sscan(a.Leader.Control, &number)
+		fmt.Sscan(a.Leader.ControlAddress, &number)
 		w.sendTo(o, number)
 	default:
 		if w.rng.Float64() < w.ackLoss {
--- a/internal/controlplane/server/proposals.go
+++ b/internal/controlplane/server/proposals.go
@@ -27,7 +27,7 @@
 // notLeaderError says who leads instead.
 type notLeaderError struct{ leader *wire.Peer }
 
-func (e *notLeaderError) Error() string { return "the leader is at " + e.leader.GetControl() }
+func (e *notLeaderError) Error() string { return "the leader is at " + e.leader.GetControlAddress() }
 func (e *notLeaderError) Unwrap() error { return errNotRun }
 
 const (
--- a/internal/controlplane/server/proposals_test.go
+++ b/internal/controlplane/server/proposals_test.go
@@ -13,7 +13,7 @@
 func member(now time.Duration) *raft.Node {
 	peers := &wire.Peers{}
 	for id := range uint64(3) {
-		peers.Peers = append(peers.Peers, &wire.Peer{Id: id + 1, Address: "m", Control: "c", Voter: true})
+		peers.Peers = append(peers.Peers, &wire.Peer{Id: id + 1, Address: "m", ControlAddress: "c", Voter: true})
 	}
 	return raft.New(1, &wire.HardState{Term: 1}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers}, nil, 1, now)
 }
@@ -22,7 +22,7 @@
 func lead(t *testing.T, node *raft.Node, now time.Duration) {
 	t.Helper()
 	node.Campaign(now)
-	node.Step(now, &wire.Raft{Kind: wire.Raft_VOTED, From: 2, To: 1, Term: node.Term()})
+	node.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: node.Term()})
 	if !node.Leads() {
 		t.Fatal("it does not lead")
 	}
@@ -39,7 +39,7 @@
 }
 
 func heartbeat(node *raft.Node, now time.Duration) {
-	node.Step(now, &wire.Raft{Kind: wire.Raft_APPEND, From: 2, To: 1, Term: max(2, node.Term()), Index: 1, LogTerm: 1, Commit: 1})
+	node.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: max(2, node.Term()), Index: 1, LogTerm: 1, Commit: 1})
 }
 
 func threeVoters() int { return 3 }
@@ -158,7 +158,7 @@
 	var got outcomes
 	q.submit(now, got.request("a", true, now+time.Hour))
 	q.submit(now, got.request("b", false, now+time.Hour))
-	node.Step(now, &wire.Raft{Kind: wire.Raft_APPEND, From: 2, To: 1, Term: node.Term() + 1, Index: 1, LogTerm: 1, Commit: 1})
+	node.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: node.Term() + 1, Index: 1, LogTerm: 1, Commit: 1})
 	q.tick(now)
 	var elsewhere *notLeaderError
 	if len(got) != 2 || !errors.Is(got[0].err, errLostLead) || errors.Is(got[0].err, errNotRun) || !errors.As(got[1].err, &elsewhere) {
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	n.gossip = gossip.New(&wire.Member{
-		Name: set.Node, Address: set.Internal(), Zone: set.Zone, Core: true, Generation: uint64(time.Now().UnixMilli()),
+		Name: set.Node, Address: set.Internal(), Zone: set.Zone, QuorumMember: true, Generation: uint64(time.Now().UnixMilli()),
 	}, rng.Uint64(), n.pool, func() []string { return n.set.Load().SeedNodes() }, log)
 
 	internal, err := net.Listen("tcp", set.Internal())
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -20,7 +20,7 @@
 		"status":  func() { n.state(ctx) },
 		"change":  func() { n.change(ctx, nil) },
 		"read":    func() { n.read(ctx, func() {}) },
-		"join":    func() { n.members.join(ctx, &wire.JoinCore{Peer: &wire.Peer{Id: 1, Address: "a"}}) },
+		"join":    func() { n.members.join(ctx, &wire.JoinRequest{Peer: &wire.Peer{Id: 1, Address: "a"}}) },
 		"asking":  func() { n.members.run(ctx); n.workers.Wait() },
 	} {
 		done := make(chan struct{})
--- a/internal/controlplane/server/snapshots.go
+++ b/internal/controlplane/server/snapshots.go
@@ -43,7 +43,7 @@
 
 // startTransfer carries a SNAPSHOT message of the consensus out, on a connection of its own: heartbeats do not wait behind
 // it. One that is under way already goes on.
-func (n *Node) startTransfer(m *wire.Raft, address string) {
+func (n *Node) startTransfer(m *wire.RaftMessage, address string) {
 	if running := n.transfers[m.To]; running != nil {
 		if running.snapshot == m.Snapshot {
 			return
@@ -104,7 +104,7 @@
 	})
 }
 
-func offerOf(m *wire.Raft) *wire.SnapshotOffer {
+func offerOf(m *wire.RaftMessage) *wire.SnapshotOffer {
 	return &wire.SnapshotOffer{
 		From: m.From, To: m.To, Term: m.Term, Size: uint64(len(m.Snapshot.Data)),
 		Snapshot: &wire.RaftSnapshot{Term: m.Snapshot.Term, Index: m.Snapshot.Index, Peers: m.Snapshot.Peers},
@@ -125,7 +125,7 @@
 		}
 		for next < uint64(len(data)) && next-status.Offset < unconfirmed {
 			piece := data[next:min(next+pieceBytes, uint64(len(data)))]
-			if err := stream.Send(&wire.SnapshotPiece{Data: piece}); err != nil {
+			if err := stream.Send(&wire.SnapshotChunk{Data: piece}); err != nil {
 				return sent, err
 			}
 			next += uint64(len(piece))
@@ -232,7 +232,7 @@
 		if incoming.Offset() == offer.Size {
 			break
 		}
-		piece := new(wire.SnapshotPiece)
+		piece := new(wire.SnapshotChunk)
 		if err := stream.Recv(piece); err != nil {
 			return nil, err
 		}
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -64,7 +64,7 @@
 	c := catalog.New()
 	for i := range servers {
 		s := &wire.Server{Member: fmt.Sprintf("server-%d", i), Service: "some-service", Node: fmt.Sprintf("node-%d", i/4)}
-		if _, err := c.Apply(&wire.Command{What: &wire.Command_Server{Server: s}}); err != nil {
+		if _, err := c.Apply(&wire.Command{Change: &wire.Command_Server{Server: s}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -173,7 +173,7 @@
 	}
 	bytes := 0
 	for bytes < unconfirmed {
-		piece := new(wire.SnapshotPiece)
+		piece := new(wire.SnapshotChunk)
 		if err := receiver.Recv(piece); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/server/trace.go
+++ b/internal/controlplane/server/trace.go
@@ -36,9 +36,9 @@
 // trace asks all nodes for a request.
 func (n *Node) trace(w http.ResponseWriter, r *http.Request) {
 	var all Trace
-	all.Asked, all.Silent = askAll(r.Context(), n, "trace", &wire.Trace{Attempt: r.PathValue("attempt")}, func(answer *wire.Traces) {
+	all.Asked, all.Silent = askAll(r.Context(), n, "trace", &wire.TraceRequest{Attempt: r.PathValue("attempt")}, func(answer *wire.TraceResponse) {
 		for _, t := range answer.Traces[:min(len(answer.Traces), maxTraces-len(all.Parts))] {
-			all.Parts = append(all.Parts, Part{t.Attempt, t.Node, t.Entry, t.Route, t.Service, t.Server, t.Status, t.Why, t.Tries, t.AgoMs, t.TookMs})
+			all.Parts = append(all.Parts, Part{t.Attempt, t.Node, t.Entry, t.Route, t.Service, t.Server, t.Status, t.Reason, t.Attempts, t.AgoMs, t.TookMs})
 		}
 	})
 	slices.SortStableFunc(all.Parts, func(a, b Part) int {
--- a/internal/controlplane/server/transport.go
+++ b/internal/controlplane/server/transport.go
@@ -11,12 +11,12 @@
 // sender carries messages to one member.
 type sender struct {
 	address string
-	queue   chan *wire.Raft
+	queue   chan *wire.RaftMessage
 	cancel  context.CancelFunc
 }
 
 // send hands a message to the goroutine of its receiver.
-func (n *Node) send(m *wire.Raft) {
+func (n *Node) send(m *wire.RaftMessage) {
 	address := n.heard[m.To]
 	if i := slices.IndexFunc(n.consensus.Peers(), func(p *wire.Peer) bool { return p.Id == m.To }); i >= 0 {
 		address = n.consensus.Peers()[i].Address
@@ -24,7 +24,7 @@
 	if address == "" {
 		return
 	}
-	if m.Kind == wire.Raft_SNAPSHOT {
+	if m.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
 		n.startTransfer(m, address)
 		return
 	}
@@ -36,7 +36,7 @@
 	}
 	if s == nil {
 		ctx, cancel := context.WithCancel(n.ctx)
-		s = &sender{address: address, queue: make(chan *wire.Raft, 128), cancel: cancel}
+		s = &sender{address: address, queue: make(chan *wire.RaftMessage, 128), cancel: cancel}
 		n.senders[m.To] = s
 		n.workers.Go(func() { s.run(ctx, n.pool) })
 		for id, old := range n.senders {
@@ -61,7 +61,7 @@
 		}
 	}()
 	for {
-		var m *wire.Raft
+		var m *wire.RaftMessage
 		select {
 		case m = <-s.queue:
 		case <-ctx.Done():
@@ -86,7 +86,7 @@
 // raftStream takes in the messages of one sender.
 func (n *Node) raftStream(s *rpc.Stream) error {
 	for {
-		m := new(wire.Raft)
+		m := new(wire.RaftMessage)
 		if err := s.Recv(m); err != nil {
 			return err
 		}
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -184,7 +184,7 @@
 		}
 		term = e.Term
 		var m proto.Message = new(wire.Command)
-		if e.Kind == wire.Entry_PEERS {
+		if e.Kind == wire.Entry_MEMBERSHIP {
 			m = new(wire.Peers)
 		}
 		if err := proto.Unmarshal(e.Data, m); err != nil {
--- a/internal/dataplane/entry/cluster.go
+++ b/internal/dataplane/entry/cluster.go
@@ -49,7 +49,7 @@
 		return
 	}
 	b.index = c.To
-	if b.listed == nil || c.Whole {
+	if b.listed == nil || c.Full {
 		b.replace(c)
 		return
 	}
@@ -104,7 +104,7 @@
 
 // place lists a server among those that may be sent to, or takes it off.
 func (b *ClusterStateBuilder) place(edit *cowmap.Editor[*wire.Server], s *wire.Server) {
-	usable := !s.Draining && !s.Leaving && !b.silent[s.Node] && !(b.gone != nil && b.gone(s.Node))
+	usable := !s.Draining && !s.NodeLeaving && !b.silent[s.Node] && !(b.gone != nil && b.gone(s.Node))
 	now, there := edit.Get(s.Member)
 	switch {
 	case usable && now != s:
@@ -193,7 +193,7 @@
 		delete(nodes, zone)
 	}
 	for _, m := range members {
-		if zones[m.Zone] && !m.Core && m.State == wire.Member_ALIVE {
+		if zones[m.Zone] && !m.QuorumMember && m.State == wire.Member_ALIVE {
 			nodes[m.Zone] = append(nodes[m.Zone], m.Name)
 		}
 	}
--- a/internal/dataplane/entry/cluster_test.go
+++ b/internal/dataplane/entry/cluster_test.go
@@ -66,7 +66,7 @@
 
 // whole is all that there is.
 func (s *stateSource) whole() *wire.Changes {
-	c := &wire.Changes{To: s.index, Whole: true}
+	c := &wire.Changes{To: s.index, Full: true}
 	for _, srv := range s.servers {
 		c.Resources = append(c.Resources, &wire.Resource{Index: s.index, Value: &wire.Resource_Server{Server: srv}})
 	}
@@ -184,7 +184,7 @@
 		}
 		var config *meshconfig.Config
 		config = config.Apply(p)
-		whole := &wire.Changes{To: 1, Whole: true}
+		whole := &wire.Changes{To: 1, Full: true}
 		for i := range servers {
 			whole.Resources = append(whole.Resources, benchServer(i, services, nodes, 1))
 		}
--- a/internal/dataplane/entry/entry_test.go
+++ b/internal/dataplane/entry/entry_test.go
@@ -55,30 +55,30 @@
 // TestTries: what may have run is repeated only where that does no harm, and what
 // has not run goes to another server, or is given back with a time to return.
 func TestTries(t *testing.T) {
-	answered := func(status int32) *wire.Outcome {
-		return &wire.Outcome{Fate: wire.Outcome_ANSWERED, Status: status}
+	answered := func(status int32) *wire.ForwardResponse {
+		return &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: status}
 	}
-	fate := func(f wire.Outcome_Fate) *wire.Outcome { return &wire.Outcome{Fate: f} }
+	fate := func(f wire.ForwardResponse_Result) *wire.ForwardResponse { return &wire.ForwardResponse{Result: f} }
 	for _, c := range []struct {
 		name, path string
-		outs       []*wire.Outcome
+		outs       []*wire.ForwardResponse
 		pass       bool
 		status     int
 		promise    bool
 	}{
-		{"an answer", "/once/", []*wire.Outcome{answered(200)}, true, 0, false},
-		{"not run", "/once/", []*wire.Outcome{fate(wire.Outcome_UNRUN), answered(200)}, true, 0, false},
-		{"turned away", "/once/", []*wire.Outcome{fate(wire.Outcome_UNSENT), fate(wire.Outcome_UNSENT), answered(200)}, true, 0, false},
-		{"never run", "/once/", []*wire.Outcome{fate(wire.Outcome_UNRUN), fate(wire.Outcome_UNRUN), fate(wire.Outcome_UNRUN)}, false, 503, true},
-		{"broken once", "/once/", []*wire.Outcome{fate(wire.Outcome_BROKEN)}, false, 502, false},
-		{"late once", "/once/", []*wire.Outcome{fate(wire.Outcome_LATE)}, false, 504, false},
-		{"not run, then broken", "/once/", []*wire.Outcome{fate(wire.Outcome_UNRUN), fate(wire.Outcome_BROKEN)}, false, 502, false},
-		{"broken, repeated", "/safe/", []*wire.Outcome{fate(wire.Outcome_BROKEN), answered(200)}, true, 0, false},
-		{"broken, then not run", "/safe/", []*wire.Outcome{fate(wire.Outcome_BROKEN), fate(wire.Outcome_UNRUN), fate(wire.Outcome_UNRUN)}, false, 502, false},
-		{"an error, repeated", "/safe/", []*wire.Outcome{answered(500), answered(200)}, true, 0, false},
-		{"an error", "/once/", []*wire.Outcome{answered(500)}, true, 0, false},
-		{"a promise that nobody made", "/once/", []*wire.Outcome{answered(429)}, false, 502, false},
-		{"no more tries", "/safe/", []*wire.Outcome{fate(wire.Outcome_BROKEN), fate(wire.Outcome_LATE), fate(wire.Outcome_BROKEN)}, false, 502, false},
+		{"an answer", "/once/", []*wire.ForwardResponse{answered(200)}, true, 0, false},
+		{"not run", "/once/", []*wire.ForwardResponse{fate(wire.ForwardResponse_NOT_RUN), answered(200)}, true, 0, false},
+		{"turned away", "/once/", []*wire.ForwardResponse{fate(wire.ForwardResponse_NOT_SENT), fate(wire.ForwardResponse_NOT_SENT), answered(200)}, true, 0, false},
+		{"never run", "/once/", []*wire.ForwardResponse{fate(wire.ForwardResponse_NOT_RUN), fate(wire.ForwardResponse_NOT_RUN), fate(wire.ForwardResponse_NOT_RUN)}, false, 503, true},
+		{"broken once", "/once/", []*wire.ForwardResponse{fate(wire.ForwardResponse_BROKEN)}, false, 502, false},
+		{"late once", "/once/", []*wire.ForwardResponse{fate(wire.ForwardResponse_DEADLINE_EXCEEDED)}, false, 504, false},
+		{"not run, then broken", "/once/", []*wire.ForwardResponse{fate(wire.ForwardResponse_NOT_RUN), fate(wire.ForwardResponse_BROKEN)}, false, 502, false},
+		{"broken, repeated", "/safe/", []*wire.ForwardResponse{fate(wire.ForwardResponse_BROKEN), answered(200)}, true, 0, false},
+		{"broken, then not run", "/safe/", []*wire.ForwardResponse{fate(wire.ForwardResponse_BROKEN), fate(wire.ForwardResponse_NOT_RUN), fate(wire.ForwardResponse_NOT_RUN)}, false, 502, false},
+		{"an error, repeated", "/safe/", []*wire.ForwardResponse{answered(500), answered(200)}, true, 0, false},
+		{"an error", "/once/", []*wire.ForwardResponse{answered(500)}, true, 0, false},
+		{"a promise that nobody made", "/once/", []*wire.ForwardResponse{answered(429)}, false, 502, false},
+		{"no more tries", "/safe/", []*wire.ForwardResponse{fate(wire.ForwardResponse_BROKEN), fate(wire.ForwardResponse_DEADLINE_EXCEEDED), fate(wire.ForwardResponse_BROKEN)}, false, 502, false},
 	} {
 		r := table(t, 6).enter(t, c.path)
 		asked := map[string]bool{}
@@ -118,7 +118,7 @@
 	}
 	late := table(t, 2).enter(t, "/safe/")
 	id := late.Next(0).Server
-	out := &wire.Outcome{Fate: wire.Outcome_LATE}
+	out := &wire.ForwardResponse{Result: wire.ForwardResponse_DEADLINE_EXCEEDED}
 	if f, _ := late.Done(2*time.Second, id, out, Result(out)); f == nil || f.Status != 504 {
 		t.Errorf("at its deadline: %v", f)
 	}
@@ -130,7 +130,7 @@
 	tab := table(t, 4)
 	route := tab.ClusterState().Config.Find("h", "/safe/")
 	for range 40 {
-		tab.learn(0, route.Name, &wire.Outcome{Called: []*wire.Called{{Service: "s", Times: 2}}})
+		tab.learn(0, route.Name, &wire.ForwardResponse{Calls: []*wire.CallCount{{Service: "s", Count: 2}}})
 	}
 	if len(tab.behind(0, route)) != 1 {
 		t.Fatalf("%d services behind", len(tab.behind(0, route)))
@@ -151,7 +151,7 @@
 	if refused == 0 || inner > 0 {
 		t.Errorf("%d entries and %d inner calls refused", refused, inner)
 	}
-	if got := Result(&wire.Outcome{Fate: wire.Outcome_UNSENT, Gone: true}); got != decide.NotSent {
+	if got := Result(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: true}); got != decide.NotSent {
 		t.Errorf("%v", got)
 	}
 }
@@ -159,21 +159,21 @@
 // TestHedge: a repeatable request whose first server takes far too long has a second one, and whatever the first then
 // says takes no answer away that the second can still give.
 func TestHedge(t *testing.T) {
-	fate := func(f wire.Outcome_Fate) *wire.Outcome { return &wire.Outcome{Fate: f} }
-	good, bad := &wire.Outcome{Status: 200}, &wire.Outcome{Status: 500}
+	fate := func(f wire.ForwardResponse_Result) *wire.ForwardResponse { return &wire.ForwardResponse{Result: f} }
+	good, bad := &wire.ForwardResponse{Status: 200}, &wire.ForwardResponse{Status: 500}
 	for _, c := range []struct {
 		name          string
-		first, second *wire.Outcome
+		first, second *wire.ForwardResponse
 		pass          bool // with the second's end
 		status        int
 	}{
-		{"the second answers", fate(wire.Outcome_BROKEN), good, true, 0},
+		{"the second answers", fate(wire.ForwardResponse_BROKEN), good, true, 0},
 		{"the first fails itself", bad, good, true, 0},
-		{"the first had not run", fate(wire.Outcome_UNRUN), good, true, 0},
-		{"both break", fate(wire.Outcome_BROKEN), fate(wire.Outcome_BROKEN), false, 502},
+		{"the first had not run", fate(wire.ForwardResponse_NOT_RUN), good, true, 0},
+		{"both break", fate(wire.ForwardResponse_BROKEN), fate(wire.ForwardResponse_BROKEN), false, 502},
 	} {
 		tab := table(t, 4)
-		tab.learn(0, "safe", &wire.Outcome{Status: 200, TookMs: 60})
+		tab.learn(0, "safe", &wire.ForwardResponse{Status: 200, TookMs: 60})
 		r := tab.enter(t, "/safe/")
 		r.Route.MaxAttempts = 2
 		if after := r.HedgeAfter(); after != 120*ms {
@@ -196,7 +196,7 @@
 		}
 	}
 	tab := table(t, 4)
-	tab.learn(0, "once", &wire.Outcome{Status: 200, TookMs: 60})
+	tab.learn(0, "once", &wire.ForwardResponse{Status: 200, TookMs: 60})
 	if after := tab.enter(t, "/once/").HedgeAfter(); after != 0 {
 		t.Errorf("one that may run once has a second server after %v", after)
 	}
@@ -219,13 +219,13 @@
 		for range c.requests {
 			r := tab.enter(t, "/safe/")
 			for range c.turned {
-				r.Done(0, r.Next(0).Server, &wire.Outcome{Fate: wire.Outcome_UNSENT, Waiting: true}, decide.Unhealthy)
+				r.Done(0, r.Next(0).Server, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Queued: true}, decide.Unhealthy)
 			}
 			step := r.Next(0)
 			if queue := c.turned >= looks; step.Queue != queue && tab.service(0, "s").gate.Calm(0) {
 				t.Errorf("turned away %d times it may wait: %v", c.turned, step.Queue)
 			}
-			r.Done(0, step.Server, &wire.Outcome{Fate: wire.Outcome_ANSWERED, Status: 200}, decide.Served)
+			r.Done(0, step.Server, &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: 200}, decide.Served)
 			r.Leave(0)
 		}
 		if crowd := c.turned >= looks; tab.service(0, "s").gate.Calm(0) == crowd {
--- a/internal/dataplane/entry/request.go
+++ b/internal/dataplane/entry/request.go
@@ -116,15 +116,15 @@
 func (r *Request) Usual() time.Duration { return r.table.usual[r.Route.Name] }
 
 // end tells the picker of a try's end.
-func (r *Request) end(now time.Duration, id string, out *wire.Outcome, result decide.Result) {
-	word := decide.Word{Pace: float64(out.Pace), Fill: float64(out.Fill), Waiting: out.Waiting}
+func (r *Request) end(now time.Duration, id string, out *wire.ForwardResponse, result decide.Result) {
+	word := decide.Word{Pace: float64(out.RelativeLatency), Fill: float64(out.Utilization), Waiting: out.Queued}
 	r.service.picker.End(now, id, result, word)
 }
 
 // Late takes what came of a try after the final answer.
-func (r *Request) Late(now time.Duration, id string, out *wire.Outcome, result decide.Result) {
+func (r *Request) Late(now time.Duration, id string, out *wire.ForwardResponse, result decide.Result) {
 	r.end(now, id, out, result)
-	if out.Fate == wire.Outcome_ANSWERED {
+	if out.Result == wire.ForwardResponse_ANSWERED {
 		r.table.learn(now, r.Route.Name, out)
 	}
 }
@@ -216,13 +216,13 @@
 
 // Done takes what came of a try. It returns the final answer, or none; pass: the server's own answer is the final
 // one. Where there is none, the tries that are still under way go on, and without any Next does.
-func (r *Request) Done(now time.Duration, id string, out *wire.Outcome, result decide.Result) (final *Final, pass bool) {
+func (r *Request) Done(now time.Duration, id string, out *wire.ForwardResponse, result decide.Result) (final *Final, pass bool) {
 	r.end(now, id, out, result)
 	r.open = slices.DeleteFunc(r.open, func(o string) bool { return o == id })
-	if len(r.reached) == 0 && !r.crowded && out.Fate != wire.Outcome_UNSENT {
+	if len(r.reached) == 0 && !r.crowded && out.Result != wire.ForwardResponse_NOT_SENT {
 		r.service.gate.Room(now, true)
 	}
-	if out.Fate == wire.Outcome_UNSENT {
+	if out.Result == wire.ForwardResponse_NOT_SENT {
 		r.turned++
 		r.unhealthy = r.unhealthy || out.Unhealthy
 		if len(r.open) > 0 {
@@ -235,15 +235,15 @@
 	}
 	r.reached = append(r.reached, id) // it gets no second try there
 	r.since = now
-	if len(r.open) > 0 && (out.Fate != wire.Outcome_ANSWERED || out.Status >= 500) {
-		r.ran = r.ran || out.Fate != wire.Outcome_UNRUN
+	if len(r.open) > 0 && (out.Result != wire.ForwardResponse_ANSWERED || out.Status >= 500) {
+		r.ran = r.ran || out.Result != wire.ForwardResponse_NOT_RUN
 		return nil, false // the other may do better
 	}
-	switch out.Fate {
-	case wire.Outcome_ANSWERED:
+	switch out.Result {
+	case wire.ForwardResponse_ANSWERED:
 		r.table.learn(now, r.Route.Name, out)
 		return r.answered(now, int(out.Status))
-	case wire.Outcome_UNRUN:
+	case wire.ForwardResponse_NOT_RUN:
 		if !r.mayRepeat(now) {
 			return r.giveUp(now, "the servers have no room"), false
 		}
@@ -253,7 +253,7 @@
 			return &Final{Status: 504, Why: "no answer in time"}, false
 		}
 		if r.Once() || !r.mayRepeat(now) {
-			if out.Fate == wire.Outcome_LATE {
+			if out.Result == wire.ForwardResponse_DEADLINE_EXCEEDED {
 				return &Final{Status: 504, Why: "no answer in time"}, false
 			}
 			return &Final{Status: 502, Why: "the server gave no proper answer"}, false
@@ -308,24 +308,24 @@
 }
 
 // Result is what the outcome of a try says of the server.
-func Result(out *wire.Outcome) decide.Result {
-	switch out.Fate {
-	case wire.Outcome_ANSWERED:
+func Result(out *wire.ForwardResponse) decide.Result {
+	switch out.Result {
+	case wire.ForwardResponse_ANSWERED:
 		if out.Status >= 500 {
 			return decide.Errored
 		}
 		return decide.Served
-	case wire.Outcome_UNSENT:
+	case wire.ForwardResponse_NOT_SENT:
 		switch {
-		case out.Gone:
+		case out.Terminated:
 			return decide.NotSent
 		case out.Unhealthy:
 			return decide.Unhealthy
 		}
 		return decide.Full
-	case wire.Outcome_UNRUN:
+	case wire.ForwardResponse_NOT_RUN:
 		return decide.Full
-	case wire.Outcome_LATE:
+	case wire.ForwardResponse_DEADLINE_EXCEEDED:
 		return decide.TimedOut
 	}
 	return decide.Broken
--- a/internal/dataplane/entry/table.go
+++ b/internal/dataplane/entry/table.go
@@ -93,8 +93,8 @@
 }
 
 // learn notes how long a run of a route has taken, and which services it has called.
-func (t *Table) learn(now time.Duration, route string, out *wire.Outcome) {
-	called := out.Called
+func (t *Table) learn(now time.Duration, route string, out *wire.ForwardResponse) {
+	called := out.Calls
 	if took := time.Duration(out.TookMs) * time.Millisecond; took > 0 && out.Status < 500 {
 		if t.usual[route] == 0 {
 			t.usual[route] = took
@@ -115,7 +115,7 @@
 	for _, c := range called {
 		s := t.service(now, c.Service)
 		if _, known := g[c.Service]; known || s != nil {
-			g[c.Service] += float64(c.Times) * graphGain
+			g[c.Service] += float64(c.Count) * graphGain
 		}
 		if s != nil {
 			s.gate.Told(now, c.Pressure)
--- a/internal/dataplane/localserver/register.go
+++ b/internal/dataplane/localserver/register.go
@@ -34,10 +34,10 @@
 	for _, b := range servers {
 		want := &wire.Server{
 			Member: b.ID, Service: b.Service, Node: m.Node, Address: m.Address, Zone: m.Zone,
-			Slots: uint32(b.Slots), Draining: b.Draining, Leaving: m.Leaving, Speaks: speaks,
+			Slots: uint32(b.Slots), Draining: b.Draining, NodeLeaving: m.Leaving, ProtocolVersion: speaks,
 		}
 		if !proto.Equal(want, old[b.ID]) {
-			todo = append(todo, &wire.Command{What: &wire.Command_Server{Server: want}})
+			todo = append(todo, &wire.Command{Change: &wire.Command_Server{Server: want}})
 		}
 		delete(old, b.ID)
 	}
@@ -49,5 +49,5 @@
 		gone = append(gone, id)
 	}
 	slices.Sort(gone)
-	return append(todo, &wire.Command{What: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}})
+	return append(todo, &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}})
 }
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -78,9 +78,9 @@
 
 // EndOf says what an outcome shows of the server. Its own 504 says that the time was up, which may be its callers' or
 // its calls' doing; runs that take far too long are counted while they last.
-func EndOf(out *wire.Outcome) health.End {
-	switch out.Fate {
-	case wire.Outcome_ANSWERED:
+func EndOf(out *wire.ForwardResponse) health.End {
+	switch out.Result {
+	case wire.ForwardResponse_ANSWERED:
 		if out.Status == 504 {
 			return health.Void
 		}
@@ -88,12 +88,12 @@
 			return health.Erred
 		}
 		return health.Served
-	case wire.Outcome_UNRUN: // it has turned away what it had a slot for
-		if out.Gone {
+	case wire.ForwardResponse_NOT_RUN: // it has turned away what it had a slot for
+		if out.Terminated {
 			return health.Void
 		}
 		return health.Erred
-	case wire.Outcome_LATE:
+	case wire.ForwardResponse_DEADLINE_EXCEEDED:
 		return health.Late
 	}
 	return health.Broken
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -20,7 +20,7 @@
 // try is one, with its end where it has ended.
 type try struct {
 	server string
-	out    *wire.Outcome
+	out    *wire.ForwardResponse
 	result decide.Result
 }
 
@@ -168,7 +168,7 @@
 	return o.end(ctx, c, call, t)
 }
 
-var forwards = sync.Pool{New: func() any { return new(wire.Forward) }}
+var forwards = sync.Pool{New: func() any { return new(wire.ForwardRequest) }}
 
 // begin asks the node beside a server to pass the request on. Where there is no call then, the try has ended. dial is
 // the context of the way there, ctx that of the call.
@@ -185,15 +185,15 @@
 	until := o.began.Add(r.Until)
 	peer, err := o.Pool.Live(dial, until, server.Address)
 	if err == nil {
-		q := forwards.Get().(*wire.Forward)
+		q := forwards.Get().(*wire.ForwardRequest)
 		fields := messages.Get().(*[]byte)
 		q.Member, q.Service, q.Method, q.Target, q.Body, q.Caller = t.server, r.Service, c.Method, c.Target, c.Body, o.Backend
-		q.Priority, q.Attempt, q.Repeat = r.Rank, c.Headers.Get("Attempt-Id"), step.Repeat
-		q.LeftMs = uint32(max(1, (r.Until - o.now()).Milliseconds()))
-		q.Zone, q.Once, q.UsualMs, q.Insist, q.Wait = o.Zone, r.Once(), uint32(step.Usual.Milliseconds()), step.Insist, step.Queue
+		q.Priority, q.Attempt, q.Retry = r.Rank, c.Headers.Get("Attempt-Id"), step.Repeat
+		q.TimeLeftMs = uint32(max(1, (r.Until - o.now()).Milliseconds()))
+		q.Zone, q.NonIdempotent, q.TypicalLatencyMs, q.IgnoreEjection, q.MayQueue = o.Zone, r.Once(), uint32(step.Usual.Milliseconds()), step.Insist, step.Queue
 		q.Fields = http1.AppendEndToEnd((*fields)[:0], c.Headers, "Attempt-Id", "Time-Budget", "Target-Instance", "Caller-Service")
 		line := q.Fields
-		if server.Speaks < localserver.SpeaksFields {
+		if server.ProtocolVersion < localserver.SpeaksFields {
 			q.Headers, q.Fields = spell(q.Fields, q.Attempt), nil
 		}
 		var call *rpc.Stream
@@ -214,7 +214,7 @@
 
 // end waits for what becomes of a call.
 func (o *Outbound) end(ctx context.Context, c *Call, call *rpc.Stream, t try) try {
-	out := new(wire.Outcome)
+	out := new(wire.ForwardResponse)
 	if err := call.Answer(out); err != nil {
 		return o.lost(ctx, c, t, err)
 	}
@@ -222,8 +222,8 @@
 	return t
 }
 
-func noAnswer() *wire.Outcome {
-	return &wire.Outcome{Fate: wire.Outcome_LATE, Why: "no answer in time"}
+func noAnswer() *wire.ForwardResponse {
+	return &wire.ForwardResponse{Result: wire.ForwardResponse_DEADLINE_EXCEEDED, Reason: "no answer in time"}
 }
 
 // lost is a try that may have arrived and has brought no word of what has become of it: whatever the error says, it
@@ -234,13 +234,13 @@
 		t.out, t.result = noAnswer(), decide.TimedOut
 	default:
 		o.Log.Debug("request.broken", "attempt", c.Headers.Get("Attempt-Id"), "server", t.server, "err", err)
-		t.out, t.result = &wire.Outcome{Fate: wire.Outcome_BROKEN, Why: err.Error()}, decide.Broken
+		t.out, t.result = &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}, decide.Broken
 	}
 	return t
 }
 
 // served is a server's answer to the request with this id as the client gets it.
-func served(out *wire.Outcome, attempt string) *Answer {
+func served(out *wire.ForwardResponse, attempt string) *Answer {
 	a := &Answer{Status: int(out.Status), Fields: out.Fields, Body: out.Body}
 	if len(out.Headers) > 0 {
 		a.Fields = lines(out.Headers)
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -17,16 +17,16 @@
 	"ivydeck/internal/transport/wire"
 )
 
-func unsent(gone bool, format string, args ...any) *wire.Outcome {
-	return &wire.Outcome{Fate: wire.Outcome_UNSENT, Gone: gone, Why: fmt.Sprintf(format, args...)}
+func unsent(gone bool, format string, args ...any) *wire.ForwardResponse {
+	return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: gone, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Forward passes a request to the server that it names, or turns it away.
-func (in *Inbound) Forward(ctx context.Context, q *wire.Forward) (*wire.Outcome, error) {
-	until := time.Now().Add(time.Duration(q.LeftMs) * time.Millisecond)
+func (in *Inbound) Forward(ctx context.Context, q *wire.ForwardRequest) (*wire.ForwardResponse, error) {
+	until := time.Now().Add(time.Duration(q.TimeLeftMs) * time.Millisecond)
 	ask := localserver.Ask{
-		Member: q.Member, Service: q.Service, Attempt: q.Attempt, Priority: q.Priority, Repeat: q.Repeat, Wait: q.Wait,
-		Call: health.Call{Zone: q.Zone, Usual: time.Duration(q.UsualMs) * time.Millisecond, Once: q.Once, Insist: q.Insist},
+		Member: q.Member, Service: q.Service, Attempt: q.Attempt, Priority: q.Priority, Repeat: q.Retry, Wait: q.MayQueue,
+		Call: health.Call{Zone: q.Zone, Usual: time.Duration(q.TypicalLatencyMs) * time.Millisecond, Once: q.NonIdempotent, Insist: q.IgnoreEjection},
 	}
 	a, refused := in.admit(ctx, ask, until)
 	if refused != nil {
@@ -44,7 +44,7 @@
 
 // admit waits for a slot of the server that a request names. It returns the server, or the outcome of a request that is
 // turned away.
-func (in *Inbound) admit(ctx context.Context, ask localserver.Ask, until time.Time) (*app, *wire.Outcome) {
+func (in *Inbound) admit(ctx context.Context, ask localserver.Ask, until time.Time) (*app, *wire.ForwardResponse) {
 	in.mu.Lock()
 	t := in.spare
 	if in.spare = nil; t == nil {
@@ -73,9 +73,9 @@
 	case localserver.Hangs:
 		return nil, unsent(false, "%s", why)
 	case localserver.Unhealthy:
-		return nil, &wire.Outcome{Fate: wire.Outcome_UNSENT, Why: why, Unhealthy: true}
+		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: why, Unhealthy: true}
 	case localserver.Full:
-		return nil, &wire.Outcome{Fate: wire.Outcome_UNSENT, Why: why, Waiting: true}
+		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: why, Queued: true}
 	case localserver.Queue:
 		if why := in.await(ctx, ask, t, until); why != "" {
 			return nil, unsent(false, "%s", why)
@@ -85,30 +85,30 @@
 }
 
 // finish books the end of a run, and adds to its outcome what the node has learnt from it.
-func (in *Inbound) finish(a *app, q *wire.Forward, out *wire.Outcome, end health.End, began time.Duration) {
+func (in *Inbound) finish(a *app, q *wire.ForwardRequest, out *wire.ForwardResponse, end health.End, began time.Duration) {
 	in.mu.Lock()
 	now := in.now()
 	f := in.admission.Finish(now, q.Member, q.Attempt, end)
 	deliver(f.Verdicts)
 	a.load.busy += now - began
 	in.mu.Unlock()
-	out.Waiting, out.Pace, out.Fill = f.Waiting, float32(f.Pace), float32(f.Fill)
+	out.Queued, out.RelativeLatency, out.Utilization = f.Waiting, float32(f.Pace), float32(f.Fill)
 	out.TookMs = uint32((now - began).Milliseconds())
 	if in.Trace != nil {
-		in.Trace(trace.Record{Attempt: q.Attempt, Began: began, Took: now - began, Service: q.Service, Server: q.Member, Status: int(out.Status), Why: out.Why})
+		in.Trace(trace.Record{Attempt: q.Attempt, Began: began, Took: now - began, Service: q.Service, Server: q.Member, Status: int(out.Status), Why: out.Reason})
 	}
 	if f.Ejected {
-		in.Log.Warn("server.ejected", "member", q.Member, "zone", q.Zone, "last", out.Fate.String(), "status", out.Status, "why", out.Why)
+		in.Log.Warn("server.ejected", "member", q.Member, "zone", q.Zone, "last", out.Result.String(), "status", out.Status, "why", out.Reason)
 	}
 	if f.Restored {
 		in.Log.Info("server.restored", "member", q.Member, "zone", q.Zone)
 	}
 	for _, c := range f.Called {
-		w := &wire.Called{Service: c.Service, Times: c.Times}
+		w := &wire.CallCount{Service: c.Service, Count: c.Times}
 		if in.Pressure != nil {
 			w.Pressure = in.Pressure(c.Service)
 		}
-		out.Called = append(out.Called, w)
+		out.Calls = append(out.Calls, w)
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 // send makes one attempt at the server. calledOff tells that it ended because its sender no longer wants it.
-func (a *app) send(ctx context.Context, q *wire.Forward, until time.Time) (out *wire.Outcome, calledOff bool) {
+func (a *app) send(ctx context.Context, q *wire.ForwardRequest, until time.Time) (out *wire.ForwardResponse, calledOff bool) {
 	c, err := a.connect(ctx, until)
 	left := time.Until(until)
 	if left < minLeft || ctx.Err() != nil {
@@ -166,19 +166,19 @@
 		c.nc.Close()
 		if n < whole {
 			// Its end never left, but what a server makes of a part is its own affair.
-			return &wire.Outcome{Fate: wire.Outcome_BROKEN, Why: "writing: " + err.Error()}, false
+			return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "writing: " + err.Error()}, false
 		}
 	}
 	body, err := c.read(q.Method, q.Attempt)
 	clean := stop()
 	if err != nil {
 		c.nc.Close()
-		out := &wire.Outcome{Fate: wire.Outcome_BROKEN, Why: err.Error()}
+		out := &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}
 		switch {
 		case ctx.Err() != nil:
-			out.Why, calledOff = calledOffText, true
+			out.Reason, calledOff = calledOffText, true
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			out.Fate = wire.Outcome_LATE
+			out.Result = wire.ForwardResponse_DEADLINE_EXCEEDED
 		}
 		return out, calledOff
 	}
@@ -203,7 +203,7 @@
 }
 
 // appendForward writes a request as its server gets it.
-func appendForward(dst []byte, q *wire.Forward, left time.Duration) []byte {
+func appendForward(dst []byte, q *wire.ForwardRequest, left time.Duration) []byte {
 	dst = http1.AppendRequestLine(dst, q.Method, q.Target)
 	if len(q.Headers) > 0 {
 		dst = append(dst, lines(q.Headers)...)
@@ -222,22 +222,22 @@
 // judge tells what an answer means. used says that the connection has carried a request before, so that an answer
 // may be a surplus one to it. Only its id tells whose an answer is, and nothing that it says is believed before
 // that: a promise that another request has not run, or another's body, must not become this one's.
-func judge(q *wire.Forward, resp *http1.Response, body []byte, used bool) *wire.Outcome {
+func judge(q *wire.ForwardRequest, resp *http1.Response, body []byte, used bool) *wire.ForwardResponse {
 	unrun := resp.Headers.Count("Not-Executed") > 0 || resp.Status == 421
 	switch id := resp.Headers.Get("Attempt-Id"); {
 	case id == q.Attempt:
 	case id != "":
-		return &wire.Outcome{Fate: wire.Outcome_BROKEN, Why: "the answer to another request"}
+		return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "the answer to another request"}
 	case !unrun || used: // a server may turn a request away before it has read whose it is
-		return &wire.Outcome{Fate: wire.Outcome_BROKEN, Why: "an answer without an id"}
+		return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "an answer without an id"}
 	}
 	if unrun {
-		return &wire.Outcome{Fate: wire.Outcome_UNRUN, Status: int32(resp.Status), Gone: resp.Status == 421}
+		return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_RUN, Status: int32(resp.Status), Terminated: resp.Status == 421}
 	}
 	if resp.Status/100 == 2 && (resp.Headers.Get("Server-Seal") == "" || resp.Headers.Count("Content-Encoding") > 0) {
-		return &wire.Outcome{Fate: wire.Outcome_BROKEN, Why: "not the server's own body"}
+		return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "not the server's own body"}
 	}
-	out := &wire.Outcome{Fate: wire.Outcome_ANSWERED, Status: int32(resp.Status), Body: body}
+	out := &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: int32(resp.Status), Body: body}
 	out.Fields = http1.AppendEndToEnd(make([]byte, 0, 256), resp.Headers, "Attempt-Id")
 	if len(q.Headers) > 0 {
 		out.Headers, out.Fields = spell(out.Fields, q.Attempt), nil
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -91,17 +91,17 @@
 		id      string
 		promise bool
 		used    bool
-		want    wire.Outcome_Fate
+		want    wire.ForwardResponse_Result
 	}{
-		{200, "a", false, true, wire.Outcome_ANSWERED},
-		{503, "a", true, true, wire.Outcome_UNRUN},
-		{421, "a", false, true, wire.Outcome_UNRUN},
-		{503, "b", true, true, wire.Outcome_BROKEN},
-		{421, "b", false, false, wire.Outcome_BROKEN},
-		{503, "", true, true, wire.Outcome_BROKEN},
-		{503, "", true, false, wire.Outcome_UNRUN}, // nobody else has used the connection
-		{503, "", false, false, wire.Outcome_BROKEN},
-		{200, "", false, false, wire.Outcome_BROKEN},
+		{200, "a", false, true, wire.ForwardResponse_ANSWERED},
+		{503, "a", true, true, wire.ForwardResponse_NOT_RUN},
+		{421, "a", false, true, wire.ForwardResponse_NOT_RUN},
+		{503, "b", true, true, wire.ForwardResponse_BROKEN},
+		{421, "b", false, false, wire.ForwardResponse_BROKEN},
+		{503, "", true, true, wire.ForwardResponse_BROKEN},
+		{503, "", true, false, wire.ForwardResponse_NOT_RUN}, // nobody else has used the connection
+		{503, "", false, false, wire.ForwardResponse_BROKEN},
+		{200, "", false, false, wire.ForwardResponse_BROKEN},
 	} {
 		resp := &http1.Response{Status: c.status, Headers: http1.Headers{{Name: "Server-Seal", Value: "s"}}}
 		if c.id != "" {
@@ -110,8 +110,8 @@
 		if c.promise {
 			resp.Headers = append(resp.Headers, http1.Header{Name: "Not-Executed", Value: "1"})
 		}
-		if out := judge(&wire.Forward{Attempt: "a"}, resp, nil, c.used); out.Fate != c.want {
-			t.Errorf("%+v: %v", c, out.Fate)
+		if out := judge(&wire.ForwardRequest{Attempt: "a"}, resp, nil, c.used); out.Result != c.want {
+			t.Errorf("%+v: %v", c, out.Result)
 		}
 	}
 }
--- a/internal/dataplane/proxy/schedule_test.go
+++ b/internal/dataplane/proxy/schedule_test.go
@@ -130,14 +130,14 @@
 }
 
 // wants tells whether an outcome is true of what the server did.
-func (do behaviour) wants(id string, out *wire.Outcome) bool {
+func (do behaviour) wants(id string, out *wire.ForwardResponse) bool {
 	switch do {
 	case cutInHead, cutInBody, silentEnd, otherPromise, otherCloses:
-		return out.Fate == wire.Outcome_BROKEN
+		return out.Result == wire.ForwardResponse_BROKEN
 	case ownPromise:
-		return out.Fate == wire.Outcome_UNRUN
+		return out.Result == wire.ForwardResponse_NOT_RUN
 	}
-	return out.Fate == wire.Outcome_ANSWERED && string(out.Body) == id
+	return out.Result == wire.ForwardResponse_ANSWERED && string(out.Body) == id
 }
 
 // TestServerAnswersReachTheirRequests plays all scripts of so many behaviours on the connections to one server, by the
@@ -176,12 +176,12 @@
 		in.Heartbeat(Heartbeat{ID: "i", Service: "s", Address: l.Addr().String(), Slots: 1}, time.Now())
 		for i, do := range script {
 			id := fmt.Sprintf("n%d-%d", n, i)
-			q := &wire.Forward{Member: "i", Service: "s", Method: "POST", Target: "/", Attempt: id, Once: true, Insist: true, LeftMs: 20000}
+			q := &wire.ForwardRequest{Member: "i", Service: "s", Method: "POST", Target: "/", Attempt: id, NonIdempotent: true, IgnoreEjection: true, TimeLeftMs: 20000}
 			out, err := in.Forward(context.Background(), q)
 			// A surplus answer left behind by the request before may end a request's connection, never its truth.
-			broken := err == nil && i > 0 && out.Fate == wire.Outcome_BROKEN
+			broken := err == nil && i > 0 && out.Result == wire.ForwardResponse_BROKEN
 			if err != nil || !do.wants(id, out) && !broken {
-				t.Fatalf("script %v, request %d: %v %q, %v", script, i, out.Fate, out.Body, err)
+				t.Fatalf("script %v, request %d: %v %q, %v", script, i, out.Result, out.Body, err)
 			}
 		}
 		server.mu.Lock()
@@ -276,7 +276,7 @@
 	cut := newCutter(t, address(&cluster), address(successor.out.cluster()))
 	edit := cluster.Servers.Edit()
 	for _, id := range []string{"i-1", "i-2"} {
-		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: cut.l.Addr().String(), Zone: "z", Speaks: localserver.SpeaksFields})
+		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: cut.l.Addr().String(), Zone: "z", ProtocolVersion: localserver.SpeaksFields})
 	}
 	cluster.Servers = edit.Map()
 	statuses := map[int]int{}
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -169,7 +169,7 @@
 func (n *Node) share() {
 	nodes := 0
 	for _, m := range n.gossip.Members() {
-		if !m.Core {
+		if !m.QuorumMember {
 			nodes++
 		}
 	}
--- a/internal/dataplane/sidecar/trace.go
+++ b/internal/dataplane/sidecar/trace.go
@@ -22,16 +22,16 @@
 }
 
 // trace tells what this node has kept of a request.
-func (n *Node) trace(_ context.Context, q *wire.Trace) (*wire.Traces, error) {
-	answer := new(wire.Traces)
+func (n *Node) trace(_ context.Context, q *wire.TraceRequest) (*wire.TraceResponse, error) {
+	answer := new(wire.TraceResponse)
 	if n.traces == nil {
 		return answer, nil
 	}
 	now := time.Since(n.began)
 	for _, r := range n.traces.Of(q.Attempt) {
-		answer.Traces = append(answer.Traces, &wire.Traced{
+		answer.Traces = append(answer.Traces, &wire.RequestTrace{
 			Attempt: r.Attempt, Node: n.set.Load().Node, Entry: r.Entry, Route: r.Route, Service: r.Service, Server: r.Server,
-			Status: int32(r.Status), Why: r.Why, Tries: uint32(r.Tries), AgoMs: uint32((now - r.Began).Milliseconds()), TookMs: uint32(r.Took.Milliseconds()),
+			Status: int32(r.Status), Reason: r.Why, Attempts: uint32(r.Tries), AgoMs: uint32((now - r.Began).Milliseconds()), TookMs: uint32(r.Took.Milliseconds()),
 		})
 	}
 	return answer, nil
--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -24,7 +24,7 @@
 	}
 	a.leaderMu.Unlock()
 	for _, m := range a.Gossip.Members() {
-		if m.Core {
+		if m.QuorumMember {
 			others = append(others, m.Address)
 		}
 	}
@@ -107,8 +107,8 @@
 // LatestIndex asks the leader how far the updates have come.
 func (a *Agent) LatestIndex(ctx context.Context) (index uint64, ok bool) {
 	return atLeader(ctx, a, func(ctx context.Context, address string) (uint64, bool, string) {
-		answer := new(wire.Latest)
-		if err := a.Pool.Call(ctx, address, "latest", &wire.Ask{}, answer); err != nil {
+		answer := new(wire.LatestResponse)
+		if err := a.Pool.Call(ctx, address, "latest", &wire.Empty{}, answer); err != nil {
 			return 0, false, ""
 		}
 		return answer.Index, answer.Known, answer.Leader
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -53,11 +53,11 @@
 
 func (a *Agent) propose(ctx context.Context, cmd *wire.Command) bool {
 	_, ok := atLeader(ctx, a, func(ctx context.Context, address string) (struct{}, bool, string) {
-		answer := new(wire.Proposed)
-		if err := a.Pool.Call(ctx, address, "propose", &wire.Propose{Command: cmd}, answer); err != nil {
+		answer := new(wire.ProposeResponse)
+		if err := a.Pool.Call(ctx, address, "propose", &wire.ProposeRequest{Command: cmd}, answer); err != nil {
 			return struct{}{}, false, ""
 		}
-		return struct{}{}, answer.Done, answer.Leader
+		return struct{}{}, answer.Committed, answer.Leader
 	})
 	return ok
 }
--- a/internal/distribution/relay/follow.go
+++ b/internal/distribution/relay/follow.go
@@ -69,7 +69,7 @@
 	watchdog := time.AfterFunc(Silence, cancel)
 	defer watchdog.Stop()
 	subscription := Subscription{AskedAt: time.Since(began)}
-	s, err := f.Pool.Open(ctx, addr, "subscribe", &wire.Subscribe{Have: f.Hub.Index(), Node: f.Node, Format: Format})
+	s, err := f.Pool.Open(ctx, addr, "subscribe", &wire.SubscribeRequest{Have: f.Hub.Index(), Node: f.Node, Format: Format})
 	if err != nil {
 		return Failed, err
 	}
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -237,7 +237,7 @@
 
 // Serve feeds one child until it leaves.
 func (h *Hub) Serve(s *rpc.Stream) error {
-	ask := new(wire.Subscribe)
+	ask := new(wire.SubscribeRequest)
 	if err := s.Recv(ask); err != nil {
 		return err
 	}
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -96,7 +96,7 @@
 	own := order(self)
 	for _, m := range members {
 		switch {
-		case m.Core:
+		case m.QuorumMember:
 			// Each zone begins with another quorum member, where none stands in it.
 			quorum = append(quorum, place{order(m.Name) ^ own, m})
 		case m.Zone == zone && (m.State == wire.Member_ALIVE || m.Name == self):
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -15,7 +15,7 @@
 
 func members(n, zones int) (list []*wire.Member) {
 	for z := range zones {
-		list = append(list, &wire.Member{Name: fmt.Sprint("core", z), Address: fmt.Sprint("core", z), Zone: fmt.Sprint(z), Core: true})
+		list = append(list, &wire.Member{Name: fmt.Sprint("core", z), Address: fmt.Sprint("core", z), Zone: fmt.Sprint(z), QuorumMember: true})
 	}
 	for i := range n {
 		name := fmt.Sprint("node", i)
@@ -32,7 +32,7 @@
 	children := map[string][]string{}
 	for _, m := range all {
 		zone[m.Name] = m.Zone
-		if !m.Core {
+		if !m.QuorumMember {
 			p := Parents(m.Name, m.Zone, all)[0]
 			children[p] = append(children[p], m.Name)
 		}
@@ -90,7 +90,7 @@
 func TestALostParentIsPassedOver(t *testing.T) {
 	all := members(40, 1)
 	for _, m := range all {
-		if m.Core {
+		if m.QuorumMember {
 			continue
 		}
 		p := Parents(m.Name, m.Zone, all)
@@ -128,7 +128,7 @@
 	}
 	whole := func(to uint64) *wire.Changes {
 		c := change(0, to)
-		c.Whole = true
+		c.Full = true
 		return c
 	}
 	if !h.Apply(change(0, 1)) || !h.Apply(change(1, 2)) || h.Apply(change(3, 4)) || !h.Apply(change(0, 1)) || !h.Apply(change(2, 3)) || h.Index() != 3 {
@@ -137,7 +137,7 @@
 	if !h.Apply(whole(3)) || !h.Apply(whole(2)) || h.Index() != 3 || h.Config().Revision != 3 {
 		t.Errorf("went back to %d, revision %d", h.Index(), h.Config().Revision)
 	}
-	if f, _ := h.Feed(1, 0, 0); len(f.Changes.GetResources()) != 1 || f.Changes.Whole || f.Changes.From != 1 || f.Latest != 3 {
+	if f, _ := h.Feed(1, 0, 0); len(f.Changes.GetResources()) != 1 || f.Changes.Full || f.Changes.From != 1 || f.Latest != 3 {
 		t.Errorf("%v", f)
 	}
 	if f, _ := h.Feed(3, 0, 0); f.Changes != nil {
--- a/internal/distribution/relay/search_test.go
+++ b/internal/distribution/relay/search_test.go
@@ -243,22 +243,22 @@
 			byName[m.Name] = m
 		}
 		for _, m := range all {
-			if m.Core {
+			if m.QuorumMember {
 				continue
 			}
 			suspected := false
 			for _, name := range Parents(m.Name, m.Zone, all) {
 				p := byName[name]
-				if p.Core && p.State == wire.Member_ALIVE && suspected {
+				if p.QuorumMember && p.State == wire.Member_ALIVE && suspected {
 					t.Fatalf("seed %d: %s turns to a suspected quorum member before %s", seed, m.Name, name)
 				}
-				suspected = suspected || p.Core && p.State != wire.Member_ALIVE
+				suspected = suspected || p.QuorumMember && p.State != wire.Member_ALIVE
 			}
 			at, hops := m, 0
-			for ; !at.Core && hops <= len(all); hops++ {
+			for ; !at.QuorumMember && hops <= len(all); hops++ {
 				at = byName[Parents(at.Name, at.Zone, all)[0]]
 			}
-			if !at.Core {
+			if !at.QuorumMember {
 				t.Fatalf("seed %d: %s follows parents that follow each other", seed, m.Name)
 			}
 		}
--- a/internal/simulation/lab/core.go
+++ b/internal/simulation/lab/core.go
@@ -82,7 +82,7 @@
 }
 
 func (c *core) peer(voter bool) *wire.Peer {
-	return &wire.Peer{Id: c.disk.ID, Address: c.name, Control: c.name, Voter: voter}
+	return &wire.Peer{Id: c.disk.ID, Address: c.name, ControlAddress: c.name, Voter: voter}
 }
 
 func (c *core) stop(power bool) {
@@ -240,7 +240,7 @@
 	}
 	gone := c.catalog.On(func(node string) bool { return c.group.Lost(c.s.now, node, c.s.now-c.ledSince) })
 	if len(gone) > 0 && len(c.changes) == 0 {
-		c.propose(&wire.Command{What: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}}, func(error) {})
+		c.propose(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}}, func(error) {})
 	}
 }
 
@@ -291,7 +291,7 @@
 func (c *core) knownMembers() []string {
 	known := slices.Clone(c.s.seeds)
 	for _, member := range c.group.Members() {
-		if member.Core {
+		if member.QuorumMember {
 			known = append(known, member.Address)
 		}
 	}
--- a/internal/simulation/lab/peerview.go
+++ b/internal/simulation/lab/peerview.go
@@ -34,7 +34,7 @@
 
 func (v *peerView) start(s *sim, m *machine) {
 	v.s, v.m, v.children, v.pacing = s, m, nil, relay.Pacing{}
-	self := &wire.Member{Name: m.name, Address: m.name, Zone: m.zone, Core: m.core, Generation: m.incarnation}
+	self := &wire.Member{Name: m.name, Address: m.name, Zone: m.zone, QuorumMember: m.core, Generation: m.incarnation}
 	v.group = membership.New(self, s.rng.Uint64(), s.now)
 	if s.w.Steady && len(s.all) > 0 && s.now == 0 {
 		v.group.Load(s.now, s.all)
@@ -56,7 +56,7 @@
 }
 
 func (v *peerView) send(a membership.Action) {
-	v.exchange(a.Address, a.Probe, a.Wait(), func(answer *wire.Probed) {
+	v.exchange(a.Address, a.Probe, a.Wait(), func(answer *wire.ProbeResponse) {
 		for _, more := range v.group.Probed(v.s.now, a, answer) {
 			v.send(more)
 		}
@@ -64,7 +64,7 @@
 }
 
 // exchange sends a probe and takes in the answer; nil: none came.
-func (v *peerView) exchange(address string, p *wire.Probe, wait time.Duration, done func(*wire.Probed)) {
+func (v *peerView) exchange(address string, p *wire.ProbeRequest, wait time.Duration, done func(*wire.ProbeResponse)) {
 	to := v.s.views[address]
 	if to == nil {
 		done(nil)
@@ -90,7 +90,7 @@
 			reply(true)
 			return
 		}
-		to.exchange(p.Target.Address, &wire.Probe{From: to.group.Self()}, membership.ProbeTimeout, func(a *wire.Probed) { reply(a != nil) })
+		to.exchange(p.Target.Address, &wire.ProbeRequest{From: to.group.Self()}, membership.ProbeTimeout, func(a *wire.ProbeResponse) { reply(a != nil) })
 	}, func(bool) { done(nil) })
 }
 
--- a/internal/simulation/lab/request.go
+++ b/internal/simulation/lab/request.go
@@ -74,7 +74,7 @@
 	var step func()
 	try := func(next entry.Step) {
 		open++
-		n.attempt(t, r, next, func(out *wire.Outcome, result decide.Result) {
+		n.attempt(t, r, next, func(out *wire.ForwardResponse, result decide.Result) {
 			open--
 			if over {
 				r.Late(s.now, next.Server, out, result)
@@ -117,12 +117,12 @@
 }
 
 // attempt asks the node beside a server.
-func (n *node) attempt(t *try, r *entry.Request, step entry.Step, done func(*wire.Outcome, decide.Result)) {
+func (n *node) attempt(t *try, r *entry.Request, step entry.Step, done func(*wire.ForwardResponse, decide.Result)) {
 	id := step.Server
 	s := n.s
 	listed, _ := n.table.ClusterState().Servers.Get(id)
 	if listed == nil {
-		done(&wire.Outcome{Fate: wire.Outcome_UNSENT, Gone: true}, decide.NotSent)
+		done(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: true}, decide.NotSent)
 		return
 	}
 	to := s.nodes[s.index[listed.Node]]
@@ -131,25 +131,27 @@
 	until := r.Until
 	tries := r.Tries()
 	s.call(&n.machine, &to.machine, headBytes, max(0, until-s.now), func(answer func(int, func())) {
-		to.forward(t, ask, until, tries, func(out *wire.Outcome) {
+		to.forward(t, ask, until, tries, func(out *wire.ForwardResponse) {
 			answer(headBytes, func() { done(out, entry.Result(out)) })
 		})
 	}, func(sent bool) {
 		switch {
 		case !sent:
-			done(&wire.Outcome{Fate: wire.Outcome_UNSENT}, decide.Unconnected)
+			done(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT}, decide.Unconnected)
 		case s.now >= until:
-			done(&wire.Outcome{Fate: wire.Outcome_LATE}, decide.TimedOut)
+			done(&wire.ForwardResponse{Result: wire.ForwardResponse_DEADLINE_EXCEEDED}, decide.TimedOut)
 		default:
-			done(&wire.Outcome{Fate: wire.Outcome_BROKEN}, decide.Broken)
+			done(&wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN}, decide.Broken)
 		}
 	})
 }
 
 // forward passes a request to the server here, or turns it away.
-func (n *node) forward(t *try, ask localserver.Ask, until time.Duration, tries int, done func(*wire.Outcome)) {
+func (n *node) forward(t *try, ask localserver.Ask, until time.Duration, tries int, done func(*wire.ForwardResponse)) {
 	s, incarnation := n.s, n.incarnation
-	unsent := func(gone, waiting bool) { done(&wire.Outcome{Fate: wire.Outcome_UNSENT, Gone: gone, Waiting: waiting}) }
+	unsent := func(gone, waiting bool) {
+		done(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: gone, Queued: waiting})
+	}
 	begin := func() {
 		if n.server == nil || n.server.id != ask.Member || !n.server.up {
 			f := n.admission.Finish(s.now, ask.Member, ask.Attempt, health.Broken)
@@ -158,16 +160,16 @@
 			return
 		}
 		began := s.now
-		n.server.run(t, ask, until, tries, func(status int32, fate wire.Outcome_Fate) {
+		n.server.run(t, ask, until, tries, func(status int32, fate wire.ForwardResponse_Result) {
 			if !n.up || n.incarnation != incarnation {
 				return
 			}
-			out := &wire.Outcome{Fate: fate, Status: status, TookMs: uint32((s.now - began).Milliseconds())}
+			out := &wire.ForwardResponse{Result: fate, Status: status, TookMs: uint32((s.now - began).Milliseconds())}
 			f := n.admission.Finish(s.now, ask.Member, ask.Attempt, localserver.EndOf(out))
 			n.deliver(f.Verdicts)
-			out.Waiting, out.Pace, out.Fill = f.Waiting, float32(f.Pace), float32(f.Fill)
+			out.Queued, out.RelativeLatency, out.Utilization = f.Waiting, float32(f.Pace), float32(f.Fill)
 			for _, c := range f.Called {
-				out.Called = append(out.Called, &wire.Called{Service: c.Service, Times: c.Times, Pressure: n.table.Pressure(s.now, c.Service)})
+				out.Calls = append(out.Calls, &wire.CallCount{Service: c.Service, Count: c.Times, Pressure: n.table.Pressure(s.now, c.Service)})
 			}
 			done(out)
 		})
@@ -201,8 +203,8 @@
 			}
 		})
 	default:
-		done(&wire.Outcome{
-			Fate: wire.Outcome_UNSENT, Gone: place == localserver.Gone, Unhealthy: place == localserver.Unhealthy, Waiting: place == localserver.Full,
+		done(&wire.ForwardResponse{
+			Result: wire.ForwardResponse_NOT_SENT, Terminated: place == localserver.Gone, Unhealthy: place == localserver.Unhealthy, Queued: place == localserver.Full,
 		})
 	}
 }
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -32,10 +32,10 @@
 // runOf is a request at a server.
 type runOf struct {
 	over bool
-	end  func(status int32, fate wire.Outcome_Fate)
+	end  func(status int32, fate wire.ForwardResponse_Result)
 }
 
-func (r *runOf) finish(status int32, fate wire.Outcome_Fate) {
+func (r *runOf) finish(status int32, fate wire.ForwardResponse_Result) {
 	if !r.over {
 		r.over = true
 		r.end(status, fate)
@@ -61,7 +61,7 @@
 	runs := v.runs
 	v.runs = nil
 	for _, r := range runs {
-		v.s.after(time.Millisecond, func() { r.finish(0, wire.Outcome_BROKEN) })
+		v.s.after(time.Millisecond, func() { r.finish(0, wire.ForwardResponse_BROKEN) })
 	}
 }
 
@@ -118,10 +118,10 @@
 }
 
 // run takes a request in, and calls end with what became of it.
-func (v *server) run(t *try, ask localserver.Ask, until time.Duration, tries int, end func(int32, wire.Outcome_Fate)) {
+func (v *server) run(t *try, ask localserver.Ask, until time.Duration, tries int, end func(int32, wire.ForwardResponse_Result)) {
 	s := v.s
 	begun := s.now
-	r := &runOf{end: func(status int32, fate wire.Outcome_Fate) {
+	r := &runOf{end: func(status int32, fate wire.ForwardResponse_Result) {
 		s.m.busy(s.now, v.kind.Name, s.now-begun)
 		end(status, fate)
 	}}
@@ -132,11 +132,11 @@
 		s.m.repeated(s.now, v.kind.Name)
 	}
 	if s.rng.Float64() < v.kind.Balk {
-		s.after(time.Millisecond, func() { r.finish(503, wire.Outcome_UNRUN) })
+		s.after(time.Millisecond, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
 		return
 	}
 	if v.grey.How == "shed" && v.ill(ask.Call.Zone) {
-		s.after(fastFail, func() { r.finish(503, wire.Outcome_UNRUN) })
+		s.after(fastFail, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
 		return
 	}
 	t.executed()
@@ -147,7 +147,7 @@
 		}
 	}
 	v.runs = append(keep, r)
-	s.at(until, func() { r.finish(0, wire.Outcome_LATE) })
+	s.at(until, func() { r.finish(0, wire.ForwardResponse_DEADLINE_EXCEEDED) })
 	work := ms(v.kind.WorkMs * v.speed * v.slow * min(8, -math.Log(1-s.rng.Float64())))
 	if v.kind.Tail > 0 && s.rng.Float64() < v.kind.Tail {
 		work = time.Duration(float64(work) * v.kind.TailX)
@@ -157,16 +157,16 @@
 	}
 	work += max(0, v.hung-s.now)
 	if v.kind.Errors > 0 && s.rng.Float64() < v.kind.Errors {
-		s.after(work, func() { r.finish(500, wire.Outcome_ANSWERED) })
+		s.after(work, func() { r.finish(500, wire.ForwardResponse_ANSWERED) })
 		return
 	}
 	if v.ill(ask.Call.Zone) {
 		switch v.grey.How {
 		case "error":
-			s.after(fastFail, func() { r.finish(500, wire.Outcome_ANSWERED) })
+			s.after(fastFail, func() { r.finish(500, wire.ForwardResponse_ANSWERED) })
 			return
 		case "reset":
-			s.after(fastFail, func() { r.finish(0, wire.Outcome_BROKEN) })
+			s.after(fastFail, func() { r.finish(0, wire.ForwardResponse_BROKEN) })
 			return
 		case "hang": // until its time is up
 			return
@@ -189,10 +189,10 @@
 		}
 		if i == len(calls) {
 			if lost {
-				r.finish(0, wire.Outcome_BROKEN)
+				r.finish(0, wire.ForwardResponse_BROKEN)
 				return
 			}
-			r.finish(200, wire.Outcome_ANSWERED)
+			r.finish(200, wire.ForwardResponse_ANSWERED)
 			return
 		}
 		inner := &try{id: fmt.Sprintf("%s.%d", t.id, i), until: until, req: &request{s: s, route: s.route(calls[i])}}
@@ -200,7 +200,7 @@
 			inner.answered(f)
 			s.after(part, func() {
 				if f.Status != 200 {
-					r.finish(500, wire.Outcome_ANSWERED)
+					r.finish(500, wire.ForwardResponse_ANSWERED)
 					return
 				}
 				next(i + 1)
--- a/internal/simulation/lab/sim.go
+++ b/internal/simulation/lab/sim.go
@@ -129,7 +129,7 @@
 	}
 	if s.w.Steady {
 		for i, c := range s.cores {
-			s.all = append(s.all, &wire.Member{Name: c.name, Address: c.name, Zone: c.zone, Core: true, Generation: uint64(i + 1)})
+			s.all = append(s.all, &wire.Member{Name: c.name, Address: c.name, Zone: c.zone, QuorumMember: true, Generation: uint64(i + 1)})
 		}
 		for i, n := range s.nodes {
 			s.all = append(s.all, &wire.Member{Name: n.name, Address: n.name, Zone: n.zone, Generation: uint64(len(s.cores) + i + 1)})
--- a/internal/simulation/modelcheck/driver.go
+++ b/internal/simulation/modelcheck/driver.go
@@ -71,7 +71,7 @@
 }
 
 // send puts a message on its link. Where the link is full, the oldest is lost.
-func (s *state) send(m *wire.Raft) {
+func (s *state) send(m *wire.RaftMessage) {
 	if m.To == 0 || memberOf(m.To) >= len(s.members) {
 		return
 	}
@@ -87,7 +87,7 @@
 		return
 	}
 	id, term := m.node.ID(), m.node.Term()
-	dead := func(q *wire.Raft) bool { return q.To != id || q.Term < term && !s.left.Old }
+	dead := func(q *wire.RaftMessage) bool { return q.To != id || q.Term < term && !s.left.Old }
 	for from := range s.members {
 		at := from*len(s.members) + n
 		if slices.ContainsFunc(s.links[at], dead) {
--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -40,7 +40,7 @@
 	member int // where it happens
 	from   int // sender of the message
 	place  int // of the message on its link
-	what   wire.Raft_Kind
+	what   wire.RaftMessage_Kind
 	term   uint64 // of the message
 	change change
 }
@@ -240,7 +240,7 @@
 	if e.kind == lose {
 		return
 	}
-	if message.Kind == wire.Raft_VOTE && !m.leads() { // a voter that hears its leader gives none, which is as if this were lost
+	if message.Kind == wire.RaftMessage_REQUEST_VOTE && !m.leads() { // a voter that hears its leader gives none, which is as if this were lost
 		m.clock += silence
 	}
 	m.node.Step(m.clock, message)
--- a/internal/simulation/modelcheck/key.go
+++ b/internal/simulation/modelcheck/key.go
@@ -84,7 +84,7 @@
 }
 
 // appendLink encodes a link's messages, as a set where they may overtake each other.
-func (s *state) appendLink(b []byte, link []*wire.Raft, rename func(uint64) uint64) []byte {
+func (s *state) appendLink(b []byte, link []*wire.RaftMessage, rename func(uint64) uint64) []byte {
 	b = binary.AppendUvarint(b, uint64(len(link)))
 	if !s.left.Unordered || len(link) < 2 {
 		for _, m := range link {
--- a/internal/simulation/modelcheck/properties.go
+++ b/internal/simulation/modelcheck/properties.go
@@ -117,8 +117,8 @@
 }
 
 // checkMessage: leadership is handed to a member alone that has the leader's whole log.
-func (s *state) checkMessage(n int, m *member, message *wire.Raft) {
-	if message.Kind != wire.Raft_HANDOVER {
+func (s *state) checkMessage(n int, m *member, message *wire.RaftMessage) {
+	if message.Kind != wire.RaftMessage_TIMEOUT_NOW {
 		return
 	}
 	index, term := m.last()
--- a/internal/simulation/modelcheck/state.go
+++ b/internal/simulation/modelcheck/state.go
@@ -45,7 +45,7 @@
 // state is one state of all members and of the network between them.
 type state struct {
 	members []*member
-	links   [][]*wire.Raft // by link, from*members+to
+	links   [][]*wire.RaftMessage // by link, from*members+to
 	history *history
 	left    Bounds // what may still happen
 	broken  string
@@ -72,7 +72,7 @@
 	for i := range b.Members {
 		peers.Peers = append(peers.Peers, &wire.Peer{Id: identity(i, 0), Address: strconv.Itoa(i), Voter: true})
 	}
-	s := &state{history: &history{leaders: map[uint64]uint64{}}, left: b, links: make([][]*wire.Raft, b.Members*b.Members)}
+	s := &state{history: &history{leaders: map[uint64]uint64{}}, left: b, links: make([][]*wire.RaftMessage, b.Members*b.Members)}
 	for i := range b.Members {
 		m := &member{hard: &wire.HardState{Term: 1}, snapshot: &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers}, clock: startClock}
 		m.start(i, b.Batch)
--- a/internal/simulation/scale/agree.go
+++ b/internal/simulation/scale/agree.go
@@ -13,8 +13,8 @@
 func (r *run) latestIndex(ctx context.Context) (uint64, bool) {
 	for member := range quorumSize {
 		call, cancel := context.WithTimeout(ctx, time.Second)
-		latest := new(wire.Latest)
-		err := r.pool.Call(call, fmt.Sprintf("%s:%d", r.ip(member), r.ports.Nodes), "latest", &wire.Ask{}, latest)
+		latest := new(wire.LatestResponse)
+		err := r.pool.Call(call, fmt.Sprintf("%s:%d", r.ip(member), r.ports.Nodes), "latest", &wire.Empty{}, latest)
 		cancel()
 		if err == nil && latest.Known {
 			return latest.Index, true
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -110,7 +110,7 @@
 func (o *StateOptions) server(machine int) *wire.Server {
 	const network, port = 77, 30000
 	return &wire.Server{Member: serverName(machine), Service: serviceName(machine % o.Services), Node: nodeName(machine),
-		Address: fmt.Sprintf("%s:%d", address(network, machine), port), Zone: o.zone(machine), Slots: slots, Speaks: 1}
+		Address: fmt.Sprintf("%s:%d", address(network, machine), port), Zone: o.zone(machine), Slots: slots, ProtocolVersion: 1}
 }
 
 func (o *StateOptions) member(machine int) *wire.Member {
@@ -130,11 +130,11 @@
 		return nil, err
 	}
 	c := catalog.New()
-	if _, err := c.Apply(&wire.Command{What: &wire.Command_Config{Config: &wire.PutConfig{Body: body}}}); err != nil {
+	if _, err := c.Apply(&wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Body: body}}}); err != nil {
 		return nil, err
 	}
 	for machine := range nodes {
-		if _, err := c.Apply(&wire.Command{What: &wire.Command_Server{Server: o.server(machine)}}); err != nil {
+		if _, err := c.Apply(&wire.Command{Change: &wire.Command_Server{Server: o.server(machine)}}); err != nil {
 			return nil, err
 		}
 	}
@@ -158,7 +158,7 @@
 
 // takeMembers takes in updates of members as they come over the wire.
 func (n *nodeState) takeMembers(now time.Duration, data []byte) error {
-	answer := new(wire.Probed)
+	answer := new(wire.ProbeResponse)
 	if err := proto.Unmarshal(data, answer); err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 		return nil, err
 	}
 	size.StateBytes = len(data)
-	config := &wire.Changes{Whole: true, To: 1, Floor: whole.Floor}
+	config := &wire.Changes{Full: true, To: 1, Floor: whole.Floor}
 	servers := &wire.Changes{From: 1, To: whole.To}
 	for _, r := range whole.Resources {
 		if r.GetServer() != nil {
@@ -253,7 +253,7 @@
 
 // measureMembers gives a node the view of all members, and takes the times of single deaths.
 func (o *StateOptions) measureMembers(n *nodeState, size *StateSize) error {
-	all := &wire.Probed{}
+	all := &wire.ProbeResponse{}
 	for machine := 1; machine < size.Nodes; machine++ {
 		all.Updates = append(all.Updates, o.member(machine))
 	}
@@ -268,7 +268,7 @@
 	}
 	size.MembersHeapMB = megabytes(liveHeap() - before)
 	began := time.Now()
-	answer, err := proto.Marshal(n.group.Answer(&wire.Probe{Whole: true}))
+	answer, err := proto.Marshal(n.group.Answer(&wire.ProbeRequest{FullView: true}))
 	if err != nil {
 		return err
 	}
@@ -276,7 +276,7 @@
 	size.MemberMicros, err = median(func(i int) error {
 		dead := o.member(1 + (1+i*stateZones)%(size.Nodes-1)) // never of the node's own zone
 		dead.State = wire.Member_DEAD
-		data, err := proto.Marshal(&wire.Probed{Updates: []*wire.Member{dead}})
+		data, err := proto.Marshal(&wire.ProbeResponse{Updates: []*wire.Member{dead}})
 		if err != nil {
 			return err
 		}
@@ -291,7 +291,7 @@
 	size.ServerChange, feeds, err = changeFeeds(source, func(i int) *wire.Command {
 		s := o.server(i % size.Nodes)
 		s.Draining = i/size.Nodes%2 == 0 // another value in each round
-		return &wire.Command{What: &wire.Command_Server{Server: s}}
+		return &wire.Command{Change: &wire.Command_Server{Server: s}}
 	})
 	if err != nil {
 		return err
@@ -316,7 +316,7 @@
 	if err != nil {
 		return nil
 	}
-	return &wire.Command{What: &wire.Command_Config{Config: &wire.PutConfig{Base: source.Revision(), Body: body}}}
+	return &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: source.Revision(), Body: body}}}
 }
 
 // changeFeeds makes changes at the source, and returns the feeds that tell of them, and the median of their bytes.
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -128,7 +128,7 @@
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	f := &c.data
-	f.Stream, f.Method, f.WaitMs, f.Data, f.Last, f.Fin = p.stream, p.method, p.waitMs, p.data, p.last, p.fin
+	f.Stream, f.Method, f.TimeoutMs, f.Data, f.Last, f.Fin = p.stream, p.method, p.waitMs, p.data, p.last, p.fin
 	err := c.put(f)
 	f.Data = nil
 	return err
@@ -236,8 +236,8 @@
 		}
 		s = newStream(c, f.Stream, nil, nil)
 		s.meter = c.server.meterOf(f.Method)
-		if f.WaitMs > 0 {
-			s.until = time.Now().Add(time.Duration(f.WaitMs) * time.Millisecond)
+		if f.TimeoutMs > 0 {
+			s.until = time.Now().Add(time.Duration(f.TimeoutMs) * time.Millisecond)
 		}
 		c.streams[f.Stream] = s
 		c.server.running.Add(1)
--- a/internal/transport/rpc/fuzz_test.go
+++ b/internal/transport/rpc/fuzz_test.go
@@ -31,7 +31,7 @@
 // panics nor hangs, it holds no bytes of the connection afterwards, and every
 // handler that it has begun ends.
 func FuzzFrames(f *testing.F) {
-	message, err := proto.Marshal(&wire.Propose{})
+	message, err := proto.Marshal(&wire.ProposeRequest{})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := NewServer(slog.New(slog.DiscardHandler))
-		s.Handle("echo", Unary(func(ctx context.Context, p *wire.Propose) (*wire.Propose, error) { return p, nil }))
+		s.Handle("echo", Unary(func(ctx context.Context, p *wire.ProposeRequest) (*wire.ProposeRequest, error) { return p, nil }))
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		s.workers = workerpool.New(ctx)
--- a/internal/transport/rpc/identity_test.go
+++ b/internal/transport/rpc/identity_test.go
@@ -48,7 +48,7 @@
 	server := NewServer(log)
 	server.Identity = source(ours, identity.Core, "")
 	var reached atomic.Int32
-	echo := Unary(func(ctx context.Context, p *wire.Forward) (*wire.Outcome, error) {
+	echo := Unary(func(ctx context.Context, p *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 		reached.Add(1)
 		ctx, cancel := context.WithTimeout(ctx, time.Minute) // as handlers make of theirs
 		defer cancel()
@@ -56,7 +56,7 @@
 		if !ok {
 			return nil, errors.New("the caller is not known")
 		}
-		return &wire.Outcome{Why: string(caller.Role)}, nil
+		return &wire.ForwardResponse{Reason: string(caller.Role)}, nil
 	})
 	server.Handle("all", echo)
 	server.Handle("core", echo, identity.Core)
@@ -80,10 +80,10 @@
 		pool.Identity = c.who
 		before, refused := reached.Load(), server.Refused.Load()
 		until := time.Now().Add(10 * time.Second)
-		out := new(wire.Outcome)
+		out := new(wire.ForwardResponse)
 		peer, err := pool.Live(ctx, until, l.Addr().String())
 		if err == nil {
-			err = peer.Call(ctx, until, c.method, &wire.Forward{}, out)
+			err = peer.Call(ctx, until, c.method, &wire.ForwardRequest{}, out)
 		}
 		if c.taken != (err == nil) || c.taken != (reached.Load() > before) {
 			t.Errorf("%s: %v, reached %v", c.what, err, reached.Load() > before)
@@ -91,7 +91,7 @@
 		if err != nil && c.who != nil && !errors.Is(err, ErrUnsent) && !IsPeer(err) {
 			t.Errorf("%s: %v leaves open whether the call was taken", c.what, err)
 		}
-		if c.taken && out.Why == "" {
+		if c.taken && out.Reason == "" {
 			t.Errorf("%s: the handler does not know its caller", c.what)
 		}
 		counted := !c.taken && c.what != "one that does not trust us"
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -25,31 +25,31 @@
 	}
 	hold = make(chan struct{})
 	s := NewServer(slog.New(slog.DiscardHandler))
-	s.Handle("echo", Unary(func(_ context.Context, q *wire.Forward) (*wire.Outcome, error) {
-		return &wire.Outcome{Body: q.Body}, nil
+	s.Handle("echo", Unary(func(_ context.Context, q *wire.ForwardRequest) (*wire.ForwardResponse, error) {
+		return &wire.ForwardResponse{Body: q.Body}, nil
 	}))
-	s.Handle("hang", Unary(func(ctx context.Context, _ *wire.Ask) (*wire.Ask, error) {
+	s.Handle("hang", Unary(func(ctx context.Context, _ *wire.Empty) (*wire.Empty, error) {
 		<-ctx.Done()
 		close(hold)
 		return nil, ctx.Err()
 	}))
 	s.Handle("flood", func(st *Stream) error { // more than the credit, to one that does not read
-		if err := st.Recv(new(wire.Ask)); err != nil {
+		if err := st.Recv(new(wire.Empty)); err != nil {
 			return err
 		}
 		for {
-			if err := st.Send(&wire.Outcome{Body: make([]byte, 16<<10)}); err != nil {
+			if err := st.Send(&wire.ForwardResponse{Body: make([]byte, 16<<10)}); err != nil {
 				return err
 			}
 		}
 	})
 	s.Handle("large after ask", func(st *Stream) error {
 		for range 2 {
-			if err := st.Recv(new(wire.Ask)); err != nil {
+			if err := st.Recv(new(wire.Empty)); err != nil {
 				return err
 			}
 		}
-		return st.Send(&wire.Outcome{Body: make([]byte, largeChunks*maxChunk)})
+		return st.Send(&wire.ForwardResponse{Body: make([]byte, largeChunks*maxChunk)})
 	})
 	ended := make(chan struct{})
 	go func() { defer close(ended); s.Serve(ctx, l) }()
@@ -68,10 +68,10 @@
 	before := ReadTraffic()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if err := pool.Call(ctx, addr, "echo", &wire.Forward{Body: make([]byte, 3*window)}, new(wire.Outcome)); err != nil {
+	if err := pool.Call(ctx, addr, "echo", &wire.ForwardRequest{Body: make([]byte, 3*window)}, new(wire.ForwardResponse)); err != nil {
 		t.Fatal(err)
 	}
-	if err := pool.Call(ctx, addr, "nothing", &wire.Ask{}, new(wire.Ask)); !IsPeer(err) {
+	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeer(err) {
 		t.Errorf("a method that nobody has: %v", err)
 	}
 	after := ReadTraffic()
@@ -97,20 +97,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for _, size := range []int{0, 1, maxChunk, 3 * window} {
-		out := new(wire.Outcome)
-		if err := pool.Call(ctx, addr, "echo", &wire.Forward{Body: make([]byte, size)}, out); err != nil || len(out.Body) != size {
+		out := new(wire.ForwardResponse)
+		if err := pool.Call(ctx, addr, "echo", &wire.ForwardRequest{Body: make([]byte, size)}, out); err != nil || len(out.Body) != size {
 			t.Errorf("%d bytes: %d came back, %v", size, len(out.Body), err)
 		}
 	}
-	if err := pool.Call(ctx, addr, "nothing", &wire.Ask{}, new(wire.Ask)); !IsPeer(err) {
+	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeer(err) {
 		t.Errorf("an unknown method: %v", err)
 	}
 	short, stop := context.WithCancel(ctx)
 	go func() {
-		s, err := pool.Open(short, addr, "hang", &wire.Ask{})
+		s, err := pool.Open(short, addr, "hang", &wire.Empty{})
 		if err == nil {
 			stop()
-			s.Recv(new(wire.Ask))
+			s.Recv(new(wire.Empty))
 			s.Close()
 		}
 	}()
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	free.Close()
-	if err := pool.Call(ctx, free.Addr().String(), "echo", &wire.Forward{}, new(wire.Outcome)); !errors.Is(err, ErrUnsent) {
+	if err := pool.Call(ctx, free.Addr().String(), "echo", &wire.ForwardRequest{}, new(wire.ForwardResponse)); !errors.Is(err, ErrUnsent) {
 		t.Errorf("nobody there: %v, want ErrUnsent", err)
 	}
 }
@@ -135,13 +135,13 @@
 	addr, pool, _ := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	flood, err := pool.Open(ctx, addr, "flood", &wire.Ask{})
+	flood, err := pool.Open(ctx, addr, "flood", &wire.Empty{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer flood.Close()
 	for range 200 {
-		if err := pool.Call(ctx, addr, "echo", &wire.Forward{Body: []byte("x")}, new(wire.Outcome)); err != nil {
+		if err := pool.Call(ctx, addr, "echo", &wire.ForwardRequest{Body: []byte("x")}, new(wire.ForwardResponse)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 	torn.Write([]byte{0, 0, 0, 9, 1})
 	torn.Close()
-	if err := pool.Call(context.Background(), addr, "echo", &wire.Forward{}, new(wire.Outcome)); err != nil {
+	if err := pool.Call(context.Background(), addr, "echo", &wire.ForwardRequest{}, new(wire.ForwardResponse)); err != nil {
 		t.Errorf("after all that: %v", err)
 	}
 }
@@ -231,17 +231,17 @@
 	addr, pool, _ := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	s, err := pool.Open(ctx, addr, "large after ask", &wire.Ask{})
+	s, err := pool.Open(ctx, addr, "large after ask", &wire.Empty{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	frames := make(chan struct{}, 2*largeChunks)
 	s.OnFrame(func() { frames <- struct{}{} })
-	if err := s.Send(&wire.Ask{}); err != nil {
+	if err := s.Send(&wire.Empty{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Recv(new(wire.Outcome)); err != nil {
+	if err := s.Recv(new(wire.ForwardResponse)); err != nil {
 		t.Fatal(err)
 	}
 	if n := len(frames); n < largeChunks {
--- a/internal/transport/rpc/unsent_test.go
+++ b/internal/transport/rpc/unsent_test.go
@@ -38,7 +38,7 @@
 		a, b := net.Pipe()
 		nc := &failingConn{Conn: a, left: left}
 		c := newConn(context.Background(), nc, nil)
-		_, err := c.open(context.Background(), nil, time.Time{}, "forward", &wire.Forward{Attempt: "once", Body: make([]byte, 100)}, true)
+		_, err := c.open(context.Background(), nil, time.Time{}, "forward", &wire.ForwardRequest{Attempt: "once", Body: make([]byte, 100)}, true)
 		sent := nc.sent.Bytes()
 		whole := len(sent) >= 4 && len(sent) >= 4+int(binary.BigEndian.Uint32(sent))
 		switch {
