--- a/internal/controlplane/raft/coldstart_test.go
+++ b/internal/controlplane/raft/coldstart_test.go
@@ -24,7 +24,7 @@
 				sent += proto.Size(m)
 			}
 			for _, id := range []uint64{2, 3} {
-				c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: 1, Term: 4, Index: c.last(), HeartbeatRound: c.round})
+				c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: 1, Term: 4, Index: c.last(), HeartbeatRound: c.heartbeatRound})
 			}
 		}
 	}
--- a/internal/controlplane/raft/contact_test.go
+++ b/internal/controlplane/raft/contact_test.go
@@ -53,7 +53,7 @@
 		t.Fatalf("%v before anything is committed", m)
 	}
 	answer := func(at uint64) {
-		leader.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: leader.round, Stamp: &wire.Stamp{Process: 9, AtNs: at}})
+		leader.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: leader.heartbeatRound, Stamp: &wire.Stamp{Process: 9, AtNs: at}})
 		settle(leader)
 	}
 	now += 30 * time.Millisecond
--- a/internal/controlplane/raft/handover_test.go
+++ b/internal/controlplane/raft/handover_test.go
@@ -15,22 +15,22 @@
 		other bool                                 // another leads then
 	}{
 		{"an end", func(w *simulation, m *simMember) {
-			if !m.node.HandOver(w.now) {
+			if !m.node.TransferLeadership(w.now) {
 				t.Error("nobody could take the lead")
 			}
-			if _, _, err := m.node.Propose(w.now, []byte("x")); err != ErrBusy {
+			if _, _, err := m.node.Propose(w.now, []byte("x")); err != ErrProposalDropped {
 				t.Errorf("a proposal while the lead is handed over: %v", err)
 			}
 		}, 50 * time.Millisecond, true},
 		{"a slow disk", func(w *simulation, m *simMember) {
 			for range 20 {
-				m.node.Synced(60 * time.Millisecond)
+				m.node.ObserveSync(60 * time.Millisecond)
 			}
 		}, 400 * time.Millisecond, true},
 		{"disks that are all slow", func(w *simulation, m *simMember) {
 			for _, o := range w.members {
 				for range 20 {
-					o.node.Synced(60 * time.Millisecond)
+					o.node.ObserveSync(60 * time.Millisecond)
 				}
 			}
 			for range 200 { // the leader hears of it
@@ -43,7 +43,7 @@
 					w.cut[[2]int{m.number, o.number}] = true
 				}
 			}
-			m.node.HandOver(w.now)
+			m.node.TransferLeadership(w.now)
 		}, 150 * time.Millisecond, false},
 	} {
 		w := newFaultless(3, 7)
@@ -52,7 +52,7 @@
 			lead = w.leader()
 		}
 		for _, m := range w.members {
-			m.node.Synced(time.Millisecond)
+			m.node.ObserveSync(time.Millisecond)
 		}
 		for until := w.now + 300*time.Millisecond; w.now < until; w.turn() { // they tell the leader
 		}
@@ -61,8 +61,8 @@
 		c.hand(w, lead)
 		until := w.now + c.after
 		for w.now < until && (w.leader() == lead || w.leader() == nil) {
-			if lead.node.Ill() {
-				lead.node.HandOver(w.now)
+			if lead.node.ShouldTransferLeadership() {
+				lead.node.TransferLeadership(w.now)
 			}
 			w.turn()
 		}
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -70,7 +70,7 @@
 	token    uint64
 	faults   []string
 	acked    int
-	answered int // reads
+	answered int // pendingReads
 }
 
 func (w *leaseWorld) fault(format string, args ...any) {
@@ -107,7 +107,7 @@
 	m.offset = w.span(0, 10*time.Second) - w.now // each process has a clock of its own
 	m.node = New(m.disk.ID, m.disk.Hard, m.disk.Snap, slices.Clone(m.disk.Entries), w.rng.Uint64(), w.clock(m))
 	m.applied = m.disk.Snap.GetIndex()
-	m.node.Retain(leaseTail, leaseTail)
+	m.node.SetRetention(leaseTail, leaseTail)
 	m.contact = w.clock(m) - MaxContactAge
 	m.writes, m.reads, m.heard = map[uint64]uint64{}, map[uint64]uint64{}, map[uint64]time.Duration{}
 	if m.frozen < w.now {
@@ -131,22 +131,22 @@
 
 // settle is the driver of a member.
 func (w *leaseWorld) settle(m *leaseMember) {
-	for o := m.node.Take(); !o.Empty(); o = m.node.Take() {
-		m.disk.Write(o.Snapshot, o.Hard, o.Entries)
+	for o := m.node.Ready(); !o.Empty(); o = m.node.Ready() {
+		m.disk.Write(o.Snapshot, o.HardState, o.Entries)
 		m.disk.Sync()
 		if o.Snapshot != nil {
 			m.applied = o.Snapshot.Index
 		}
 		if n := len(o.Entries); n > 0 {
-			m.node.Stable(o.Entries[n-1].Index)
+			m.node.StableTo(o.Entries[n-1].Index)
 		}
 		for _, message := range o.Messages {
 			w.send(m, message)
 		}
-		for _, e := range o.Committed {
+		for _, e := range o.CommittedEntries {
 			w.apply(m, e)
 		}
-		for _, r := range o.Reads {
+		for _, r := range o.ReadStates {
 			wanted, waits := m.reads[r.Token]
 			delete(m.reads, r.Token)
 			if waits && r.OK {
@@ -222,7 +222,7 @@
 
 // operate sends changes and reads to every member that believes it leads.
 func (w *leaseWorld) operate(m *leaseMember) {
-	if !m.node.Leads() {
+	if !m.node.IsLeader() {
 		return
 	}
 	now := w.clock(m)
@@ -234,11 +234,11 @@
 	if w.rng.IntN(20) == 0 {
 		w.token++
 		m.reads[w.token] = w.ackedBefore(w.now)
-		m.node.Read(now, w.token)
+		m.node.ReadIndex(now, w.token)
 	}
 }
 
-// turn is one step of the world.
+// nextTarget is one step of the world.
 func (w *leaseWorld) turn() {
 	w.now += leaseStep
 	for _, m := range w.members {
@@ -338,7 +338,7 @@
 		w.turn()
 	}
 	var which []int
-	switch leader := slices.IndexFunc(w.members, func(m *leaseMember) bool { return m.node.Leads() }); shape.IntN(4) {
+	switch leader := slices.IndexFunc(w.members, func(m *leaseMember) bool { return m.node.IsLeader() }); shape.IntN(4) {
 	case 0:
 		which = []int{len(w.members) - 1} // the learner
 	case 1:
@@ -365,7 +365,7 @@
 		w.disturb(restarts)
 		w.turn()
 		if cutMember := w.members[which[0]]; !hear && w.now > cutAt+electionMax+leaseStep && w.now > cutMember.frozen &&
-			cutMember.node != nil && cutMember.node.Leads() {
+			cutMember.node != nil && cutMember.node.IsLeader() {
 			w.fault("member %d leads %v after it was cut off", which[0], w.now-cutAt)
 		}
 	}
--- a/internal/controlplane/raft/log.go
+++ b/internal/controlplane/raft/log.go
@@ -20,84 +20,84 @@
 
 // first is the index of the oldest entry that the log holds. It is at most one beyond the snapshot's: a tail of
 // older entries is kept, see retention.go.
-func (c *Node) first() uint64 { return c.base.index + 1 }
+func (n *Node) first() uint64 { return n.base.index + 1 }
 
-func (c *Node) last() uint64 { return c.base.index + uint64(len(c.entries)) }
+func (n *Node) last() uint64 { return n.base.index + uint64(len(n.entries)) }
 
 // term returns the term of an index; ok is false where it is not in the log.
-func (c *Node) term(index uint64) (term uint64, ok bool) {
+func (n *Node) term(index uint64) (term uint64, ok bool) {
 	switch {
-	case index == c.base.index:
-		return c.base.term, true
-	case index < c.first() || index > c.last():
+	case index == n.base.index:
+		return n.base.term, true
+	case index < n.first() || index > n.last():
 		return 0, false
 	}
-	return c.entries[index-c.first()].Term, true
+	return n.entries[index-n.first()].Term, true
 }
 
-func (c *Node) lastTerm() uint64 {
-	t, _ := c.term(c.last())
+func (n *Node) lastTerm() uint64 {
+	t, _ := n.term(n.last())
 	return t
 }
 
 // append adds entries at the end of the log.
-func (c *Node) append(entries ...*wire.Entry) {
+func (n *Node) append(entries ...*wire.Entry) {
 	for _, e := range entries {
-		c.entries = append(c.entries, e)
-		c.trackMembership(e)
-		c.backlogBytes += len(e.Data)
-		if c.unsaved == 0 {
-			c.unsaved = e.Index
+		n.entries = append(n.entries, e)
+		n.trackMembership(e)
+		n.backlogBytes += len(e.Data)
+		if n.firstUnsaved == 0 {
+			n.firstUnsaved = e.Index
 		}
 	}
 }
 
-func (c *Node) trackMembership(e *wire.Entry) {
+func (n *Node) trackMembership(e *wire.Entry) {
 	if e.Kind != wire.Entry_MEMBERSHIP {
 		return
 	}
 	var peers wire.Peers
 	if proto.Unmarshal(e.Data, &peers) == nil {
-		c.memberships = append(c.memberships, membership{e.Index, peers.Peers})
+		n.memberships = append(n.memberships, membership{e.Index, peers.Peers})
 	}
 }
 
 // truncate drops all entries from an index on.
-func (c *Node) truncate(from uint64) {
-	for _, e := range c.entries[from-c.first():] {
-		c.backlogBytes -= len(e.Data)
+func (n *Node) truncate(from uint64) {
+	for _, e := range n.entries[from-n.first():] {
+		n.backlogBytes -= len(e.Data)
 	}
-	c.entries = c.entries[:from-c.first()]
-	for len(c.memberships) > 1 && c.memberships[len(c.memberships)-1].index >= from {
-		c.memberships = c.memberships[:len(c.memberships)-1]
+	n.entries = n.entries[:from-n.first()]
+	for len(n.memberships) > 1 && n.memberships[len(n.memberships)-1].index >= from {
+		n.memberships = n.memberships[:len(n.memberships)-1]
 	}
-	c.stable = min(c.stable, from-1)
-	if c.unsaved == 0 || c.unsaved > from {
-		c.unsaved = from
+	n.stable = min(n.stable, from-1)
+	if n.firstUnsaved == 0 || n.firstUnsaved > from {
+		n.firstUnsaved = from
 	}
 }
 
-// Stable says that all entries up to an index are on disk.
-func (c *Node) Stable(index uint64) {
-	c.stable = max(c.stable, min(index, c.last()))
-	if c.role == leader {
-		c.advance()
+// StableTo says that all entries up to an index are on disk.
+func (n *Node) StableTo(index uint64) {
+	n.stable = max(n.stable, min(index, n.last()))
+	if n.state == stateLeader {
+		n.maybeCommit()
 	}
 }
 
-// advance commits what a majority has on disk.
-func (c *Node) advance() {
-	index := c.quorum(c.stable, func(p *progress) uint64 { return p.match })
-	if t, _ := c.term(index); index <= c.commit || t != c.hard.Term {
+// maybeCommit commits what a majority has on disk.
+func (n *Node) maybeCommit() {
+	index := n.quorumValue(n.stable, func(p *progress) uint64 { return p.match })
+	if t, _ := n.term(index); index <= n.committed || t != n.hardState.Term {
 		return
 	}
-	c.commit = index
-	for _, p := range c.Peers() { // the others' clients wait for it as well
-		if p.Id != c.id {
-			c.replicate(p.Id, true)
+	n.committed = index
+	for _, p := range n.Peers() { // the others' clients wait for it as well
+		if p.Id != n.id {
+			n.replicate(p.Id, true)
 		}
 	}
-	if c.Settled() && !slices.ContainsFunc(c.Peers(), func(p *wire.Peer) bool { return p.Id == c.id }) {
-		c.becomeFollower(c.hard.Term, 0) // it has been taken out
+	if n.MembershipCommitted() && !slices.ContainsFunc(n.Peers(), func(p *wire.Peer) bool { return p.Id == n.id }) {
+		n.becomeFollower(n.hardState.Term, 0) // it has been taken out
 	}
 }
--- a/internal/controlplane/raft/membership.go
+++ b/internal/controlplane/raft/membership.go
@@ -12,13 +12,13 @@
 // Timing and sizes of the membership. No voter is removed because a time has passed:
 // silence alone is no evidence, see nextRemoval.
 const (
-	silentAfter = time.Second            // a voter that has not answered for so long may be replaced by a learner that is ready
-	answerAfter = 400 * time.Millisecond // ... and so may one that has not answered a new leader at all for so long
-	contactFor  = freshLag               // a member that has answered within this time is in contact
-	readyWait   = 2 * silentAfter        // so long a ready learner waits for voters that are neither in contact nor silent
-	learnerFor  = 30 * time.Second       // silence after which a learner, which has no vote to lose, is forgotten
-	maxVoters   = 7
-	catchUpLag  = Heartbeat // a learner that has what the log had so long ago has caught up
+	unresponsiveAfter         = time.Second            // a voter that has not answered for so long may be replaced by a learner that is ready
+	unresponsiveAfterElection = 400 * time.Millisecond // ... and so may one that has not answered a new leader at all for so long
+	contactTimeout            = recentContact          // a member that has answered within this time is in contact
+	undecidedWait             = 2 * unresponsiveAfter  // so long a ready learner waits for voters that are neither in contact nor silent
+	learnerTimeout            = 30 * time.Second       // silence after which a learner, which has no vote to lose, is forgotten
+	maxVoters                 = 7
+	maxCatchUpLag             = Heartbeat // a learner that has what the log had so long ago has caught up
 )
 
 // MembershipEvent names a change of the membership in the log of events.
@@ -38,12 +38,12 @@
 
 // The evidence. Silence is none: a member that is cut off may come back with its disk.
 const (
-	ReasonNone       RemovalReason = ""
-	ReasonSuperseded RemovalReason = "superseded" // its address came back with another identity: its disk is gone
-	ReasonReplaced   RemovalReason = "replaced"   // it is silent, and a learner is ready to take its place
-	ReasonLeft       RemovalReason = "left"       // it ended by plan, and said so
-	ReasonOperator   RemovalReason = "operator"
-	ReasonSilent     RemovalReason = "silent" // learners alone
+	ReasonNone         RemovalReason = ""
+	ReasonSuperseded   RemovalReason = "superseded" // its address came back with another identity: its disk is gone
+	ReasonReplaced     RemovalReason = "replaced"   // it is silent, and a learner is ready to take its place
+	ReasonLeft         RemovalReason = "left"       // it ended by plan, and said so
+	ReasonOperator     RemovalReason = "operator"
+	ReasonUnresponsive RemovalReason = "silent" // learners alone
 )
 
 // MembershipChange is a change of the members that a leader should propose.
@@ -63,7 +63,7 @@
 }
 
 func (u *catchUp) sample(now time.Duration, last uint64) {
-	if now-u.sampledAt < catchUpLag {
+	if now-u.sampledAt < maxCatchUpLag {
 		return
 	}
 	u.target = u.sampled
@@ -93,7 +93,7 @@
 }
 
 // isMember tells whether the newest membership, committed or not, has a member.
-func (c *Node) isMember(id uint64) bool { return peerIndex(c.Peers(), id) >= 0 }
+func (n *Node) isMember(id uint64) bool { return peerIndex(n.Peers(), id) >= 0 }
 
 // without returns the members but for one.
 func without(peers []*wire.Peer, i int) []*wire.Peer {
@@ -102,51 +102,51 @@
 
 // inContact tells whether a member has answered this leader a moment ago and holds the membership in force, so that it
 // can be counted on for the next step.
-func (c *Node) inContact(id uint64) bool {
-	if id == c.id {
+func (n *Node) inContact(id uint64) bool {
+	if id == n.id {
 		return true
 	}
-	p := c.progress[id]
-	return p != nil && p.round > 0 && c.now-p.lastContact < contactFor && p.match >= c.memberships[len(c.memberships)-1].index
+	p := n.progress[id]
+	return p != nil && p.heartbeatRound > 0 && n.now-p.lastContact < contactTimeout && p.match >= n.memberships[len(n.memberships)-1].index
 }
 
-// silent tells for how long a member has not answered, counted from the begin of this leader's term at the earliest;
-// 0: it has, within silentAfter.
-func (c *Node) silent(id uint64) time.Duration {
-	p := c.progress[id]
-	if id == c.id || p == nil {
+// unresponsiveFor tells for how long a member has not answered, counted from the begin of this leader's term at the earliest;
+// 0: it has, within unresponsiveAfter.
+func (n *Node) unresponsiveFor(id uint64) time.Duration {
+	p := n.progress[id]
+	if id == n.id || p == nil {
 		return 0
 	}
-	enough := silentAfter
-	if p.round == 0 {
-		enough = answerAfter
+	enough := unresponsiveAfter
+	if p.heartbeatRound == 0 {
+		enough = unresponsiveAfterElection
 	}
-	if c.now-p.lastContact < enough {
+	if n.now-p.lastContact < enough {
 		return 0
 	}
-	return c.now - p.lastContact
+	return n.now - p.lastContact
 }
 
-// spare is the number of voters in contact beyond a majority: how many of them may be lost, with elections and commits
+// sparedVoters is the number of voters in contact beyond a majority: how many of them may be lost, with elections and commits
 // going on. It is negative where no majority is in contact. Those that are about to end may be left out.
-func (c *Node) spare(peers []*wire.Peer, departing bool) int {
+func (n *Node) sparedVoters(peers []*wire.Peer, departing bool) int {
 	live := 0
 	for _, p := range peers {
-		if p.Voter && c.inContact(p.Id) && (departing || !c.isDeparting(p.Id)) {
+		if p.Voter && n.inContact(p.Id) && (departing || !n.isLeaving(p.Id)) {
 			live++
 		}
 	}
 	return live - (Voters(peers)/2 + 1)
 }
 
-// permits is the rule for every removal of a voter: never with less to spare than before or without a majority that is
+// mayRemove is the rule for every removal of a voter: never with less to spare than before or without a majority that is
 // in contact, and not below the wanted number, unless a learner is ready to come in by the very next change.
-func (c *Node) permits(next []*wire.Peer, wanted int, successor bool) bool {
+func (n *Node) mayRemove(next []*wire.Peer, wanted int, successor bool) bool {
 	if successor {
 		wanted--
 	}
-	commits := c.spare(next, true) >= 0 // those that are about to end still do their part
-	return Voters(next) >= wanted && commits && c.spare(next, false) >= c.spare(c.Peers(), false)
+	commits := n.sparedVoters(next, true) >= 0 // those that are about to end still do their part
+	return Voters(next) >= wanted && commits && n.sparedVoters(next, false) >= n.sparedVoters(n.Peers(), false)
 }
 
 // Reconcile is the leader's upkeep of its members: it returns the next change towards a membership in which all voters
@@ -155,12 +155,12 @@
 // before, while a successor that came in first would be needed at once. What is half done is seen by the membership
 // alone, so that a new leader goes on with it without waiting. wanted is the number of voters that the losses to be
 // borne ask for. See docs/decisions/0001-membership-changes.md.
-func (c *Node) Reconcile(wanted int) MembershipChange {
-	if c.role != leader || !c.Settled() {
+func (n *Node) Reconcile(wanted int) MembershipChange {
+	if n.state != stateLeader || !n.MembershipCommitted() {
 		return MembershipChange{}
 	}
-	c.catchUp.sample(c.now, c.last())
-	for _, next := range []func(int) MembershipChange{c.nextRemoval, c.nextPromotion, c.nextLearnerRemoval} {
+	n.catchUp.sample(n.now, n.last())
+	for _, next := range []func(int) MembershipChange{n.nextRemoval, n.nextPromotion, n.nextLearnerRemoval} {
 		if m := next(wanted); m.Next != nil {
 			return m
 		}
@@ -169,16 +169,16 @@
 }
 
 // nextRemoval removes a voter for which there is evidence, as soon as the others can spare it.
-func (c *Node) nextRemoval(wanted int) MembershipChange {
-	peers := c.Peers()
-	successor := c.readyLearner() >= 0
+func (n *Node) nextRemoval(wanted int) MembershipChange {
+	peers := n.Peers()
+	successor := n.readyLearner() >= 0
 	for i, p := range peers {
-		if !p.Voter || p.Id == c.id {
+		if !p.Voter || p.Id == n.id {
 			continue
 		}
-		reason := c.removalReason(i, successor)
+		reason := n.removalReason(i, successor)
 		next := without(peers, i)
-		if reason != ReasonNone && c.permits(next, wanted, successor) {
+		if reason != ReasonNone && n.mayRemove(next, wanted, successor) {
 			return MembershipChange{Next: next, Peer: p, Event: MemberRemoved, Reason: reason}
 		}
 	}
@@ -186,14 +186,14 @@
 }
 
 // removalReason returns the evidence against a voter; successor tells that a learner is ready.
-func (c *Node) removalReason(place int, successor bool) RemovalReason {
-	p := c.Peers()[place]
+func (n *Node) removalReason(index int, successor bool) RemovalReason {
+	p := n.Peers()[index]
 	switch {
-	case superseded(p, c.Peers()):
+	case superseded(p, n.Peers()):
 		return ReasonSuperseded
-	case c.isDeparting(p.Id):
+	case n.isLeaving(p.Id):
 		return ReasonLeft
-	case successor && place == c.longestSilent():
+	case successor && index == n.longestUnresponsive():
 		return ReasonReplaced
 	}
 	return ReasonNone
@@ -208,14 +208,14 @@
 
 // nextPromotion makes a learner that has caught up a voter. Where enough voters are there and one of them is neither in
 // contact nor silent, it waits: the learner may be its successor.
-func (c *Node) nextPromotion(wanted int) MembershipChange {
-	peers := c.Peers()
-	i := c.readyLearner()
+func (n *Node) nextPromotion(wanted int) MembershipChange {
+	peers := n.Peers()
+	i := n.readyLearner()
 	if i < 0 || Voters(peers) >= maxVoters {
 		return MembershipChange{}
 	}
 	p := peers[i]
-	if Voters(peers) >= wanted && c.unclear() && c.now-c.progress[p.Id].readySince < readyWait {
+	if Voters(peers) >= wanted && n.anyUndecided() && n.now-n.progress[p.Id].readySince < undecidedWait {
 		return MembershipChange{}
 	}
 	next := slices.Clone(peers)
@@ -224,62 +224,62 @@
 }
 
 // readyLearner returns the place of a learner that may become a voter; -1: there is none.
-func (c *Node) readyLearner() int {
-	peers := c.Peers()
+func (n *Node) readyLearner() int {
+	peers := n.Peers()
 	return slices.IndexFunc(peers, func(p *wire.Peer) bool {
-		return !p.Voter && !superseded(p, peers) && !c.isDeparting(p.Id) && c.ready(p.Id)
+		return !p.Voter && !superseded(p, peers) && !n.isLeaving(p.Id) && n.ready(p.Id)
 	})
 }
 
 // ready tells whether a learner is in contact and has caught up, and notes since when.
-func (c *Node) ready(id uint64) bool {
-	p := c.progress[id]
+func (n *Node) ready(id uint64) bool {
+	p := n.progress[id]
 	if p == nil {
 		return false
 	}
-	caughtUp := p.match >= c.commit || c.catchUp.target > 0 && p.match >= c.catchUp.target
-	if !c.inContact(id) || !caughtUp {
+	caughtUp := p.match >= n.committed || n.catchUp.target > 0 && p.match >= n.catchUp.target
+	if !n.inContact(id) || !caughtUp {
 		p.readySince = 0
 		return false
 	}
 	if p.readySince == 0 {
-		p.readySince = c.now
+		p.readySince = n.now
 	}
 	return true
 }
 
-// longestSilent returns the place of the voter that has been silent for longest; -1: none is silent.
-func (c *Node) longestSilent() int {
-	place, longest := -1, time.Duration(0)
-	for i, p := range c.Peers() {
-		if silent := c.silent(p.Id); p.Voter && silent > longest {
-			place, longest = i, silent
+// longestUnresponsive returns the place of the voter that has been silent for longest; -1: none is silent.
+func (n *Node) longestUnresponsive() int {
+	longestIndex, longest := -1, time.Duration(0)
+	for i, p := range n.Peers() {
+		if duration := n.unresponsiveFor(p.Id); p.Voter && duration > longest {
+			longestIndex, longest = i, duration
 		}
 	}
-	return place
+	return longestIndex
 }
 
-// unclear tells whether a voter is neither in contact nor silent, so that it will be known in a moment which of the two.
-func (c *Node) unclear() bool {
-	return slices.ContainsFunc(c.Peers(), func(p *wire.Peer) bool {
-		return p.Voter && !c.inContact(p.Id) && c.silent(p.Id) == 0
+// anyUndecided tells whether a voter is neither in contact nor silent, so that it will be known in a moment which of the two.
+func (n *Node) anyUndecided() bool {
+	return slices.ContainsFunc(n.Peers(), func(p *wire.Peer) bool {
+		return p.Voter && !n.inContact(p.Id) && n.unresponsiveFor(p.Id) == 0
 	})
 }
 
 // nextLearnerRemoval forgets a learner whose disk is gone or that has been silent for long. If it comes back, it joins
 // again.
-func (c *Node) nextLearnerRemoval(int) MembershipChange {
-	peers := c.Peers()
+func (n *Node) nextLearnerRemoval(int) MembershipChange {
+	peers := n.Peers()
 	for i, p := range peers {
 		reason := ReasonNone
 		switch {
 		case p.Voter:
 		case superseded(p, peers):
 			reason = ReasonSuperseded
-		case c.isDeparting(p.Id):
+		case n.isLeaving(p.Id):
 			reason = ReasonLeft
-		case c.silent(p.Id) > learnerFor:
-			reason = ReasonSilent
+		case n.unresponsiveFor(p.Id) > learnerTimeout:
+			reason = ReasonUnresponsive
 		}
 		if reason != ReasonNone {
 			return MembershipChange{Next: without(peers, i), Peer: p, Event: LearnerRemoved, Reason: reason}
@@ -288,11 +288,11 @@
 	return MembershipChange{}
 }
 
-// Joining is the change that takes a process in, as a learner: it has no vote before it has the log. One that is a
+// JoinChange is the change that takes a process in, as a learner: it has no vote before it has the log. One that is a
 // member under another address moves. member tells that nothing is to be done. The newest claim on an address is
 // the last in the list, by which superseded knows whose disk is gone.
-func (c *Node) Joining(p *wire.Peer) (m MembershipChange, member bool) {
-	peers := c.Peers()
+func (n *Node) JoinChange(p *wire.Peer) (m MembershipChange, member bool) {
+	peers := n.Peers()
 	i := peerIndex(peers, p.Id)
 	if i < 0 {
 		next := append(slices.Clone(peers), &wire.Peer{Id: p.Id, Address: p.Address, ControlAddress: p.ControlAddress})
@@ -306,22 +306,22 @@
 	return MembershipChange{Next: append(without(peers, i), moved), Peer: p, Event: MemberMoved}, false
 }
 
-// Removal is the change by which an operator removes a member: one that does not answer, and only where the voters can
+// RemovalChange is the change by which an operator removes a member: one that does not answer, and only where the voters can
 // spare it. A running member would join again at once; its process is to be ended first.
-func (c *Node) Removal(now time.Duration, id uint64, wanted int) (MembershipChange, error) {
-	c.now = now
-	if c.role != leader {
+func (n *Node) RemovalChange(now time.Duration, id uint64, wanted int) (MembershipChange, error) {
+	n.now = now
+	if n.state != stateLeader {
 		return MembershipChange{}, ErrNotLeader
 	}
-	peers := c.Peers()
+	peers := n.Peers()
 	i := peerIndex(peers, id)
 	switch {
 	case i < 0:
 		return MembershipChange{}, ErrNotMember
-	case id == c.id || c.silent(id) == 0:
-		return MembershipChange{}, ErrMemberRuns
-	case peers[i].Voter && !c.permits(without(peers, i), wanted, false):
-		return MembershipChange{}, ErrNeeded
+	case id == n.id || n.unresponsiveFor(id) == 0:
+		return MembershipChange{}, ErrMemberAlive
+	case peers[i].Voter && !n.mayRemove(without(peers, i), wanted, false):
+		return MembershipChange{}, ErrTooFewVoters
 	}
 	return MembershipChange{Next: without(peers, i), Peer: peers[i], Event: MemberRemoved, Reason: ReasonOperator}, nil
 }
--- a/internal/controlplane/raft/membership_search_test.go
+++ b/internal/controlplane/raft/membership_search_test.go
@@ -42,8 +42,8 @@
 		if rng.IntN(4) == 0 {
 			address = fmt.Sprint("m", 2+rng.IntN(size-1)) // the machine of a voter, with an empty disk
 		}
-		change, _ := q.Joining(&wire.Peer{Id: uint64(101 + i), Address: address})
-		if err := q.Change(q.now, change.Next); err != nil {
+		change, _ := q.JoinChange(&wire.Peer{Id: uint64(101 + i), Address: address})
+		if err := q.ProposeMembership(q.now, change.Next); err != nil {
 			t.Fatal(err)
 		}
 		settle(q.Node)
@@ -82,14 +82,14 @@
 	silences := []time.Duration{0, 0, 100 * time.Millisecond, 250 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second, time.Minute}
 	p.lastContact = q.now - silences[q.rng.IntN(len(silences))]
 	if q.rng.IntN(8) == 0 {
-		p.round = 0 // it has never answered
+		p.heartbeatRound = 0 // it has never answered
 	} else {
-		p.round = q.round
+		p.heartbeatRound = q.heartbeatRound
 	}
-	reached := []uint64{0, q.membershipIndex() - 1, q.membershipIndex(), q.commit - 1, q.commit, q.last()}
+	reached := []uint64{0, q.membershipIndex() - 1, q.membershipIndex(), q.committed - 1, q.committed, q.last()}
 	p.match = reached[q.rng.IntN(len(reached))]
 	if q.rng.IntN(4) == 0 {
-		q.departing[id] = q.now - []time.Duration{0, 700 * time.Millisecond, 3 * time.Second}[q.rng.IntN(3)]
+		q.leaving[id] = q.now - []time.Duration{0, 700 * time.Millisecond, 3 * time.Second}[q.rng.IntN(3)]
 	}
 }
 
@@ -101,12 +101,12 @@
 		return true
 	}
 	p := q.progress[id]
-	return p.round > 0 && q.now-p.lastContact < 200*time.Millisecond && p.match >= q.membershipIndex()
+	return p.heartbeatRound > 0 && q.now-p.lastContact < 200*time.Millisecond && p.match >= q.membershipIndex()
 }
 
 // leaves tells whether a member has said that it ends, and has not been heard a second later.
 func (q *drawnQuorum) leaves(id uint64) bool {
-	said, ok := q.departing[id]
+	said, ok := q.leaving[id]
 	return ok && q.progress[id].lastContact-said < time.Second
 }
 
@@ -142,7 +142,7 @@
 // hadLately tells whether a member has what was in the log 300 ms ago, or all that is committed.
 func (q *drawnQuorum) hadLately(id uint64) bool {
 	match := q.progress[id].match
-	if match >= q.commit {
+	if match >= q.committed {
 		return true
 	}
 	for _, m := range slices.Backward(q.marks) {
@@ -213,11 +213,11 @@
 		id := peers[1+q.rng.IntN(len(peers)-1)].Id
 		index := q.membershipIndex() + q.rng.Uint64N(q.last()+2-q.membershipIndex())
 		term := q.Term() - q.rng.Uint64N(2)
-		departure, ok := q.Depart(q.now, id, index, term, q.wanted)
+		departure, ok := q.Leave(q.now, id, index, term, q.wanted)
 		if !ok {
 			t.Fatalf("seed %d: no answer", seed)
 		}
-		if !departure.Held {
+		if !departure.Replicated {
 			continue
 		}
 		let++
@@ -232,7 +232,7 @@
 			}
 		}
 		own, known := q.term(index)
-		if index <= q.snap.Index { // all of that is committed
+		if index <= q.snapshot.Index { // all of that is committed
 			own, known = term, true
 		}
 		if holders <= voters/2 || !known || own != term {
--- a/internal/controlplane/raft/membership_sim_test.go
+++ b/internal/controlplane/raft/membership_sim_test.go
@@ -319,7 +319,7 @@
 			l.propose()
 		}
 		if lead := l.leader(); lead != nil && l.now < until-calm && l.rng.IntN(l.handOverGap) == 0 {
-			lead.node.HandOver(l.now)
+			lead.node.TransferLeadership(l.now)
 		}
 		l.checkSpare()
 		l.checkRejoins()
@@ -328,7 +328,7 @@
 	if l.failed {
 		return
 	}
-	if lead == nil || lead.node.Commit() < l.acked || until-l.ackedAt > calm/2 {
+	if lead == nil || lead.node.Committed() < l.acked || until-l.ackedAt > calm/2 {
 		l.fail("after the last loss: leader %v, last acknowledged %d at %v (%v)", lead != nil, l.acked, l.ackedAt, l.played)
 	}
 }
--- a/internal/controlplane/raft/membership_test.go
+++ b/internal/controlplane/raft/membership_test.go
@@ -12,7 +12,7 @@
 // answering brings the answers of members of a leader of term 4 up to its last entry, at a time.
 func answering(c *Node, now time.Duration, ids ...uint64) {
 	for _, id := range ids {
-		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: c.ID(), Term: c.Term(), Index: c.last(), HeartbeatRound: c.round})
+		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: c.ID(), Term: c.Term(), Index: c.last(), HeartbeatRound: c.heartbeatRound})
 		settle(c)
 	}
 }
@@ -29,12 +29,12 @@
 			settle(c)
 		}
 	}
-	for now := lateNow; now < lateNow+3*silentAfter; now += Heartbeat {
+	for now := lateNow; now < lateNow+3*unresponsiveAfter; now += Heartbeat {
 		c.Tick(now)
 		settle(c)
 		answering(c, now, inContact...)
 	}
-	if !c.Leads() {
+	if !c.IsLeader() {
 		t.Fatal("it does not lead")
 	}
 	return c
@@ -52,15 +52,15 @@
 		want      error
 	}{
 		{"the one that is too many", 4, []uint64{2, 3}, 3, 4, nil},
-		{"one of the wanted", 3, []uint64{2}, 3, 3, ErrNeeded},
-		{"one that runs", 4, []uint64{2, 3, 4}, 3, 4, ErrMemberRuns},
-		{"the leader", 4, []uint64{2, 3, 4}, 3, 1, ErrMemberRuns},
+		{"one of the wanted", 3, []uint64{2}, 3, 3, ErrTooFewVoters},
+		{"one that runs", 4, []uint64{2, 3, 4}, 3, 4, ErrMemberAlive},
+		{"the leader", 4, []uint64{2, 3, 4}, 3, 1, ErrMemberAlive},
 		{"nobody", 4, []uint64{2, 3}, 3, 9, ErrNotMember},
 		{"one of two that are silent", 5, []uint64{2, 3}, 3, 5, nil},
-		{"one that more than half do without", 5, []uint64{2, 3}, 5, 5, ErrNeeded},
+		{"one that more than half do without", 5, []uint64{2, 3}, 5, 5, ErrTooFewVoters},
 	} {
 		node := leadingOf(t, c.voters, c.inContact...)
-		change, err := node.Removal(node.now, c.id, c.wanted)
+		change, err := node.RemovalChange(node.now, c.id, c.wanted)
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
@@ -89,14 +89,14 @@
 	} {
 		node := leadingOf(t, c.voters, c.inContact...)
 		next := without(node.Peers(), peerIndex(node.Peers(), c.removed))
-		if got := node.permits(next, 3, c.successor); got != c.want {
+		if got := node.mayRemove(next, 3, c.successor); got != c.want {
 			t.Errorf("%+v: permitted: %v", c, got)
 		}
 	}
 	// One that is about to end has no less to spare without it, but is needed until another is back.
 	node := leadingOf(t, 5, 2, 3)
-	node.departing[3] = node.now
-	if node.permits(without(node.Peers(), peerIndex(node.Peers(), 3)), 3, false) {
+	node.leaving[3] = node.now
+	if node.mayRemove(without(node.Peers(), peerIndex(node.Peers(), 3)), 3, false) {
 		t.Error("a departing voter goes without whom the rest is no majority")
 	}
 }
@@ -109,11 +109,11 @@
 		for i, p := range c.Peers() {
 			p.Address = fmt.Sprint("m", i+1)
 		}
-		change, _ := c.Joining(&wire.Peer{Id: 9, Address: fmt.Sprint("m", n)})
+		change, _ := c.JoinChange(&wire.Peer{Id: 9, Address: fmt.Sprint("m", n)})
 		if change.Event != MemberAdded {
 			t.Fatalf("it joins by %v", change)
 		}
-		if err := c.Change(c.now, change.Next); err != nil {
+		if err := c.ProposeMembership(c.now, change.Next); err != nil {
 			t.Fatal(err)
 		}
 		settle(c)
@@ -139,8 +139,8 @@
 // TestALearnerVotesOnceItHasTheLog: neither before, nor only when nothing new comes any more.
 func TestALearnerVotesOnceItHasTheLog(t *testing.T) {
 	c := leadingOf(t, 3, 2, 3)
-	change, _ := c.Joining(&wire.Peer{Id: 9, Address: "new"})
-	if err := c.Change(c.now, change.Next); err != nil {
+	change, _ := c.JoinChange(&wire.Peer{Id: 9, Address: "new"})
+	if err := c.ProposeMembership(c.now, change.Next); err != nil {
 		t.Fatal(err)
 	}
 	settle(c)
@@ -166,7 +166,7 @@
 	}
 	for range 3 { // it is one entry behind at each moment
 		before := propose()
-		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 9, To: 1, Term: 4, Index: before, HeartbeatRound: c.round})
+		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 9, To: 1, Term: 4, Index: before, HeartbeatRound: c.heartbeatRound})
 		settle(c)
 		change = c.Reconcile(3)
 	}
@@ -178,8 +178,8 @@
 // TestDeparture: a member may end once the others hold its last entry, and is out first where more voters than wanted
 // are there.
 func TestDeparture(t *testing.T) {
-	ask := func(c *Node, index, term uint64, wanted int) Departure {
-		d, ok := c.Depart(c.now, 3, index, term, wanted)
+	ask := func(c *Node, index, term uint64, wanted int) LeaveStatus {
+		d, ok := c.Leave(c.now, 3, index, term, wanted)
 		if !ok {
 			t.Fatal("no answer")
 		}
@@ -192,11 +192,11 @@
 		}
 		settle(c)
 		answering(c, c.now, 3)
-		if c.Commit() != c.last() || ask(c, c.last(), 4, 3).Held {
+		if c.Committed() != c.last() || ask(c, c.last(), 4, 3).Replicated {
 			t.Error("the majority that commits is taken for one of those that stay")
 		}
 		answering(c, c.now, 2)
-		if d := ask(c, c.last(), 4, 3); !d.Done() || !d.Stays {
+		if d := ask(c, c.last(), 4, 3); !d.Done() || !d.KeepsVote {
 			t.Errorf("with all of them: %+v", d)
 		}
 	})
@@ -208,31 +208,31 @@
 		settle(c)
 		answering(c, c.now, 3)
 		settle(c)
-		if s := c.Compact(c.Commit(), nil); s == nil || ask(c, c.last(), 4, 3).Held {
+		if s := c.Compact(c.Committed(), nil); s == nil || ask(c, c.last(), 4, 3).Replicated {
 			t.Errorf("snapshot %v: what is committed is taken for held by the others", s)
 		}
 	})
 	t.Run("an entry of another term", func(t *testing.T) {
 		c := leadingOf(t, 3, 2, 3)
-		if ask(c, c.last(), 3, 3).Held || ask(c, c.last()+1, 4, 3).Held {
+		if ask(c, c.last(), 3, 3).Replicated || ask(c, c.last()+1, 4, 3).Replicated {
 			t.Error("an entry that the leader lacks is held")
 		}
 	})
 	t.Run("more voters than wanted", func(t *testing.T) {
 		c := leadingOf(t, 4, 2, 3, 4)
 		own := c.last()
-		if d := ask(c, own, 4, 3); !d.Held || d.Done() {
+		if d := ask(c, own, 4, 3); !d.Replicated || d.Done() {
 			t.Errorf("before it is out: %+v", d)
 		}
 		change := c.Reconcile(3)
 		if change.Reason != ReasonLeft || change.Peer.GetId() != 3 {
 			t.Fatalf("next is %v", change)
 		}
-		if err := c.Change(c.now, change.Next); err != nil {
+		if err := c.ProposeMembership(c.now, change.Next); err != nil {
 			t.Fatal(err)
 		}
 		settle(c)
-		if d := ask(c, own, 4, 3); !d.Held || d.Done() {
+		if d := ask(c, own, 4, 3); !d.Replicated || d.Done() {
 			t.Errorf("before the change is committed: %+v", d)
 		}
 		answering(c, c.now, 2, 4)
@@ -243,19 +243,19 @@
 	t.Run("while the removal of another is under way", func(t *testing.T) {
 		c := leadingOf(t, 4, 2, 3)
 		own := c.last()
-		change, err := c.Removal(c.now, 4, 3)
+		change, err := c.RemovalChange(c.now, 4, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Change(c.now, change.Next); err != nil {
+		if err := c.ProposeMembership(c.now, change.Next); err != nil {
 			t.Fatal(err)
 		}
 		settle(c)
-		if d := ask(c, own, 4, 3); !d.Held || d.Done() {
+		if d := ask(c, own, 4, 3); !d.Replicated || d.Done() {
 			t.Errorf("before it is committed: %+v", d)
 		}
 		answering(c, c.now, 2, 3)
-		if d := ask(c, own, 4, 3); !d.Stays || !d.Done() {
+		if d := ask(c, own, 4, 3); !d.KeepsVote || !d.Done() {
 			t.Errorf("afterwards: %+v", d)
 		}
 	})
@@ -279,11 +279,11 @@
 	manager := NewMembershipManager(asker)
 	self := &wire.Peer{Id: 9, Address: "nine"}
 	nobody := func() []string { return nil }
-	if a := manager.Tick(0, self, 3, nobody); len(a.Ask) != 0 {
-		t.Errorf("it asks %v before it knows of anything", a.Ask)
+	if a := manager.Tick(0, self, 3, nobody); len(a.JoinAt) != 0 {
+		t.Errorf("it asks %v before it knows of anything", a.JoinAt)
 	}
 	asker.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 9, Term: 4, PreVote: true, Reject: true, Refusal: wire.RaftMessage_NOT_MEMBER})
-	if a := manager.Tick(0, self, 3, nobody); fmt.Sprint(a.Ask) != "[two]" {
-		t.Errorf("once it has been told, it asks %v", a.Ask)
+	if a := manager.Tick(0, self, 3, nobody); fmt.Sprint(a.JoinAt) != "[two]" {
+		t.Errorf("once it has been told, it asks %v", a.JoinAt)
 	}
 }
--- a/internal/controlplane/raft/membership_world_test.go
+++ b/internal/controlplane/raft/membership_world_test.go
@@ -169,7 +169,7 @@
 // least this often.
 func (w *membershipWorld) due(p *process) bool {
 	const look = 10 * time.Millisecond
-	return w.now >= p.node.Next() || w.now-p.managedAt >= look || slices.ContainsFunc(p.inbox, func(d memberDelivery) bool { return d.at <= w.now })
+	return w.now >= p.node.NextTick() || w.now-p.managedAt >= look || slices.ContainsFunc(p.inbox, func(d memberDelivery) bool { return d.at <= w.now })
 }
 
 func (w *membershipWorld) run(until time.Duration) {
@@ -178,7 +178,7 @@
 	}
 }
 
-// turn is what a driver does: what has arrived, the time, the membership, the disk, messages, what is committed.
+// nextTarget is what a driver does: what has arrived, the time, the membership, the disk, messages, what is committed.
 func (w *membershipWorld) turn(p *process) {
 	busy := false
 	rest := p.inbox[:0]
@@ -200,7 +200,7 @@
 			return
 		}
 	}
-	if busy || w.now >= p.node.Next() {
+	if busy || w.now >= p.node.NextTick() {
 		p.node.Tick(w.now)
 	}
 	w.manage(p)
@@ -212,9 +212,9 @@
 func (w *membershipWorld) manage(p *process) {
 	p.managedAt = w.now
 	actions := p.manager.Tick(w.now, p.self(), w.wanted, w.known)
-	w.change(p, actions.Change)
+	w.change(p, actions.Propose)
 	if !p.forgets || peerIndex(p.node.Peers(), p.disk.ID) < 0 {
-		for _, address := range actions.Ask {
+		for _, address := range actions.JoinAt {
 			w.ask(p, address)
 		}
 	}
@@ -228,7 +228,7 @@
 	if c.Next == nil {
 		return
 	}
-	if err := p.node.Change(w.now, c.Next); err == nil && *trace {
+	if err := p.node.ProposeMembership(w.now, c.Next); err == nil && *trace {
 		w.t.Logf("%v %s: %s %s %s: %s", w.now, p.address, c.Event, c.Peer.Address, c.Reason, voterNames(c.Next))
 	}
 }
@@ -258,13 +258,13 @@
 func (w *membershipWorld) ask(p *process, address string) {
 	node, self, asked := p.node, p.self(), w.now
 	w.carry(p, w.at(address), func(to *process) {
-		change, answer := to.manager.Join(w.now, self)
+		change, answer := to.manager.HandleJoin(w.now, self)
 		w.change(to, change)
 		w.carry(to, p, func(*process) {
 			if p.node != node || w.now-asked > simCall {
 				return
 			}
-			if leader := p.manager.Answered(answer); leader != "" {
+			if leader := p.manager.HandleJoinResponse(answer); leader != "" {
 				w.ask(p, leader)
 			}
 		})
@@ -272,17 +272,17 @@
 }
 
 func (w *membershipWorld) askToLeave(p *process) {
-	if p.node.Leads() {
-		p.node.HandOver(w.now)
+	if p.node.IsLeader() {
+		p.node.TransferLeadership(w.now)
 		return
 	}
 	node := p.node
 	index, term := node.LastEntry()
 	request := &wire.LeaveRequest{Id: p.disk.ID, Index: index, LogTerm: term}
 	w.carry(p, w.at(node.leaderAddress()), func(to *process) {
-		answer := to.manager.Departing(w.now, request, w.wanted)
+		answer := to.manager.HandleLeave(w.now, request, w.wanted)
 		w.carry(to, p, func(*process) {
-			if p.node == node && (Departure{Held: answer.Replicated, Removed: answer.Removed, Stays: answer.KeepsVote}).Done() {
+			if p.node == node && (LeaveStatus{Replicated: answer.Replicated, Removed: answer.Removed, KeepsVote: answer.KeepsVote}).Done() {
 				w.stop(p)
 			}
 		})
@@ -290,19 +290,19 @@
 }
 
 func (w *membershipWorld) settle(p *process) {
-	for o := p.node.Take(); !o.Empty(); o = p.node.Take() {
-		p.disk.Write(o.Snapshot, o.Hard, o.Entries)
+	for o := p.node.Ready(); !o.Empty(); o = p.node.Ready() {
+		p.disk.Write(o.Snapshot, o.HardState, o.Entries)
 		p.disk.Sync()
 		if o.Snapshot != nil {
 			p.restore(o.Snapshot)
 		}
 		if n := len(o.Entries); n > 0 {
-			p.node.Stable(o.Entries[n-1].Index)
+			p.node.StableTo(o.Entries[n-1].Index)
 		}
 		for _, m := range o.Messages {
 			w.send(p, m)
 		}
-		for _, e := range o.Committed {
+		for _, e := range o.CommittedEntries {
 			w.apply(p, e)
 		}
 		if p.node.Backlog() > 200 {
@@ -343,10 +343,10 @@
 	delete(p.mine, e.Index)
 }
 
-// leader is the process that leads in the newest term and is not frozen or cut off; nil: none.
+// stateLeader is the process that leads in the newest term and is not frozen or cut off; nil: none.
 func (w *membershipWorld) leader() (lead *process) {
 	for _, p := range w.processes {
-		if p.node != nil && p.node.Leads() && !p.frozen && !p.cut && !p.deaf && (lead == nil || p.node.Term() > lead.node.Term()) {
+		if p.node != nil && p.node.IsLeader() && !p.frozen && !p.cut && !p.deaf && (lead == nil || p.node.Term() > lead.node.Term()) {
 			lead = p
 		}
 	}
@@ -373,7 +373,7 @@
 			continue
 		}
 		for _, m := range p.node.memberships {
-			if m.index <= p.node.commit && m.index >= w.inForce.index {
+			if m.index <= p.node.committed && m.index >= w.inForce.index {
 				w.inForce = m
 			}
 		}
--- a/internal/controlplane/raft/raft.go
+++ b/internal/controlplane/raft/raft.go
@@ -28,9 +28,9 @@
 
 	// A process that has just started waits less: it has nothing to give up, and
 	// where a leader is heard, nobody votes for it.
-	bootMin = 100 * time.Millisecond
-	bootMax = 300 * time.Millisecond
-	bootFor = 1500 * time.Millisecond
+	startElectionMin = 100 * time.Millisecond
+	startElectionMax = 300 * time.Millisecond
+	startPhase       = 1500 * time.Millisecond
 
 	maxEntries      = 256     // in one message
 	maxBytes        = 1 << 20 // of entries in one message
@@ -39,52 +39,52 @@
 
 // What may come of a proposal or a read.
 var (
-	ErrNotLeader  = errors.New("raft: not the leader")
-	ErrBusy       = errors.New("raft: too much under way")
-	ErrChange     = errors.New("raft: another change of members is under way")
-	ErrNotMember  = errors.New("raft: no such member")
-	ErrMemberRuns = errors.New("raft: the member answers: end its process first, it would join again")
-	ErrNeeded     = errors.New("raft: fewer voters than wanted would be left, or they could bear less than now")
+	ErrNotLeader          = errors.New("raft: not the leader")
+	ErrProposalDropped    = errors.New("raft: too much under way")
+	ErrMembershipChanging = errors.New("raft: another change of members is under way")
+	ErrNotMember          = errors.New("raft: no such member")
+	ErrMemberAlive        = errors.New("raft: the member answers: end its process first, it would join again")
+	ErrTooFewVoters       = errors.New("raft: fewer voters than wanted would be left, or they could bear less than now")
 )
 
-type role int
+type stateType int
 
 const (
-	follower role = iota
-	preCandidate
-	candidate
-	leader
+	stateFollower stateType = iota
+	statePreCandidate
+	stateCandidate
+	stateLeader
 )
 
-// Output is what the driver must do, in this order: install the snapshot, store
+// Ready is what the driver must do, in this order: install the snapshot, store
 // the hard state and the entries (dropping all stored ones from the first on),
 // sync, call Stable, send the messages, apply what is committed, answer reads.
-type Output struct {
-	Snapshot  *wire.RaftSnapshot
-	Hard      *wire.HardState
-	Entries   []*wire.Entry
-	Messages  []*wire.RaftMessage
-	Committed []*wire.Entry
-	Reads     []Read
+type Ready struct {
+	Snapshot         *wire.RaftSnapshot
+	HardState        *wire.HardState
+	Entries          []*wire.Entry
+	Messages         []*wire.RaftMessage
+	CommittedEntries []*wire.Entry
+	ReadStates       []ReadState
 }
 
 // Empty tells whether there is nothing to do.
-func (o *Output) Empty() bool {
-	return o.Snapshot == nil && o.Hard == nil && len(o.Entries) == 0 && len(o.Messages) == 0 &&
-		len(o.Committed) == 0 && len(o.Reads) == 0
+func (o *Ready) Empty() bool {
+	return o.Snapshot == nil && o.HardState == nil && len(o.Entries) == 0 && len(o.Messages) == 0 &&
+		len(o.CommittedEntries) == 0 && len(o.ReadStates) == 0
 }
 
 // Node is one member's part in the protocol.
 type Node struct {
-	id       uint64
-	rng      *rand.Rand
-	now      time.Duration
-	role     role
-	leaderID uint64
-	hard     wire.HardState
-	saved    wire.HardState
+	id             uint64
+	rng            *rand.Rand
+	now            time.Duration
+	state          stateType
+	leaderID       uint64
+	hardState      wire.HardState
+	savedHardState wire.HardState
 
-	snap            *wire.RaftSnapshot // what stands in front of the log
+	snapshot        *wire.RaftSnapshot // what stands in front of the log
 	pendingSnapshot *wire.RaftSnapshot // to be handed out
 	base            position           // precedes entries[0]; at most the snapshot's
 	entries         []*wire.Entry
@@ -93,36 +93,36 @@
 	tailEntries     int    // kept in front of the snapshot, at most
 	catchUpEntries  int    // the same, for members that catch up
 	stable          uint64 // last index that is on disk
-	unsaved         uint64 // first index that has to be written; 0: none
-	commit          uint64
+	firstUnsaved    uint64 // first index that has to be written; 0: none
+	committed       uint64
 	applied         uint64
 	memberships     []membership // ascending by index; the first stands for the snapshot
 
-	startedAt       time.Duration // of the process
-	batch           int           // entries in one message, at most
-	deadline        time.Duration // of the election timer
-	leaderContactAt time.Duration // when a leader was last heard
-	process         uint64        // tells the stamps of this process from those of the ones before it
-	contactAt       time.Duration // see knownContactAt
-	campaignAt      time.Duration // when votes of the current term were asked for
-	votes           map[uint64]bool
+	startedAt        time.Duration // of the process
+	maxBatchEntries  int           // entries in one message, at most
+	electionDeadline time.Duration // of the election timer
+	leaderContactAt  time.Duration // when a leader was last heard
+	process          uint64        // tells the stamps of this process from those of the ones before it
+	contactAt        time.Duration // see knownContactAt
+	campaignAt       time.Duration // when votes of the current term were asked for
+	votes            map[uint64]bool
 
-	progress         map[uint64]*progress
-	heartbeatAt      time.Duration
-	round            uint64
-	roundUnsent      bool                     // the newest round's messages have not been taken by the driver
-	roundStartedAt   map[uint64]time.Duration // when the last rounds began
-	quorumContactAt  time.Duration            // begin of the newest round, or of the campaign, that a majority answered
-	leaderSince      time.Duration            // when it was elected
-	reads            []pendingRead
-	syncTime         time.Duration            // that a synced write takes here, averaged; 0: not known
-	transferTarget   uint64                   // the member that is asked to lead; 0: none
-	transferDeadline time.Duration            // until then it is waited for
-	catchUp          catchUp                  // of learners
-	departing        map[uint64]time.Duration // when members that are about to end have last said so
-	expelled         bool                     // another process has said that this one is no member, and no leader has been heard since
+	progress             map[uint64]*progress
+	heartbeatAt          time.Duration
+	heartbeatRound       uint64
+	heartbeatUnsent      bool                     // the newest round's messages have not been taken by the driver
+	roundStartedAt       map[uint64]time.Duration // when the last rounds began
+	quorumContactAt      time.Duration            // begin of the newest round, or of the campaign, that a majority answered
+	leaderSince          time.Duration            // when it was elected
+	pendingReads         []pendingRead
+	syncTime             time.Duration            // that a synced write takes here, averaged; 0: not known
+	leadTransferee       uint64                   // the member that is asked to lead; 0: none
+	leadTransferDeadline time.Duration            // until then it is waited for
+	catchUp              catchUp                  // of learners
+	leaving              map[uint64]time.Duration // when members that are about to end have last said so
+	removedElsewhere     bool                     // another process has said that this one is no member, and no leader has been heard since
 
-	out Output
+	output Ready
 }
 
 // New returns a member as its disk has it. A nil snapshot is an empty one. Entries may begin in front of the snapshot's
@@ -133,14 +133,14 @@
 		snap = &wire.RaftSnapshot{}
 	}
 	c := &Node{
-		id: id, rng: rand.New(rand.NewPCG(seed, id)), now: now, snap: snap, tailEntries: tailEntries, catchUpEntries: catchUpEntries,
-		commit: snap.Index, applied: snap.Index, progress: map[uint64]*progress{},
-		memberships: []membership{{snap.Index, snap.GetPeers().GetPeers()}}, roundStartedAt: map[uint64]time.Duration{}, departing: map[uint64]time.Duration{},
-		leaderContactAt: -electionMax, contactAt: now - MaxContactAge, process: seed, startedAt: now, batch: maxEntries,
+		id: id, rng: rand.New(rand.NewPCG(seed, id)), now: now, snapshot: snap, tailEntries: tailEntries, catchUpEntries: catchUpEntries,
+		committed: snap.Index, applied: snap.Index, progress: map[uint64]*progress{},
+		memberships: []membership{{snap.Index, snap.GetPeers().GetPeers()}}, roundStartedAt: map[uint64]time.Duration{}, leaving: map[uint64]time.Duration{},
+		leaderContactAt: -electionMax, contactAt: now - MaxContactAge, process: seed, startedAt: now, maxBatchEntries: maxEntries,
 	}
 	if hard != nil {
-		c.hard.Term, c.hard.Vote = hard.Term, hard.Vote
-		c.saved.Term, c.saved.Vote = hard.Term, hard.Vote
+		c.hardState.Term, c.hardState.Vote = hard.Term, hard.Vote
+		c.savedHardState.Term, c.savedHardState.Vote = hard.Term, hard.Vote
 	}
 	c.load(entries)
 	c.resetTimer()
@@ -148,66 +148,68 @@
 }
 
 // ID returns the member's identity.
-func (c *Node) ID() uint64 { return c.id }
+func (n *Node) ID() uint64 { return n.id }
 
 // Leader returns the leader's identity; 0: unknown.
-func (c *Node) Leader() uint64 { return c.leaderID }
+func (n *Node) Leader() uint64 { return n.leaderID }
 
-// LeaderHeardSince returns the leader's identity where this member leads, or has heard the leader at that time or later;
+// LeaderContactedSince returns the leader's identity where this member leads, or has heard the leader at that time or later;
 // 0: not so.
-func (c *Node) LeaderHeardSince(at time.Duration) uint64 {
-	if c.role == leader || c.leaderContactAt >= at {
-		return c.leaderID
+func (n *Node) LeaderContactedSince(at time.Duration) uint64 {
+	if n.state == stateLeader || n.leaderContactAt >= at {
+		return n.leaderID
 	}
 	return 0
 }
 
-// Leads tells whether this member is the leader.
-func (c *Node) Leads() bool { return c.role == leader }
+// IsLeader tells whether this member is the leader.
+func (n *Node) IsLeader() bool { return n.state == stateLeader }
 
 // Term returns the current term.
-func (c *Node) Term() uint64 { return c.hard.Term }
+func (n *Node) Term() uint64 { return n.hardState.Term }
 
-// Commit returns the last index known to be committed.
-func (c *Node) Commit() uint64 { return c.commit }
+// Committed returns the last index known to be committed.
+func (n *Node) Committed() uint64 { return n.committed }
 
 // Peers returns the members that the newest entry names. It is not to be changed.
-func (c *Node) Peers() []*wire.Peer { return c.memberships[len(c.memberships)-1].peers }
+func (n *Node) Peers() []*wire.Peer { return n.memberships[len(n.memberships)-1].peers }
 
-// Settled tells whether the newest change of members is committed.
-func (c *Node) Settled() bool { return c.memberships[len(c.memberships)-1].index <= c.commit }
+// MembershipCommitted tells whether the newest change of members is committed.
+func (n *Node) MembershipCommitted() bool {
+	return n.memberships[len(n.memberships)-1].index <= n.committed
+}
 
-func (c *Node) send(m *wire.RaftMessage) {
-	m.From, m.Term = c.id, cmp.Or(m.Term, c.hard.Term)
-	c.stampMessage(m)
-	c.out.Messages = append(c.out.Messages, m)
+func (n *Node) send(m *wire.RaftMessage) {
+	m.From, m.Term = n.id, cmp.Or(m.Term, n.hardState.Term)
+	n.stampMessage(m)
+	n.output.Messages = append(n.output.Messages, m)
 }
 
-// Change proposes another set of members, which may differ by one voter.
-func (c *Node) Change(now time.Duration, peers []*wire.Peer) error {
-	c.now = now
-	if c.role != leader {
+// Propose proposes another set of members, which may differ by one voter.
+func (n *Node) ProposeMembership(now time.Duration, peers []*wire.Peer) error {
+	n.now = now
+	if n.state != stateLeader {
 		return ErrNotLeader
 	}
-	if c.transferTarget != 0 {
-		return ErrChange
+	if n.leadTransferee != 0 {
+		return ErrMembershipChanging
 	}
 	// Without an entry of its own term, a leader may not know of a change that
 	// the one before it committed, and two changes from one set may share no
 	// majority.
-	if t, _ := c.term(c.commit); !c.Settled() || t != c.hard.Term {
-		return ErrChange
+	if t, _ := n.term(n.committed); !n.MembershipCommitted() || t != n.hardState.Term {
+		return ErrMembershipChanging
 	}
-	if voterDistance(c.Peers(), peers) > 1 || len(peers) == 0 {
+	if voterDistance(n.Peers(), peers) > 1 || len(peers) == 0 {
 		return errors.New("raft: more than one voter changes")
 	}
 	data, err := proto.Marshal(&wire.Peers{Peers: peers})
 	if err != nil {
 		return err
 	}
-	c.append(&wire.Entry{Term: c.hard.Term, Index: c.last() + 1, Kind: wire.Entry_MEMBERSHIP, Data: data})
-	c.trackPeers()
-	c.replicateAll()
+	n.append(&wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_MEMBERSHIP, Data: data})
+	n.resetProgress()
+	n.replicateAll()
 	return nil
 }
 
@@ -233,26 +235,26 @@
 	return n
 }
 
-// Take returns what has to be done since the last call.
-func (c *Node) Take() Output {
-	if c.proposed && c.role == leader {
-		c.replicateAll()
+// Ready returns what has to be done since the last call.
+func (n *Node) Ready() Ready {
+	if n.proposed && n.state == stateLeader {
+		n.replicateAll()
 	}
-	c.proposed = false
-	o := c.out
-	c.out, c.roundUnsent = Output{}, false
-	o.Snapshot, c.pendingSnapshot = c.pendingSnapshot, nil
-	if c.hard.Term != c.saved.Term || c.hard.Vote != c.saved.Vote {
-		c.saved.Term, c.saved.Vote = c.hard.Term, c.hard.Vote
-		o.Hard = &wire.HardState{Term: c.hard.Term, Vote: c.hard.Vote}
+	n.proposed = false
+	o := n.output
+	n.output, n.heartbeatUnsent = Ready{}, false
+	o.Snapshot, n.pendingSnapshot = n.pendingSnapshot, nil
+	if n.hardState.Term != n.savedHardState.Term || n.hardState.Vote != n.savedHardState.Vote {
+		n.savedHardState.Term, n.savedHardState.Vote = n.hardState.Term, n.hardState.Vote
+		o.HardState = &wire.HardState{Term: n.hardState.Term, Vote: n.hardState.Vote}
 	}
-	if c.unsaved > 0 {
-		o.Entries = slices.Clone(c.entries[c.unsaved-c.first():])
-		c.unsaved = 0
+	if n.firstUnsaved > 0 {
+		o.Entries = slices.Clone(n.entries[n.firstUnsaved-n.first():])
+		n.firstUnsaved = 0
 	}
-	if c.commit > c.applied {
-		o.Committed = slices.Clone(c.entries[c.applied-c.base.index : c.commit-c.base.index])
-		c.applied = c.commit
+	if n.committed > n.applied {
+		o.CommittedEntries = slices.Clone(n.entries[n.applied-n.base.index : n.committed-n.base.index])
+		n.applied = n.committed
 	}
 	return o
 }
--- a/internal/controlplane/raft/raft_test.go
+++ b/internal/controlplane/raft/raft_test.go
@@ -15,9 +15,9 @@
 		[]*wire.Entry{{Term: 2, Index: 2, Kind: wire.Entry_NO_OP}}, 1, 0)
 	now := 2 * time.Second
 	settle := func() {
-		for o := c.Take(); !o.Empty(); o = c.Take() {
+		for o := c.Ready(); !o.Empty(); o = c.Ready() {
 			if n := len(o.Entries); n > 0 {
-				c.Stable(o.Entries[n-1].Index)
+				c.StableTo(o.Entries[n-1].Index)
 			}
 		}
 	}
@@ -27,14 +27,14 @@
 	settle()
 	c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 4})
 	settle()
-	if !c.Leads() || c.Term() != 4 {
-		t.Fatalf("leads %v in term %d", c.Leads(), c.Term())
+	if !c.IsLeader() || c.Term() != 4 {
+		t.Fatalf("leads %v in term %d", c.IsLeader(), c.Term())
 	}
 	for _, step := range []struct{ acked, commit uint64 }{{2, 1}, {3, 3}} {
 		c.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: step.acked})
 		settle()
-		if c.Commit() != step.commit {
-			t.Errorf("with entry %d on a majority, %d is committed, want %d", step.acked, c.Commit(), step.commit)
+		if c.Committed() != step.commit {
+			t.Errorf("with entry %d on a majority, %d is committed, want %d", step.acked, c.Committed(), step.commit)
 		}
 	}
 }
@@ -46,19 +46,19 @@
 	c := New(1, &wire.HardState{Term: 1}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: &wire.Peers{Peers: []*wire.Peer{one}}}, nil, 1, 0)
 	c.Tick(2 * time.Second)
 	two := []*wire.Peer{one, {Id: 2, Voter: true}}
-	if err := c.Change(2*time.Second, two); err == nil {
+	if err := c.ProposeMembership(2*time.Second, two); err == nil {
 		t.Error("a change was taken before an entry of the own term was committed")
 	}
-	o := c.Take()
-	c.Stable(o.Entries[len(o.Entries)-1].Index)
-	c.Take()
-	if err := c.Change(2*time.Second, two); err != nil {
+	o := c.Ready()
+	c.StableTo(o.Entries[len(o.Entries)-1].Index)
+	c.Ready()
+	if err := c.ProposeMembership(2*time.Second, two); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Change(2*time.Second, append(two, &wire.Peer{Id: 3})); err == nil {
+	if err := c.ProposeMembership(2*time.Second, append(two, &wire.Peer{Id: 3})); err == nil {
 		t.Error("a second change was taken beside the first")
 	}
-	if err := c.Change(2*time.Second, nil); err == nil {
+	if err := c.ProposeMembership(2*time.Second, nil); err == nil {
 		t.Error("no members at all were taken")
 	}
 }
@@ -70,17 +70,17 @@
 	c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers}, nil, 1, 0)
 	entries := []*wire.Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
 	c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: 2, Index: 1, LogTerm: 1, Entries: entries, Commit: 2})
-	c.Take()
+	c.Ready()
 	snap := &wire.RaftSnapshot{Term: 2, Index: 3, Peers: peers}
 	c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, From: 2, To: 1, Term: 2, Snapshot: snap, Commit: 3})
-	o := c.Take()
-	if o.Snapshot != nil || c.last() != 4 || c.Commit() != 3 || len(o.Committed) != 1 || o.Committed[0].Index != 3 {
-		t.Errorf("last %d, committed %d, handed out %v and snapshot %v", c.last(), c.Commit(), o.Committed, o.Snapshot)
+	o := c.Ready()
+	if o.Snapshot != nil || c.last() != 4 || c.Committed() != 3 || len(o.CommittedEntries) != 1 || o.CommittedEntries[0].Index != 3 {
+		t.Errorf("last %d, committed %d, handed out %v and snapshot %v", c.last(), c.Committed(), o.CommittedEntries, o.Snapshot)
 	}
 	// One whose end the log does not have as it is replaces all.
 	c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, From: 2, To: 1, Term: 3, Snapshot: &wire.RaftSnapshot{Term: 3, Index: 4, Peers: peers}})
-	if o := c.Take(); o.Snapshot == nil || c.last() != 4 || c.Commit() != 4 || c.Backlog() != 0 {
-		t.Errorf("last %d, committed %d, %d entries", c.last(), c.Commit(), c.Backlog())
+	if o := c.Ready(); o.Snapshot == nil || c.last() != 4 || c.Committed() != 4 || c.Backlog() != 0 {
+		t.Errorf("last %d, committed %d, %d entries", c.last(), c.Committed(), c.Backlog())
 	}
 }
 
@@ -103,12 +103,12 @@
 }
 
 // settle writes what a core asks for, and returns all that it put out.
-func settle(c *Node) (all Output) {
-	for o := c.Take(); !o.Empty(); o = c.Take() {
+func settle(c *Node) (all Ready) {
+	for o := c.Ready(); !o.Empty(); o = c.Ready() {
 		if n := len(o.Entries); n > 0 {
-			c.Stable(o.Entries[n-1].Index)
+			c.StableTo(o.Entries[n-1].Index)
 		}
-		all.Messages, all.Reads = append(all.Messages, o.Messages...), append(all.Reads, o.Reads...)
+		all.Messages, all.ReadStates = append(all.Messages, o.Messages...), append(all.ReadStates, o.ReadStates...)
 		if o.Snapshot != nil {
 			all.Snapshot = o.Snapshot
 		}
@@ -137,8 +137,8 @@
 		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 4, PreVote: pre})
 		settle(c)
 	}
-	if _, _, err := c.Propose(lateNow, []byte("x")); err != nil || !c.Leads() {
-		t.Fatalf("leads %v, %v", c.Leads(), err)
+	if _, _, err := c.Propose(lateNow, []byte("x")); err != nil || !c.IsLeader() {
+		t.Fatalf("leads %v, %v", c.IsLeader(), err)
 	}
 	settle(c)
 	return c
@@ -147,7 +147,7 @@
 // TestLateWordsCountForNothing: what a member says of an earlier term, of an earlier round or of a log that it does not
 // have proves nothing. The simulation and the search meet these too seldom to find one that is believed.
 func TestLateWordsCountForNothing(t *testing.T) {
-	handovers := func(o Output) (to []uint64) {
+	handovers := func(o Ready) (to []uint64) {
 		for _, m := range o.Messages {
 			if m.Kind == wire.RaftMessage_TIMEOUT_NOW {
 				to = append(to, m.To)
@@ -158,8 +158,8 @@
 	t.Run("answers of an earlier term", func(t *testing.T) {
 		c := leading(t)
 		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 3, Index: 3})
-		if settle(c); c.Commit() != 1 {
-			t.Errorf("%d is committed", c.Commit())
+		if settle(c); c.Committed() != 1 {
+			t.Errorf("%d is committed", c.Committed())
 		}
 	})
 	t.Run("votes of an earlier term", func(t *testing.T) {
@@ -169,8 +169,8 @@
 		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 4, PreVote: true})
 		settle(c)
 		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: 3})
-		if settle(c); c.Leads() || c.Term() != 4 {
-			t.Errorf("leads %v in term %d", c.Leads(), c.Term())
+		if settle(c); c.IsLeader() || c.Term() != 4 {
+			t.Errorf("leads %v in term %d", c.IsLeader(), c.Term())
 		}
 	})
 	t.Run("half of the votes", func(t *testing.T) {
@@ -183,36 +183,36 @@
 				settle(c)
 			}
 		}
-		if c.Leads() {
+		if c.IsLeader() {
 			t.Error("two of four votes were enough")
 		}
 	})
 	t.Run("rounds of contact from before a read", func(t *testing.T) {
 		c := leading(t)
-		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.round})
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.heartbeatRound})
 		settle(c)
-		c.Read(lateNow, 7)
+		c.ReadIndex(lateNow, 7)
 		before := settle(c)
-		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.round - 1})
-		before.Reads = append(before.Reads, settle(c).Reads...)
-		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.round})
-		if after := settle(c); len(before.Reads) != 0 || len(after.Reads) != 1 || !after.Reads[0].OK {
-			t.Errorf("answered %v before a round of contact, %v after it", before.Reads, after.Reads)
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.heartbeatRound - 1})
+		before.ReadStates = append(before.ReadStates, settle(c).ReadStates...)
+		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: c.heartbeatRound})
+		if after := settle(c); len(before.ReadStates) != 0 || len(after.ReadStates) != 1 || !after.ReadStates[0].OK {
+			t.Errorf("answered %v before a round of contact, %v after it", before.ReadStates, after.ReadStates)
 		}
 	})
 	t.Run("an index that is committed beyond what a message has matched", func(t *testing.T) {
 		c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: voters(3)},
 			[]*wire.Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}}, 1, 0) // 3 may be another at the leader
 		c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []*wire.Entry{{Term: 2, Index: 2}}, Commit: 3})
-		if settle(c); c.Commit() != 2 {
-			t.Errorf("%d is committed", c.Commit())
+		if settle(c); c.Committed() != 2 {
+			t.Errorf("%d is committed", c.Committed())
 		}
 	})
 	t.Run("a snapshot from before the own one", func(t *testing.T) {
 		c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 2, Index: 5, Peers: voters(3)}, nil, 1, 0)
 		c.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, From: 2, To: 1, Term: 2, Snapshot: &wire.RaftSnapshot{Term: 1, Index: 3, Peers: voters(3)}})
-		if o := settle(c); o.Snapshot != nil || c.Commit() != 5 || c.last() != 5 {
-			t.Errorf("snapshot %v, committed %d of %d", o.Snapshot, c.Commit(), c.last())
+		if o := settle(c); o.Snapshot != nil || c.Committed() != 5 || c.last() != 5 {
+			t.Errorf("snapshot %v, committed %d of %d", o.Snapshot, c.Committed(), c.last())
 		}
 	})
 	t.Run("a log that lacks entries, of one that the leader has asked to lead", func(t *testing.T) {
@@ -228,7 +228,7 @@
 		c := leading(t)
 		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 2})
 		settle(c)
-		c.HandOver(lateNow)
+		c.TransferLeadership(lateNow)
 		if to := handovers(settle(c)); len(to) != 0 {
 			t.Errorf("%v is asked to lead without the last entry", to)
 		}
--- a/internal/controlplane/raft/reads.go
+++ b/internal/controlplane/raft/reads.go
@@ -4,38 +4,38 @@
 	"time"
 )
 
-// Read is a read that has been confirmed, or refused.
-type Read struct {
+// ReadIndex is a read that has been confirmed, or refused.
+type ReadState struct {
 	Token uint64
 	Index uint64 // to be applied before the answer
 	OK    bool
 }
 
 type pendingRead struct {
-	token, index, round uint64
+	token, index, heartbeatRound uint64
 }
 
-func (c *Node) refuseReads() {
-	for _, r := range c.reads {
-		c.out.Reads = append(c.out.Reads, Read{Token: r.token})
+func (n *Node) rejectPendingReads() {
+	for _, r := range n.pendingReads {
+		n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: r.token})
 	}
-	c.reads = nil
+	n.pendingReads = nil
 }
 
-// Read asks for the place in the log that a read has to see. The answer comes
+// ReadIndex asks for the place in the log that a read has to see. The answer comes
 // in an Output, once a majority has confirmed the lead after this call.
-func (c *Node) Read(now time.Duration, token uint64) {
-	c.now = now
-	t, _ := c.term(c.commit)
-	if c.role != leader || t != c.hard.Term || len(c.reads) >= maxPendingReads {
-		c.out.Reads = append(c.out.Reads, Read{Token: token})
+func (n *Node) ReadIndex(now time.Duration, token uint64) {
+	n.now = now
+	t, _ := n.term(n.committed)
+	if n.state != stateLeader || t != n.hardState.Term || len(n.pendingReads) >= maxPendingReads {
+		n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: token})
 		return
 	}
-	if c.roundUnsent { // its messages go out after this call
-		c.reads = append(c.reads, pendingRead{token, c.commit, c.round})
-		c.confirmContact()
+	if n.heartbeatUnsent { // its messages go out after this call
+		n.pendingReads = append(n.pendingReads, pendingRead{token, n.committed, n.heartbeatRound})
+		n.confirmContact()
 		return
 	}
-	c.reads = append(c.reads, pendingRead{token, c.commit, c.round + 1})
-	c.broadcastHeartbeat()
+	n.pendingReads = append(n.pendingReads, pendingRead{token, n.committed, n.heartbeatRound + 1})
+	n.broadcastHeartbeat()
 }
--- a/internal/controlplane/raft/replication.go
+++ b/internal/controlplane/raft/replication.go
@@ -10,76 +10,76 @@
 
 // progress is what a leader knows of another member.
 type progress struct {
-	match, next uint64
-	round       uint64 // newest round that it has answered
-	lastContact time.Duration
-	readySince  time.Duration // of a learner that has caught up; 0: it has not
-	syncTime    time.Duration // that a synced write takes there; 0: not known
-	stamp       *wire.Stamp   // the newest of its clock
-	stampAt     time.Duration // when that was received
+	match, next    uint64
+	heartbeatRound uint64 // newest round that it has answered
+	lastContact    time.Duration
+	readySince     time.Duration // of a learner that has caught up; 0: it has not
+	syncTime       time.Duration // that a synced write takes there; 0: not known
+	stamp          *wire.Stamp   // the newest of its clock
+	stampAt        time.Duration // when that was received
 
-	transfer        *wire.RaftSnapshot // under way to it; nil: none
-	transferRetryAt time.Duration      // a transfer is not begun before
+	snapshot        *wire.RaftSnapshot // under way to it; nil: none
+	snapshotRetryAt time.Duration      // a transfer is not begun before
 }
 
 // Lag returns how many entries a member lacks, as far as it has said what it
 // has, and since when it has been silent; ok only on the leader.
-func (c *Node) Lag(id uint64) (lag uint64, silent time.Duration, ok bool) {
-	p := c.progress[id]
-	if c.role != leader || p == nil {
+func (n *Node) Lag(id uint64) (lag uint64, sinceContact time.Duration, ok bool) {
+	p := n.progress[id]
+	if n.state != stateLeader || p == nil {
 		return 0, 0, false
 	}
-	if lag = c.last() - min(p.match, c.last()); p.match == 0 {
+	if lag = n.last() - min(p.match, n.last()); p.match == 0 {
 		lag = math.MaxUint64
 	}
-	return lag, c.now - p.lastContact, true
+	return lag, n.now - p.lastContact, true
 }
 
-// trackPeers keeps a progress for each other member.
-func (c *Node) trackPeers() {
-	for _, p := range c.Peers() {
-		if p.Id != c.id && c.progress[p.Id] == nil {
-			c.progress[p.Id] = &progress{next: c.last(), lastContact: c.now}
+// resetProgress keeps a progress for each other member.
+func (n *Node) resetProgress() {
+	for _, p := range n.Peers() {
+		if p.Id != n.id && n.progress[p.Id] == nil {
+			n.progress[p.Id] = &progress{next: n.last(), lastContact: n.now}
 		}
 	}
-	for id := range c.progress {
-		if !slices.ContainsFunc(c.Peers(), func(p *wire.Peer) bool { return p.Id == id }) {
-			delete(c.progress, id)
+	for id := range n.progress {
+		if !slices.ContainsFunc(n.Peers(), func(p *wire.Peer) bool { return p.Id == id }) {
+			delete(n.progress, id)
 		}
 	}
 }
 
 // broadcastHeartbeat begins a round of contact with all others.
-func (c *Node) broadcastHeartbeat() {
-	c.round++
-	c.roundUnsent = true
-	c.roundStartedAt[c.round] = c.now
-	delete(c.roundStartedAt, c.round-64)
-	c.heartbeatAt = c.now + Heartbeat
-	for _, p := range c.Peers() { // in the log's order, so that runs repeat
-		if p.Id != c.id {
-			c.endTransfer(c.progress[p.Id])
-			c.replicate(p.Id, true)
+func (n *Node) broadcastHeartbeat() {
+	n.heartbeatRound++
+	n.heartbeatUnsent = true
+	n.roundStartedAt[n.heartbeatRound] = n.now
+	delete(n.roundStartedAt, n.heartbeatRound-64)
+	n.heartbeatAt = n.now + Heartbeat
+	for _, p := range n.Peers() { // in the log's order, so that runs repeat
+		if p.Id != n.id {
+			n.maybeEndSnapshot(n.progress[p.Id])
+			n.replicate(p.Id, true)
 		}
 	}
-	c.confirmContact() // alone, it is its own majority
+	n.confirmContact() // alone, it is its own majority
 }
 
 // replicate sends a member what it lacks, or with heartbeat a sign of life at least.
-func (c *Node) replicate(id uint64, heartbeat bool) {
-	p := c.progress[id]
+func (n *Node) replicate(id uint64, heartbeat bool) {
+	p := n.progress[id]
 	if p == nil {
 		return
 	}
-	prev, ok := c.term(p.next - 1)
+	prev, ok := n.term(p.next - 1)
 	if !ok {
-		c.transfer(id, p, heartbeat)
+		n.sendSnapshot(id, p, heartbeat)
 		return
 	}
-	m := &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: p.next - 1, LogTerm: prev, Commit: c.commit, HeartbeatRound: c.round}
+	m := &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: p.next - 1, LogTerm: prev, Commit: n.committed, HeartbeatRound: n.heartbeatRound}
 	bytes := 0
-	for i := p.next; i <= c.last() && len(m.Entries) < c.batch && bytes < maxBytes; i++ {
-		e := c.entries[i-c.first()]
+	for i := p.next; i <= n.last() && len(m.Entries) < n.maxBatchEntries && bytes < maxBytes; i++ {
+		e := n.entries[i-n.first()]
 		m.Entries = append(m.Entries, e)
 		bytes += len(e.Data)
 	}
@@ -87,40 +87,40 @@
 		return
 	}
 	p.next += uint64(len(m.Entries)) // what gets lost shows in the next round
-	c.send(m)
+	n.send(m)
 }
 
-// rejected goes back to where a member's log may join, over whole terms that only one of the two has. Entry by entry, a log
+// handleRejection goes back to where a member's log may join, over whole terms that only one of the two has. Entry by entry, a log
 // that differs in more of them than rounds go between two heartbeats would never join: each heartbeat asks for the end.
-func (c *Node) rejected(p *progress, m *wire.RaftMessage) {
+func (n *Node) handleRejection(p *progress, m *wire.RaftMessage) {
 	hint := m.Index
-	for t, ok := c.term(hint); ok && 0 < m.LogTerm && m.LogTerm < t; t, ok = c.term(hint) {
+	for t, ok := n.term(hint); ok && 0 < m.LogTerm && m.LogTerm < t; t, ok = n.term(hint) {
 		hint--
 	}
 	// It may have come by a snapshot to where the log leads on.
-	joins := p.next <= c.base.index && hint == m.Index && m.LogTerm > 0 && hint >= c.base.index
+	joins := p.next <= n.base.index && hint == m.Index && m.LogTerm > 0 && hint >= n.base.index
 	if hint >= p.next-1 && !joins {
 		return // to an earlier message
 	}
 	p.next = max(hint, p.match) + 1
-	c.replicate(m.From, false)
+	n.replicate(m.From, false)
 }
 
 // replicateAll sends all members what they lack and have not been sent.
-func (c *Node) replicateAll() {
-	for _, p := range c.Peers() {
-		if p.Id != c.id {
-			c.replicateRest(p.Id)
+func (n *Node) replicateAll() {
+	for _, p := range n.Peers() {
+		if p.Id != n.id {
+			n.replicateRest(p.Id)
 		}
 	}
 }
 
 // replicateRest sends a member all that it lacks and has not been sent, in as many messages as that takes.
-func (c *Node) replicateRest(id uint64) {
-	p := c.progress[id]
-	for p != nil && p.next <= c.last() {
+func (n *Node) replicateRest(id uint64) {
+	p := n.progress[id]
+	for p != nil && p.next <= n.last() {
 		sent := p.next
-		if c.replicate(id, false); p.next == sent {
+		if n.replicate(id, false); p.next == sent {
 			return
 		}
 	}
@@ -128,37 +128,37 @@
 
 // Propose adds a command to the log. It is committed once an entry with this
 // index and term is; another leader may replace it before.
-func (c *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
-	c.now = now
-	if c.role != leader {
+func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
+	n.now = now
+	if n.state != stateLeader {
 		return 0, 0, ErrNotLeader
 	}
-	if c.transferTarget != 0 { // what is taken now would keep the transfer target from having all
-		return 0, 0, ErrBusy
+	if n.leadTransferee != 0 { // what is taken now would keep the transfer target from having all
+		return 0, 0, ErrProposalDropped
 	}
-	if c.last()-c.commit > 4*maxEntries {
-		return 0, 0, ErrBusy
+	if n.last()-n.committed > 4*maxEntries {
+		return 0, 0, ErrProposalDropped
 	}
-	e := &wire.Entry{Term: c.hard.Term, Index: c.last() + 1, Kind: wire.Entry_COMMAND, Data: data}
-	c.append(e)
-	c.proposed = true // sent with all others that are proposed before the next output
+	e := &wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_COMMAND, Data: data}
+	n.append(e)
+	n.proposed = true // sent with all others that are proposed before the next output
 	return e.Index, e.Term, nil
 }
 
 // confirmContact confirms what the rounds answered by a majority prove.
-func (c *Node) confirmContact() {
-	round := c.quorum(c.round, func(p *progress) uint64 { return p.round })
-	if at, ok := c.roundStartedAt[round]; ok {
-		c.quorumContactAt = max(c.quorumContactAt, at)
-	}
-	n := 0
-	for _, r := range c.reads {
-		if r.round <= round {
-			c.out.Reads = append(c.out.Reads, Read{Token: r.token, Index: r.index, OK: true})
+func (n *Node) confirmContact() {
+	round := n.quorumValue(n.heartbeatRound, func(p *progress) uint64 { return p.heartbeatRound })
+	if at, ok := n.roundStartedAt[round]; ok {
+		n.quorumContactAt = max(n.quorumContactAt, at)
+	}
+	kept := 0
+	for _, read := range n.pendingReads {
+		if read.heartbeatRound <= round {
+			n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: read.token, Index: read.index, OK: true})
 		} else {
-			c.reads[n] = r
-			n++
+			n.pendingReads[kept] = read
+			kept++
 		}
 	}
-	c.reads = c.reads[:n]
+	n.pendingReads = n.pendingReads[:kept]
 }
--- a/internal/controlplane/raft/retention.go
+++ b/internal/controlplane/raft/retention.go
@@ -22,82 +22,82 @@
 )
 
 // Backlog is the number of entries that stand behind the snapshot.
-func (c *Node) Backlog() int { return int(c.last() - c.snap.Index) }
+func (n *Node) Backlog() int { return int(n.last() - n.snapshot.Index) }
 
 // First is the index of the oldest entry that has to stay on disk, which tells the term in front of the log. Where it
 // is the snapshot's own, there need not be one.
-func (c *Node) First() uint64 { return c.base.index }
+func (n *Node) First() uint64 { return n.base.index }
 
 // SnapshotDue tells whether a snapshot is due, so that log and disk stay bounded whatever
 // the size of what is proposed.
-func (c *Node) SnapshotDue() bool {
+func (n *Node) SnapshotDue() bool {
 	switch {
-	case c.backlogBytes >= snapshotBytes, c.Backlog() >= maxSnapshotEntries:
+	case n.backlogBytes >= snapshotBytes, n.Backlog() >= maxSnapshotEntries:
 		return true
 	}
-	return c.Backlog() >= snapshotEntries && snapshotShare*c.backlogBytes >= len(c.snap.Data)
+	return n.Backlog() >= snapshotEntries && snapshotShare*n.backlogBytes >= len(n.snapshot.Data)
 }
 
-// Retain sets how many entries are kept in front of a snapshot, at most, and how many for members that catch up. Checkers
+// SetRetention sets how many entries are kept in front of a snapshot, at most, and how many for members that catch up. Checkers
 // set few, to reach transfers of snapshots with short logs.
-func (c *Node) Retain(tail, catchUp int) { c.tailEntries, c.catchUpEntries = tail, catchUp }
+func (n *Node) SetRetention(tail, catchUp int) { n.tailEntries, n.catchUpEntries = tail, catchUp }
 
 // Compact takes a snapshot of the state as it was at an applied index, and drops the entries in front of it that are
 // beyond the tail to be kept. It returns nil where the log stands on a newer snapshot already.
-func (c *Node) Compact(index uint64, data []byte) *wire.RaftSnapshot {
-	if index > c.applied || index <= c.snap.Index {
+func (n *Node) Compact(index uint64, data []byte) *wire.RaftSnapshot {
+	if index > n.applied || index <= n.snapshot.Index {
 		return nil
 	}
-	term, _ := c.term(index)
-	peers := c.memberships[0].peers
-	n := 0
-	for i, f := range c.memberships {
+	term, _ := n.term(index)
+	peers := n.memberships[0].peers
+	newest := 0
+	for i, f := range n.memberships {
 		if f.index <= index {
-			peers, n = f.peers, i
+			peers, newest = f.peers, i
 		}
 	}
-	c.snap = &wire.RaftSnapshot{Term: term, Index: index, Peers: &wire.Peers{Peers: peers}, Data: data}
-	c.memberships = append([]membership{{index, peers}}, c.memberships[n+1:]...)
-	c.trimTail()
-	c.countBacklog()
-	return c.snap
+	n.snapshot = &wire.RaftSnapshot{Term: term, Index: index, Peers: &wire.Peers{Peers: peers}, Data: data}
+	n.memberships = append([]membership{{index, peers}}, n.memberships[newest+1:]...)
+	n.trimTail()
+	n.countBacklog()
+	return n.snapshot
 }
 
 // trimTail drops the oldest entries, down to the tail that is to be kept.
-func (c *Node) trimTail() {
-	base := c.tailBase(c.tailEntries, tailBytes)
-	if c.role == leader {
-		for _, p := range c.progress {
-			base = min(base, c.neededBy(p))
+func (n *Node) trimTail() {
+	base := n.tailBase(n.tailEntries, tailBytes)
+	if n.state == stateLeader {
+		for _, p := range n.progress {
+			base = min(base, n.neededBy(p))
 		}
 	}
-	base = max(base, c.tailBase(c.catchUpEntries, catchUpBytes))
-	if base <= c.base.index {
+	base = max(base, n.tailBase(n.catchUpEntries, catchUpBytes))
+	if base <= n.base.index {
 		return
 	}
-	term, _ := c.term(base)
-	c.entries = append([]*wire.Entry(nil), c.entries[base-c.base.index:]...)
-	c.base = position{base, term}
+	term, _ := n.term(base)
+	n.entries = append([]*wire.Entry(nil), n.entries[base-n.base.index:]...)
+	n.base = position{base, term}
 }
 
 // neededBy is the index behind which a member needs all entries to catch up.
-func (c *Node) neededBy(p *progress) uint64 {
+func (n *Node) neededBy(p *progress) uint64 {
 	switch {
-	case c.now-p.lastContact > catchUpSilence:
-		return c.last()
-	case p.transfer != nil:
-		return p.transfer.Index
-	case p.match >= c.base.index:
+	case n.now-p.lastContact > catchUpTimeout:
+		return n.last()
+	case p.snapshot != nil:
+		return p.snapshot.Index
+	case p.match >= n.base.index:
 		return p.match
 	}
-	return c.last() // it needs a snapshot, and will get the newest
+	return n.last() // it needs a snapshot, and will get the newest
 }
 
 // tailBase is the index below which entries go, if so many are kept in front of the snapshot.
-func (c *Node) tailBase(entries, bytes int) uint64 {
-	base := c.snap.Index
-	for base > c.base.index && entries > 0 {
-		bytes -= len(c.entries[base-c.first()].Data)
+func (n *Node) tailBase(entries, bytes int) uint64 {
+	base := n.snapshot.Index
+	for base > n.base.index && entries > 0 {
+		bytes -= len(n.entries[base-n.first()].Data)
 		if bytes < 0 {
 			break
 		}
@@ -108,27 +108,27 @@
 }
 
 // countBacklog counts the bytes of the entries behind the snapshot.
-func (c *Node) countBacklog() {
-	c.backlogBytes = 0
-	for _, e := range c.entries[c.snap.Index-c.base.index:] {
-		c.backlogBytes += len(e.Data)
+func (n *Node) countBacklog() {
+	n.backlogBytes = 0
+	for _, e := range n.entries[n.snapshot.Index-n.base.index:] {
+		n.backlogBytes += len(e.Data)
 	}
 }
 
 // load takes the log as the disk has it: entries up to the snapshot's index are its tail. The first of them only tells
 // what precedes the rest.
-func (c *Node) load(entries []*wire.Entry) {
-	c.base = position{c.snap.Index, c.snap.Term}
-	if len(entries) > 0 && entries[0].Index <= c.snap.Index {
-		c.base = position{entries[0].Index, entries[0].Term}
+func (n *Node) load(entries []*wire.Entry) {
+	n.base = position{n.snapshot.Index, n.snapshot.Term}
+	if len(entries) > 0 && entries[0].Index <= n.snapshot.Index {
+		n.base = position{entries[0].Index, entries[0].Term}
 		entries = entries[1:]
 	}
-	c.entries = entries
+	n.entries = entries
 	for _, e := range entries {
-		if e.Index > c.snap.Index {
-			c.trackMembership(e)
+		if e.Index > n.snapshot.Index {
+			n.trackMembership(e)
 		}
 	}
-	c.countBacklog()
-	c.stable = c.last()
+	n.countBacklog()
+	n.stable = n.last()
 }
--- a/internal/controlplane/raft/retention_test.go
+++ b/internal/controlplane/raft/retention_test.go
@@ -12,8 +12,8 @@
 )
 
 // acknowledge has a member say that it has the leader's log up to an index.
-func acknowledge(c *Node, from, index uint64) Output {
-	c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: from, To: c.id, Term: c.hard.Term, Index: index, HeartbeatRound: c.round})
+func acknowledge(c *Node, from, index uint64) Ready {
+	c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: from, To: c.id, Term: c.hardState.Term, Index: index, HeartbeatRound: c.heartbeatRound})
 	return settle(c)
 }
 
@@ -30,7 +30,7 @@
 }
 
 // sentTo returns what is sent to a member of one kind.
-func sentTo(o Output, to uint64, kind wire.RaftMessage_Kind) (list []*wire.RaftMessage) {
+func sentTo(o Ready, to uint64, kind wire.RaftMessage_Kind) (list []*wire.RaftMessage) {
 	for _, m := range o.Messages {
 		if m.To == to && m.Kind == kind {
 			list = append(list, m)
@@ -55,7 +55,7 @@
 	}
 	kept := slices.Clone(c.entries)
 	again := New(1, &wire.HardState{Term: 4, Vote: 1}, snapshot, kept, 1, c.now)
-	if again.first() != kept[0].Index+1 || again.last() != c.last() || again.Backlog() != 0 || again.Commit() != snapshot.Index {
+	if again.first() != kept[0].Index+1 || again.last() != c.last() || again.Backlog() != 0 || again.Committed() != snapshot.Index {
 		t.Errorf("after a restart the log is from %d to %d, with %d behind the snapshot", again.first(), again.last(), again.Backlog())
 	}
 	older, err := proto.Marshal(voters(5))
@@ -74,13 +74,13 @@
 // TestTheTailIsBounded by the number of entries and by their bytes; a disk is told what may go.
 func TestTheTailIsBounded(t *testing.T) {
 	c := leading(t)
-	c.Retain(8, 64)
+	c.SetRetention(8, 64)
 	proposeMany(t, c, 50, 10)
 	c.Compact(c.applied, nil)
 	if c.last()-c.base.index != 8 || c.First() != c.last()-8 {
 		t.Errorf("%d entries are kept, from %d on", c.last()-c.base.index, c.First())
 	}
-	c.Retain(tailEntries, catchUpEntries)
+	c.SetRetention(tailEntries, catchUpEntries)
 	proposeMany(t, c, 20, tailBytes/10)
 	c.Compact(c.applied, nil)
 	if n := c.last() - c.base.index; n != 10 {
@@ -107,7 +107,7 @@
 func needsSnapshot(t *testing.T) *Node {
 	t.Helper()
 	c := leading(t)
-	c.Retain(4, catchUpEntries)
+	c.SetRetention(4, catchUpEntries)
 	proposeMany(t, c, 40, 10)
 	c.Compact(c.applied, []byte("first"))
 	c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 3, To: 1, Term: 4, Reject: true, Index: 1})
@@ -120,29 +120,29 @@
 func TestOneTransferAtATime(t *testing.T) {
 	c := needsSnapshot(t)
 	begun := sentTo(settle(c), 3, wire.RaftMessage_INSTALL_SNAPSHOT)
-	if len(begun) != 1 || c.Transferring(3) != begun[0].Snapshot.Index {
+	if len(begun) != 1 || c.SnapshotInTransfer(3) != begun[0].Snapshot.Index {
 		t.Fatalf("%d transfers are begun", len(begun))
 	}
 	first := begun[0].Snapshot
-	later := func(d time.Duration) Output {
+	later := func(d time.Duration) Ready {
 		c.Tick(c.now + d)
 		o := settle(c)
 		for _, id := range []uint64{2, 3} { // both are there
-			c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: 1, Term: 4, Index: 1, HeartbeatRound: c.round})
+			c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: 1, Term: 4, Index: 1, HeartbeatRound: c.heartbeatRound})
 		}
 		o.Messages = append(o.Messages, settle(c).Messages...)
 		return o
 	}
 	for range 40 { // three seconds of heartbeats, with progress
 		o := later(Heartbeat)
-		c.Transfer(c.now, 3, first.Index, TransferProgress)
+		c.ReportSnapshot(c.now, 3, first.Index, SnapshotProgress)
 		if len(sentTo(o, 3, wire.RaftMessage_INSTALL_SNAPSHOT)) > 0 || len(sentTo(o, 3, wire.RaftMessage_APPEND_ENTRIES)) == 0 {
 			t.Fatalf("under a transfer a member gets %v", o.Messages)
 		}
 		proposeMany(t, c, 10, 10)
 		c.Compact(c.applied, []byte("newer"))
 	}
-	c.Transfer(c.now, 3, first.Index, TransferFailed)
+	c.ReportSnapshot(c.now, 3, first.Index, SnapshotFailed)
 	if o := later(Heartbeat); len(sentTo(o, 3, wire.RaftMessage_INSTALL_SNAPSHOT)) > 0 {
 		t.Error("a transfer that has failed is begun again at once")
 	}
@@ -153,7 +153,7 @@
 	if len(resumed) != 1 || resumed[0].Snapshot != first {
 		t.Fatalf("%d transfers are resumed after a failure, with another snapshot", len(resumed))
 	}
-	c.Transfer(c.now, 3, first.Index, TransferFinished)
+	c.ReportSnapshot(c.now, 3, first.Index, SnapshotFinished)
 	next := sentTo(settle(c), 3, wire.RaftMessage_APPEND_ENTRIES)
 	if len(next) == 0 || next[0].Index != first.Index || len(next[0].Entries) == 0 {
 		t.Errorf("the log does not go on from the snapshot at %d: %v", first.Index, next)
@@ -161,7 +161,7 @@
 	acknowledge(c, 3, first.Index+10)
 	proposeMany(t, c, 10, 10)
 	c.Compact(c.applied, nil)
-	if c.base.index != first.Index+10 || c.Transferring(3) != 0 {
+	if c.base.index != first.Index+10 || c.SnapshotInTransfer(3) != 0 {
 		t.Errorf("the log begins at %d for a member that catches up from %d on", c.first(), first.Index+10)
 	}
 	acknowledge(c, 3, c.last())
@@ -189,19 +189,19 @@
 			o := settle(c)
 			acknowledge(c, 2, c.last())
 			if thirdAnswers {
-				c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 3, To: 1, Term: 4, Reject: true, Index: 1, HeartbeatRound: c.round})
+				c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 3, To: 1, Term: 4, Reject: true, Index: 1, HeartbeatRound: c.heartbeatRound})
 				o.Messages = append(o.Messages, settle(c).Messages...)
 			}
 			begun = append(begun, sentTo(o, 3, wire.RaftMessage_INSTALL_SNAPSHOT)...)
 		}
 		return begun
 	}
-	if again := heartbeats(transferSilence+Heartbeat, true); len(again) != 1 || again[0].Snapshot == first {
+	if again := heartbeats(snapshotTimeout+Heartbeat, true); len(again) != 1 || again[0].Snapshot == first {
 		t.Errorf("%d transfers are begun, or one that leads nowhere", len(again))
 	}
-	heartbeats(transferSilence, false)
-	if begun := heartbeats(2*catchUpSilence, false); len(begun) > 0 || c.Transferring(3) != 0 {
-		t.Errorf("%d transfers are begun to a member that is gone, and one is kept: %d", len(begun), c.Transferring(3))
+	heartbeats(snapshotTimeout, false)
+	if begun := heartbeats(2*catchUpTimeout, false); len(begun) > 0 || c.SnapshotInTransfer(3) != 0 {
+		t.Errorf("%d transfers are begun to a member that is gone, and one is kept: %d", len(begun), c.SnapshotInTransfer(3))
 	}
 }
 
@@ -291,7 +291,7 @@
 // TestAFollowerKeepsNothingForTransfers: one that led, and was transferring a snapshot, keeps the usual tail from then on.
 func TestAFollowerKeepsNothingForTransfers(t *testing.T) {
 	c := needsSnapshot(t)
-	if c.Transferring(3) == 0 {
+	if c.SnapshotInTransfer(3) == 0 {
 		t.Fatal("no transfer is under way")
 	}
 	for range 20 {
@@ -299,7 +299,7 @@
 		c.Step(c.now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: 5, Index: c.last(), LogTerm: c.lastTerm(), Entries: []*wire.Entry{e}, Commit: e.Index})
 		settle(c)
 	}
-	if c.Compact(c.applied, nil); c.Leads() || c.last()-c.base.index != 4 {
+	if c.Compact(c.applied, nil); c.IsLeader() || c.last()-c.base.index != 4 {
 		t.Errorf("%d entries are kept", c.last()-c.base.index)
 	}
 }
--- a/internal/controlplane/raft/sim_checks_test.go
+++ b/internal/controlplane/raft/sim_checks_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// leader: one member leads in a term.
+// stateLeader: one member leads in a term.
 func (c *checks) leader(now time.Duration, m *simMember) {
-	if !m.node.Leads() {
+	if !m.node.IsLeader() {
 		return
 	}
 	term, id := m.node.Term(), m.node.ID()
@@ -83,7 +83,7 @@
 	}
 }
 
-// install: a snapshot takes nobody back.
+// installSnapshot: a snapshot takes nobody back.
 func (c *checks) install(now time.Duration, m *simMember, s *wire.RaftSnapshot) {
 	if s.Index < m.applied {
 		c.breaks(now, "member %d goes back from entry %d to a snapshot of entry %d", m.number, m.applied, s.Index)
@@ -95,7 +95,7 @@
 func (c *checks) tail(now time.Duration, m *simMember, first uint64, tail int) {
 	wanted := max(first, m.applied-min(m.applied, uint64(tail)))
 	for id, p := range m.node.progress {
-		if index := m.node.Transferring(id); p.match < index {
+		if index := m.node.SnapshotInTransfer(id); p.match < index {
 			wanted = max(first, min(wanted, index))
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-// transfer: a snapshot that is under way is sent to its end, as long as the log leads on from it and its receiver is not
+// snapshot: a snapshot that is under way is sent to its end, as long as the log leads on from it and its receiver is not
 // gone.
 func (c *checks) transfer(now time.Duration, m *simMember, message *wire.RaftMessage) {
 	if message.Kind != wire.RaftMessage_INSTALL_SNAPSHOT {
@@ -113,7 +113,7 @@
 	to := message.To
 	sent := sentSnapshot{message.Snapshot.GetIndex(), message.Term, now}
 	before, p := m.transfers[to], m.node.progress[to]
-	underWay := p != nil && before.term == sent.term && p.match < before.index && now-before.at < catchUpSilence
+	underWay := p != nil && before.term == sent.term && p.match < before.index && now-before.at < catchUpTimeout
 	if underWay && before.index >= m.node.First() && before.index != sent.index {
 		c.breaks(now, "member %d sends a snapshot of entry %d to identity %d, while one of entry %d is under way", m.number, sent.index, to, before.index)
 	}
--- a/internal/controlplane/raft/sim_clients_test.go
+++ b/internal/controlplane/raft/sim_clients_test.go
@@ -83,7 +83,7 @@
 		o = &operation{client: client, call: w.now, sent: w.now, ret: -1}
 		w.clients.token++
 		m.reads[w.clients.token] = o
-		m.node.Read(w.now+m.skew, w.clients.token)
+		m.node.ReadIndex(w.now+m.skew, w.clients.token)
 		w.keep(o)
 	default:
 		w.nextID++
@@ -104,7 +104,7 @@
 func (w *simulation) drawLeader() *simMember {
 	var leaders []*simMember
 	for _, m := range w.members {
-		if m.node != nil && m.frozenUntil <= w.now && m.node.Leads() {
+		if m.node != nil && m.frozenUntil <= w.now && m.node.IsLeader() {
 			leaders = append(leaders, m)
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // answerRead answers a read that was confirmed.
-func (w *simulation) answerRead(m *simMember, r Read) {
+func (w *simulation) answerRead(m *simMember, r ReadState) {
 	o := m.reads[r.Token]
 	if o == nil {
 		return
--- a/internal/controlplane/raft/sim_faultless_test.go
+++ b/internal/controlplane/raft/sim_faultless_test.go
@@ -24,7 +24,7 @@
 	return w
 }
 
-// turn is one millisecond in which nothing fails, and a message takes as long.
+// nextTarget is one millisecond in which nothing fails, and a message takes as long.
 func (w *simulation) turn() {
 	w.now += time.Millisecond
 	for _, m := range w.members {
@@ -36,11 +36,11 @@
 			m.inbox = m.inbox[1:]
 		}
 		m.node.Tick(w.now)
-		for o := m.node.Take(); !o.Empty(); o = m.node.Take() {
-			m.disk.Write(o.Snapshot, o.Hard, o.Entries)
+		for o := m.node.Ready(); !o.Empty(); o = m.node.Ready() {
+			m.disk.Write(o.Snapshot, o.HardState, o.Entries)
 			m.disk.Sync()
 			if n := len(o.Entries); n > 0 {
-				m.node.Stable(o.Entries[n-1].Index)
+				m.node.StableTo(o.Entries[n-1].Index)
 			}
 			for _, msg := range o.Messages {
 				if to := w.members[msg.To-1]; !w.cut[[2]int{m.number, to.number}] {
@@ -51,10 +51,10 @@
 	}
 }
 
-// leader is the member that leads in the newest term; nil: none does.
+// stateLeader is the member that leads in the newest term; nil: none does.
 func (w *simulation) leader() (lead *simMember) {
 	for _, m := range w.members {
-		if m.node != nil && m.node.Leads() && (lead == nil || m.node.Term() > lead.node.Term()) {
+		if m.node != nil && m.node.IsLeader() && (lead == nil || m.node.Term() > lead.node.Term()) {
 			lead = m
 		}
 	}
--- a/internal/controlplane/raft/sim_faults_test.go
+++ b/internal/controlplane/raft/sim_faults_test.go
@@ -10,7 +10,7 @@
 // reconcile is the leader's upkeep of its members, as the control plane does it.
 func (w *simulation) reconcile(m *simMember) {
 	now := w.now + m.skew
-	if !m.node.Leads() {
+	if !m.node.IsLeader() {
 		m.led = false
 		return
 	}
@@ -26,14 +26,14 @@
 	}
 	for _, other := range w.members { // those that ask to join
 		if other.node != nil && !w.cut[[2]int{other.number, m.number}] {
-			if move, member := m.node.Joining(&wire.Peer{Id: other.disk.ID, Address: fmt.Sprint(other.number)}); !member {
+			if move, member := m.node.JoinChange(&wire.Peer{Id: other.disk.ID, Address: fmt.Sprint(other.number)}); !member {
 				m.senders[other.disk.ID] = other.number
-				m.node.Change(now, move.Next)
+				m.node.ProposeMembership(now, move.Next)
 				return
 			}
 		}
 	}
-	if w.rng.IntN(12) == 0 && m.node.HandOver(now) { // its process is to end, say
+	if w.rng.IntN(12) == 0 && m.node.TransferLeadership(now) { // its process is to end, say
 		return
 	}
 	peers := slices.Clone(m.node.Peers())
@@ -45,14 +45,14 @@
 			}
 			next := slices.Clone(peers)
 			next[i] = &wire.Peer{Id: peers[i].Id, Address: peers[i].Address, Voter: !peers[i].Voter}
-			if m.node.Change(now, next) == nil {
+			if m.node.ProposeMembership(now, next) == nil {
 				peers = next
 			}
 		}
 		return
 	}
 	if move := m.node.Reconcile(3); move.Next != nil {
-		m.node.Change(now, move.Next)
+		m.node.ProposeMembership(now, move.Next)
 	}
 }
 
@@ -61,7 +61,7 @@
 func (w *simulation) drawFault() {
 	any := w.rng.IntN(len(w.members)) // the leader as often as any other
 	for i, m := range w.members {
-		if m.node != nil && m.node.Leads() && w.rng.IntN(2) == 0 {
+		if m.node != nil && m.node.IsLeader() && w.rng.IntN(2) == 0 {
 			any = i
 		}
 	}
@@ -110,7 +110,7 @@
 // is to be borne; what the others lag behind is theirs to catch up.
 func (w *simulation) wipe(m *simMember) {
 	for _, lead := range w.members {
-		if lead.node == nil || !lead.node.Leads() || !lead.node.Settled() || lead.node.QuorumContactAge(w.now+lead.skew) > Heartbeat {
+		if lead.node == nil || !lead.node.IsLeader() || !lead.node.MembershipCommitted() || lead.node.QuorumContactAge(w.now+lead.skew) > Heartbeat {
 			continue
 		}
 		peers := lead.node.Peers()
--- a/internal/controlplane/raft/sim_run_test.go
+++ b/internal/controlplane/raft/sim_run_test.go
@@ -134,8 +134,8 @@
 		m.disk.ID = w.nextID
 	}
 	m.node = New(m.disk.ID, m.disk.Hard, m.disk.Snap, slices.Clone(m.disk.Entries), w.rng.Uint64(), w.now+m.skew)
-	m.node.batch = w.batch
-	m.node.Retain(m.disk.Tail, catchUpEntries)
+	m.node.maxBatchEntries = w.batch
+	m.node.SetRetention(m.disk.Tail, catchUpEntries)
 	m.restore(m.disk.Snap)
 	m.led = false
 	m.reads, m.writes = map[uint64]*operation{}, map[uint64]proposal{}
@@ -167,7 +167,7 @@
 	w.receive(m)
 	m.node.Tick(w.now + m.skew)
 	w.checks.leader(w.now, m)
-	if w.now-m.reconciled > 250*time.Millisecond || m.node.Leads() && !m.led {
+	if w.now-m.reconciled > 250*time.Millisecond || m.node.IsLeader() && !m.led {
 		m.reconciled = w.now
 		w.reconcile(m)
 	}
@@ -197,7 +197,7 @@
 // settle carries out a member's output; it may lose power at any point.
 func (w *simulation) settle(m *simMember) {
 	for m.node != nil {
-		o := m.node.Take()
+		o := m.node.Ready()
 		if o.Empty() {
 			return
 		}
@@ -208,10 +208,10 @@
 			w.checks.transfer(w.now, m, message)
 			w.send(m, message)
 		}
-		for _, e := range o.Committed {
+		for _, e := range o.CommittedEntries {
 			w.apply(m, e)
 		}
-		for _, r := range o.Reads {
+		for _, r := range o.ReadStates {
 			w.answerRead(m, r)
 		}
 		w.compact(m)
@@ -219,8 +219,8 @@
 }
 
 // save writes what has to be on disk. It reports false where the member lost its power meanwhile.
-func (w *simulation) save(m *simMember, o *Output) bool {
-	hard := o.Hard
+func (w *simulation) save(m *simMember, o *Ready) bool {
+	hard := o.HardState
 	if *loseVotes {
 		hard = nil
 	}
@@ -231,7 +231,7 @@
 	}
 	m.disk.Sync()
 	if m.syncTime > 0 && len(o.Entries) > 0 {
-		m.node.Synced(m.syncTime)
+		m.node.ObserveSync(m.syncTime)
 		m.frozenUntil = w.now + m.syncTime
 	}
 	if o.Snapshot != nil {
@@ -239,7 +239,7 @@
 		m.restore(o.Snapshot)
 	}
 	if n := len(o.Entries); n > 0 {
-		m.node.Stable(o.Entries[n-1].Index)
+		m.node.StableTo(o.Entries[n-1].Index)
 	}
 	if w.rng.IntN(3000) == 0 {
 		w.crash(m, w.span(500, 3000)) // after the sync, before anybody knows
--- a/internal/controlplane/raft/snapshot_sim_test.go
+++ b/internal/controlplane/raft/snapshot_sim_test.go
@@ -121,7 +121,7 @@
 
 func (c *cluster) start(r *replica) {
 	r.node = New(r.disk.ID, r.disk.Hard, r.disk.Snap, slices.Clone(r.disk.Entries), c.rng.Uint64(), c.now)
-	r.node.Retain(catchUpTail, c.catchUpEntries())
+	r.node.SetRetention(catchUpTail, c.catchUpEntries())
 	r.applied, r.digest = r.disk.Snap.GetIndex(), digestOf(r.disk.Snap)
 	r.inbox, r.writing = nil, nil
 	if r.partial == nil {
@@ -148,11 +148,11 @@
 // settle carries out what a node asks for.
 func (c *cluster) settle(r *replica) {
 	for r.node != nil {
-		o := r.node.Take()
+		o := r.node.Ready()
 		if o.Empty() {
 			return
 		}
-		r.disk.Write(o.Snapshot, o.Hard, o.Entries)
+		r.disk.Write(o.Snapshot, o.HardState, o.Entries)
 		if o.Snapshot != nil && c.installsCut == 0 && c.rng.IntN(2) == 0 { // the power goes in the middle of an installation
 			c.installsCut++
 			c.crash(r, true)
@@ -167,12 +167,12 @@
 			c.check(r)
 		}
 		if n := len(o.Entries); n > 0 {
-			r.node.Stable(o.Entries[n-1].Index)
+			r.node.StableTo(o.Entries[n-1].Index)
 		}
 		for _, m := range o.Messages {
 			c.send(r, m)
 		}
-		for _, e := range o.Committed {
+		for _, e := range o.CommittedEntries {
 			c.apply(r, e)
 		}
 		c.compact(r)
@@ -199,7 +199,7 @@
 	h.Write(e.Data)
 	r.applied, r.digest = e.Index, h.Sum64()
 	c.check(r)
-	if r.node.Leads() {
+	if r.node.IsLeader() {
 		c.acked = max(c.acked, e.Index)
 	}
 }
@@ -233,7 +233,7 @@
 			continue
 		}
 		if t.snapshot == s {
-			if c.now-t.reportedAt < transferSilence {
+			if c.now-t.reportedAt < snapshotTimeout {
 				c.fail("replica %d begins the snapshot at %d for %d again, %v after it was told of progress", from.n, s.Index, to.n, c.now-t.reportedAt)
 			}
 			return
@@ -243,12 +243,12 @@
 		}
 	}
 	c.transfers = slices.DeleteFunc(c.transfers, func(t *inTransit) bool { return t.to == to }) // the receiver takes the newest
-	if to.node == nil || !c.connected(from.n, to.n) || to.node.Commit() >= s.Index {
-		event := TransferFailed
+	if to.node == nil || !c.connected(from.n, to.n) || to.node.Committed() >= s.Index {
+		event := SnapshotFailed
 		if to.node != nil && c.connected(from.n, to.n) {
-			event = TransferFinished // it is not needed
+			event = SnapshotFinished // it is not needed
 		}
-		from.node.Transfer(c.now, to.disk.ID, s.Index, event)
+		from.node.ReportSnapshot(c.now, to.disk.ID, s.Index, event)
 		return
 	}
 	if b := to.begun; b != nil && b.sender == from.node && b.term == from.node.Term() && b.snapshot != s && to.partial[b.snapshot.Index] > 0 &&
@@ -275,7 +275,7 @@
 		if t.from.node != t.sender || t.to.node != t.receiver || !c.connected(t.from.n, t.to.n) || !c.connected(t.to.n, t.from.n) {
 			c.broken++
 			if t.from.node == t.sender && t.sender != nil {
-				t.sender.Transfer(c.now, t.to.disk.ID, s.Index, TransferFailed)
+				t.sender.ReportSnapshot(c.now, t.to.disk.ID, s.Index, SnapshotFailed)
 			}
 			return true
 		}
@@ -286,18 +286,18 @@
 		if t.to.partial[s.Index] < c.stateSize {
 			if c.now-t.reportedAt > transferReports {
 				t.reportedAt = c.now
-				t.sender.Transfer(c.now, t.to.disk.ID, s.Index, TransferProgress)
+				t.sender.ReportSnapshot(c.now, t.to.disk.ID, s.Index, SnapshotProgress)
 			}
 			return false
 		}
-		t.to.node.Install(c.now, s)
+		t.to.node.InstallSnapshot(c.now, s)
 		c.settle(t.to)
 		if t.to.node != nil {
 			c.completed++
 			delete(t.to.partial, s.Index)
-			t.sender.Transfer(c.now, t.to.disk.ID, s.Index, TransferFinished)
+			t.sender.ReportSnapshot(c.now, t.to.disk.ID, s.Index, SnapshotFinished)
 		} else {
-			t.sender.Transfer(c.now, t.to.disk.ID, s.Index, TransferFailed)
+			t.sender.ReportSnapshot(c.now, t.to.disk.ID, s.Index, SnapshotFailed)
 		}
 		return true
 	})
@@ -330,7 +330,7 @@
 	}
 }
 
-// turn is one step of all replicas.
+// nextTarget is one step of all replicas.
 func (c *cluster) turn() {
 	c.now += catchUpStep
 	if c.calm || c.now > c.cutUntil {
@@ -350,7 +350,7 @@
 		if r.frozen > c.now && !c.calm {
 			continue
 		}
-		led := r.node.Leads()
+		led := r.node.IsLeader()
 		var rest []delivery
 		inbox := r.inbox
 		r.inbox = nil
@@ -363,7 +363,7 @@
 		}
 		r.inbox = append(rest, r.inbox...)
 		r.node.Tick(c.now)
-		if r.node.Leads() && !led && r.node.last() < c.acked {
+		if r.node.IsLeader() && !led && r.node.last() < c.acked {
 			c.fail("replica %d leads with a log up to %d, and %d was acknowledged", r.n, r.node.last(), c.acked)
 		}
 		for range c.rate / int(time.Second/catchUpStep) {
@@ -382,7 +382,7 @@
 		if r.node == nil {
 			return time.Hour
 		}
-		commit, least = max(commit, r.node.Commit()), min(least, r.applied)
+		commit, least = max(commit, r.node.Committed()), min(least, r.applied)
 	}
 	return time.Duration(commit-least) * time.Second / time.Duration(c.rate)
 }
--- a/internal/controlplane/raft/state.go
+++ b/internal/controlplane/raft/state.go
@@ -15,46 +15,46 @@
 
 // Clone returns a copy that goes its own way, for those who look at what could happen next. It is to be called once
 // Take has nothing more. What is drawn at random is not drawn alike by the two.
-func (c *Node) Clone() *Node {
+func (n *Node) Clone() *Node {
 	d := &Node{
-		id: c.id, rng: rand.New(rand.NewPCG(c.id, c.hard.Term)), now: c.now, role: c.role, leaderID: c.leaderID,
-		snap: c.snap, base: c.base, entries: slices.Clone(c.entries), backlogBytes: c.backlogBytes, tailEntries: c.tailEntries, catchUpEntries: c.catchUpEntries, proposed: c.proposed, stable: c.stable, unsaved: c.unsaved, commit: c.commit, applied: c.applied,
-		memberships: slices.Clone(c.memberships), startedAt: c.startedAt, batch: c.batch, deadline: c.deadline, leaderContactAt: c.leaderContactAt,
-		process: c.process, contactAt: c.contactAt, campaignAt: c.campaignAt,
-		votes: maps.Clone(c.votes), progress: make(map[uint64]*progress, len(c.progress)), heartbeatAt: c.heartbeatAt, round: c.round,
-		roundStartedAt: maps.Clone(c.roundStartedAt), quorumContactAt: c.quorumContactAt, leaderSince: c.leaderSince, reads: slices.Clone(c.reads), syncTime: c.syncTime, transferTarget: c.transferTarget, transferDeadline: c.transferDeadline,
-		catchUp: c.catchUp, departing: maps.Clone(c.departing), expelled: c.expelled,
-	}
-	d.hard.Term, d.hard.Vote = c.hard.Term, c.hard.Vote
-	d.saved.Term, d.saved.Vote = c.saved.Term, c.saved.Vote
-	for id, p := range c.progress {
+		id: n.id, rng: rand.New(rand.NewPCG(n.id, n.hardState.Term)), now: n.now, state: n.state, leaderID: n.leaderID,
+		snapshot: n.snapshot, base: n.base, entries: slices.Clone(n.entries), backlogBytes: n.backlogBytes, tailEntries: n.tailEntries, catchUpEntries: n.catchUpEntries, proposed: n.proposed, stable: n.stable, firstUnsaved: n.firstUnsaved, committed: n.committed, applied: n.applied,
+		memberships: slices.Clone(n.memberships), startedAt: n.startedAt, maxBatchEntries: n.maxBatchEntries, electionDeadline: n.electionDeadline, leaderContactAt: n.leaderContactAt,
+		process: n.process, contactAt: n.contactAt, campaignAt: n.campaignAt,
+		votes: maps.Clone(n.votes), progress: make(map[uint64]*progress, len(n.progress)), heartbeatAt: n.heartbeatAt, heartbeatRound: n.heartbeatRound,
+		roundStartedAt: maps.Clone(n.roundStartedAt), quorumContactAt: n.quorumContactAt, leaderSince: n.leaderSince, pendingReads: slices.Clone(n.pendingReads), syncTime: n.syncTime, leadTransferee: n.leadTransferee, leadTransferDeadline: n.leadTransferDeadline,
+		catchUp: n.catchUp, leaving: maps.Clone(n.leaving), removedElsewhere: n.removedElsewhere,
+	}
+	d.hardState.Term, d.hardState.Vote = n.hardState.Term, n.hardState.Vote
+	d.savedHardState.Term, d.savedHardState.Vote = n.savedHardState.Term, n.savedHardState.Vote
+	for id, p := range n.progress {
 		copied := *p
 		d.progress[id] = &copied
 	}
 	return d
 }
 
-// Batch sets how many entries go in one message, at most; 0: as many as usual. Small ones reach orders of events that
+// SetMaxBatchEntries sets how many entries go in one message, at most; 0: as many as usual. Small ones reach orders of events that
 // a busy core of large ones has, with a few entries.
-func (c *Node) Batch(n int) {
-	if n > 0 {
-		c.batch = n
+func (n *Node) SetMaxBatchEntries(entries int) {
+	if entries > 0 {
+		n.maxBatchEntries = entries
 	}
 }
 
 // Campaign makes this member ask for votes at once, without the question ahead of it. That question spares a core
 // needless elections; what is safe must not hang on it.
-func (c *Node) Campaign(now time.Duration) {
-	c.now = now
-	if c.role != leader && c.promotable() {
-		c.campaign(false, false)
+func (n *Node) Campaign(now time.Duration) {
+	n.now = now
+	if n.state != stateLeader && n.electable() {
+		n.campaign(false, false)
 	}
 }
 
-// AppendState appends what decides of this member's future, and nothing else: two members with the same bytes answer
+// AppendFingerprint appends what decides of this member's future, and nothing else: two members with the same bytes answer
 // alike to all that may come. Times count only by the bounds that they are past of. rename gives identities their
 // places, so that members which differ by name alone can be told to be alike.
-func (c *Node) AppendState(b []byte, rename func(uint64) uint64) []byte {
+func (n *Node) AppendFingerprint(b []byte, rename func(uint64) uint64) []byte {
 	u := func(x uint64) { b = binary.AppendUvarint(b, x) }
 	flag := func(f bool) {
 		if f {
@@ -63,55 +63,55 @@
 			u(0)
 		}
 	}
-	u(rename(c.id))
-	u(uint64(c.role))
-	u(rename(c.leaderID))
-	u(c.hard.Term)
-	u(rename(c.hard.Vote))
-	u(c.stable)
-	u(c.commit)
-	u(c.applied)
-	flag(c.now-c.leaderContactAt < electionMin)
-	flag(c.now >= c.deadline)
-	u(c.snap.Index)
-	u(c.snap.Term)
-	b = appendPeers(b, c.snap.GetPeers().GetPeers(), rename)
-	u(c.base.index)
-	u(c.base.term)
-	u(uint64(len(c.entries)))
-	for _, e := range c.entries {
+	u(rename(n.id))
+	u(uint64(n.state))
+	u(rename(n.leaderID))
+	u(n.hardState.Term)
+	u(rename(n.hardState.Vote))
+	u(n.stable)
+	u(n.committed)
+	u(n.applied)
+	flag(n.now-n.leaderContactAt < electionMin)
+	flag(n.now >= n.electionDeadline)
+	u(n.snapshot.Index)
+	u(n.snapshot.Term)
+	b = appendPeers(b, n.snapshot.GetPeers().GetPeers(), rename)
+	u(n.base.index)
+	u(n.base.term)
+	u(uint64(len(n.entries)))
+	for _, e := range n.entries {
 		b = AppendEntry(b, e, rename)
 	}
-	if c.role == preCandidate || c.role == candidate {
-		b = appendIDs(b, slices.Collect(maps.Keys(c.votes)), rename)
+	if n.state == statePreCandidate || n.state == stateCandidate {
+		b = appendIDs(b, slices.Collect(maps.Keys(n.votes)), rename)
 	}
-	if c.role != leader {
+	if n.state != stateLeader {
 		return b
 	}
-	flag(c.isolated())
-	u(c.round)
-	for r := c.round; r > 0 && c.round-r < 4; r-- { // what an answer to one of them would prove
-		at, ok := c.roundStartedAt[r]
-		flag(ok && c.now-at <= electionMax)
+	flag(n.isolated())
+	u(n.heartbeatRound)
+	for r := n.heartbeatRound; r > 0 && n.heartbeatRound-r < 4; r-- { // what an answer to one of them would prove
+		at, ok := n.roundStartedAt[r]
+		flag(ok && n.now-at <= electionMax)
 	}
-	u(rename(c.transferTarget))
-	ids := slices.SortedFunc(maps.Keys(c.progress), func(x, y uint64) int { return cmp.Compare(rename(x), rename(y)) })
+	u(rename(n.leadTransferee))
+	ids := slices.SortedFunc(maps.Keys(n.progress), func(x, y uint64) int { return cmp.Compare(rename(x), rename(y)) })
 	for _, id := range ids {
-		p := c.progress[id]
+		p := n.progress[id]
 		u(rename(id))
 		u(p.match)
 		u(p.next)
-		u(p.round)
-		flag(c.now-p.lastContact > freshLag)
-		u(p.transfer.GetIndex())
-		flag(c.now >= p.transferRetryAt)
-		flag(c.now-p.lastContact >= transferSilence)
-	}
-	u(uint64(len(c.reads)))
-	for _, r := range c.reads {
+		u(p.heartbeatRound)
+		flag(n.now-p.lastContact > recentContact)
+		u(p.snapshot.GetIndex())
+		flag(n.now >= p.snapshotRetryAt)
+		flag(n.now-p.lastContact >= snapshotTimeout)
+	}
+	u(uint64(len(n.pendingReads)))
+	for _, r := range n.pendingReads {
 		u(r.token)
 		u(r.index)
-		u(r.round)
+		u(r.heartbeatRound)
 	}
 	return b
 }
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -45,14 +45,14 @@
 		case <-stop:
 			stop = nil
 			left, overdue = n.members.beginLeave(), time.After(n.set.Load().Bounds.Grace/leavePart)
-			n.log.Info("member.leaves", "term", n.consensus.Term(), "leads", n.consensus.Leads())
+			n.log.Info("member.leaves", "term", n.consensus.Term(), "leads", n.consensus.IsLeader())
 		case <-left:
 			n.log.Info("member.left", "term", n.consensus.Term())
 			n.pause(lastWords)
 			return
 		case <-overdue:
 			index, _ := n.consensus.LastEntry()
-			n.log.Warn("member.left_short", "index", index, "commit", n.consensus.Commit(), "leads", n.consensus.Leads())
+			n.log.Warn("member.left_short", "index", index, "commit", n.consensus.Committed(), "leads", n.consensus.IsLeader())
 			return
 		case f := <-n.events:
 			n.consensus.Tick(n.now()) // after a pause of the process the lead, or the word of it, may be out of date
@@ -69,14 +69,14 @@
 		}
 		n.consensus.Tick(n.now())
 		n.requests.tick(n.now())
-		if now := n.now(); now-n.managed >= manageEvery || n.consensus.Leads() != n.wasLead {
+		if now := n.now(); now-n.managed >= manageEvery || n.consensus.IsLeader() != n.wasLead {
 			n.managed = now
 			n.manage()
 		}
 		n.members.tick()
 		n.flush()
 		n.observeContact(n.now())
-		wait := min(n.consensus.Next()-n.now(), manageEvery)
+		wait := min(n.consensus.NextTick()-n.now(), manageEvery)
 		if at, ok := n.requests.next(); ok {
 			wait = min(wait, at-n.now())
 		}
@@ -87,7 +87,7 @@
 // flush carries out what the consensus asks for.
 func (n *Node) flush() {
 	for {
-		out := n.consensus.Take()
+		out := n.consensus.Ready()
 		if out.Empty() {
 			return
 		}
@@ -95,10 +95,10 @@
 		for _, m := range out.Messages {
 			n.send(m)
 		}
-		for _, e := range out.Committed {
+		for _, e := range out.CommittedEntries {
 			n.apply(e)
 		}
-		for _, r := range out.Reads {
+		for _, r := range out.ReadStates {
 			n.requests.confirmed(r)
 		}
 		n.compact()
@@ -107,11 +107,11 @@
 
 // save puts an output on disk. A disk that refuses holds the loop up: nothing is
 // answered from memory, and the others elect a leader whose disk works.
-func (n *Node) save(out *raft.Output) {
-	if out.Snapshot == nil && out.Hard == nil && len(out.Entries) == 0 {
+func (n *Node) save(out *raft.Ready) {
+	if out.Snapshot == nil && out.HardState == nil && len(out.Entries) == 0 {
 		return
 	}
-	b := store.Batch{Snapshot: out.Snapshot, Staged: n.staged(out.Snapshot), Whole: out.Snapshot != nil, Hard: out.Hard, Entries: out.Entries}
+	b := store.Batch{Snapshot: out.Snapshot, Staged: n.staged(out.Snapshot), Whole: out.Snapshot != nil, Hard: out.HardState, Entries: out.Entries}
 	began := time.Now()
 	for failed := false; ; failed = true {
 		err := n.store.Save(b)
@@ -130,7 +130,7 @@
 		}
 	}
 	n.shown.Synced(time.Since(began))
-	n.consensus.Synced(time.Since(began))
+	n.consensus.ObserveSync(time.Since(began))
 	if took := time.Since(began); took > 300*time.Millisecond {
 		n.log.Warn("disk.slow", "took", took)
 	}
@@ -144,7 +144,7 @@
 		n.publish()
 	}
 	if len(out.Entries) > 0 {
-		n.consensus.Stable(out.Entries[len(out.Entries)-1].Index)
+		n.consensus.StableTo(out.Entries[len(out.Entries)-1].Index)
 	}
 }
 
--- a/internal/controlplane/server/member_api.go
+++ b/internal/controlplane/server/member_api.go
@@ -30,7 +30,7 @@
 		reply(w, http.StatusOK, "removed")
 	case errors.Is(err, raft.ErrNotMember):
 		reply(w, http.StatusNotFound, err.Error())
-	case errors.Is(err, raft.ErrMemberRuns), errors.Is(err, raft.ErrNeeded):
+	case errors.Is(err, raft.ErrMemberAlive), errors.Is(err, raft.ErrTooFewVoters):
 		reply(w, http.StatusConflict, err.Error())
 	default:
 		reply(w, http.StatusServiceUnavailable, err.Error())
--- a/internal/controlplane/server/membership.go
+++ b/internal/controlplane/server/membership.go
@@ -30,7 +30,7 @@
 		self   bool
 	}
 	c := make(chan reply, 1)
-	if !n.do(func() { c <- reply{n.leader(), n.consensus.Leads()} }) {
+	if !n.do(func() { c <- reply{n.leader(), n.consensus.IsLeader()} }) {
 		return nil, false
 	}
 	select {
@@ -46,7 +46,7 @@
 // manage is the leader's upkeep: whether another should lead, and which servers are gone. The members are the
 // membershipManager's.
 func (n *Node) manage() {
-	if !n.consensus.Leads() {
+	if !n.consensus.IsLeader() {
 		if n.wasLead {
 			n.log.Info("leadership.lost", "term", n.consensus.Term())
 		}
@@ -57,7 +57,7 @@
 		n.wasLead, n.ledSince = true, n.now()
 		n.log.Info("leadership.acquired", "term", n.consensus.Term(), "members", len(n.consensus.Peers()))
 	}
-	if n.consensus.Ill() && n.consensus.HandOver(n.now()) {
+	if n.consensus.ShouldTransferLeadership() && n.consensus.TransferLeadership(n.now()) {
 		n.log.Warn("leadership.transferring", "term", n.consensus.Term(), "why", "the disk is far slower than another's")
 		return
 	}
--- a/internal/controlplane/server/membership_manager.go
+++ b/internal/controlplane/server/membership_manager.go
@@ -44,8 +44,8 @@
 func (m *membershipManager) tick() {
 	n := m.node
 	actions := m.policy.Tick(n.now(), n.self(false), n.wantedVoters(), m.known)
-	m.propose(actions.Change)
-	for _, address := range actions.Ask {
+	m.propose(actions.Propose)
+	for _, address := range actions.JoinAt {
 		m.ask(address)
 	}
 	m.watchLearners()
@@ -68,7 +68,7 @@
 		return nil
 	}
 	n := m.node
-	if err := n.consensus.Change(n.now(), change.Next); err != nil {
+	if err := n.consensus.ProposeMembership(n.now(), change.Next); err != nil {
 		return err
 	}
 	n.log.Info(string(change.Event), "address", change.Peer.Address, "identity", fmt.Sprintf("%016x", change.Peer.Id),
@@ -80,7 +80,7 @@
 // the next loss.
 func (m *membershipManager) watchLearners() {
 	n := m.node
-	if !n.consensus.Leads() {
+	if !n.consensus.IsLeader() {
 		clear(m.late)
 		return
 	}
@@ -130,7 +130,7 @@
 		return
 	}
 	m.node.do(func() {
-		if leader := m.policy.Answered(answer); leader != "" {
+		if leader := m.policy.HandleJoinResponse(answer); leader != "" {
 			m.ask(leader)
 		}
 	})
@@ -143,7 +143,7 @@
 		return nil, errors.New("no identity or address")
 	}
 	return inLoop(ctx, m.node, func() *wire.JoinResponse {
-		change, answer := m.policy.Join(m.node.now(), p)
+		change, answer := m.policy.HandleJoin(m.node.now(), p)
 		m.propose(change)
 		return answer
 	})
@@ -152,7 +152,7 @@
 // leave answers a member that is about to end.
 func (m *membershipManager) leave(ctx context.Context, q *wire.LeaveRequest) (*wire.LeaveResponse, error) {
 	return inLoop(ctx, m.node, func() *wire.LeaveResponse {
-		return m.policy.Departing(m.node.now(), q, m.node.wantedVoters())
+		return m.policy.HandleLeave(m.node.now(), q, m.node.wantedVoters())
 	})
 }
 
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithTimeout(ctx, answerWithin)
 	defer cancel()
 	result, err := inLoop(ctx, n, func() error {
-		change, err := n.consensus.Removal(n.now(), id, n.wantedVoters())
+		change, err := n.consensus.RemovalChange(n.now(), id, n.wantedVoters())
 		if err != nil {
 			return err
 		}
@@ -223,8 +223,8 @@
 	if !own || others == 0 {
 		return leaveStep{alone: true}
 	}
-	if n.consensus.Leads() {
-		n.consensus.HandOver(n.now())
+	if n.consensus.IsLeader() {
+		n.consensus.TransferLeadership(n.now())
 		return leaveStep{}
 	}
 	index, term := n.consensus.LastEntry()
@@ -238,7 +238,7 @@
 	if err := m.node.pool.Call(call, step.leader, "leave", step.request, answer); err != nil {
 		return false
 	}
-	return raft.Departure{Held: answer.Replicated, Removed: answer.Removed, Stays: answer.KeepsVote}.Done()
+	return raft.LeaveStatus{Replicated: answer.Replicated, Removed: answer.Removed, KeepsVote: answer.KeepsVote}.Done()
 }
 
 // inLoop runs f in the node's loop and returns what it returns.
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -133,7 +133,7 @@
 
 func (w *simWorld) start(m *simMember) {
 	m.node = raft.New(m.disk.ID, m.disk.Hard, m.disk.Snap, slices.Clone(m.disk.Entries), w.rng.Uint64(), w.now)
-	m.node.Retain(m.disk.Tail, 8*m.disk.Tail)
+	m.node.SetRetention(m.disk.Tail, 8*m.disk.Tail)
 	m.restore(m.disk.Snap, w.memory)
 	m.requests = newRequestQueue(m.node, func() int { return min(3, len(w.members)) }, w.now)
 	m.api = operatorAPI{requests: m.requests, state: func() backup.Backup {
@@ -167,11 +167,11 @@
 // flush carries out a member's output, as the loop in service does. It may lose power before or after a sync.
 func (w *simWorld) flush(m *simMember) {
 	for m.node != nil {
-		out := m.node.Take()
+		out := m.node.Ready()
 		if out.Empty() {
 			return
 		}
-		m.disk.Write(out.Snapshot, out.Hard, out.Entries)
+		m.disk.Write(out.Snapshot, out.HardState, out.Entries)
 		if !w.calm && w.rng.IntN(4000) == 0 {
 			w.crash(m, w.span(300, 3000), w.rng.IntN(2) == 0)
 			return
@@ -185,17 +185,17 @@
 			m.restore(out.Snapshot, w.memory)
 		}
 		if len(out.Entries) > 0 {
-			m.node.Stable(out.Entries[len(out.Entries)-1].Index)
+			m.node.StableTo(out.Entries[len(out.Entries)-1].Index)
 		}
 		for _, message := range out.Messages {
 			w.post(m, message)
 		}
-		for _, e := range out.Committed {
+		for _, e := range out.CommittedEntries {
 			m.applied = e.Index
 			update, verdict := applyEntry(m.state, e)
 			m.requests.applied(e, update != nil, verdict)
 		}
-		for _, r := range out.Reads {
+		for _, r := range out.ReadStates {
 			m.requests.confirmed(r)
 		}
 		if m.node.Backlog() > simSnapshot {
@@ -410,7 +410,7 @@
 func (w *simWorld) trouble() {
 	m := w.members[w.rng.IntN(len(w.members))]
 	for _, other := range w.members {
-		if other.node != nil && other.node.Leads() && w.rng.IntN(2) == 0 {
+		if other.node != nil && other.node.IsLeader() && w.rng.IntN(2) == 0 {
 			m = other
 		}
 	}
@@ -441,7 +441,7 @@
 // restore makes a new quorum out of a backup, once nothing has been accepted since it was taken.
 func (w *simWorld) restore() {
 	for _, m := range w.members {
-		if m.node == nil || !m.node.Leads() {
+		if m.node == nil || !m.node.IsLeader() {
 			continue
 		}
 		m.api.backup(w.now, w.now+answerWithin, func(a Answer) {
--- a/internal/controlplane/server/proposals.go
+++ b/internal/controlplane/server/proposals.go
@@ -115,7 +115,7 @@
 
 // propose gives a request to the log, if this member leads.
 func (q *requestQueue) propose(now time.Duration, r *request) error {
-	if !q.consensus.Leads() {
+	if !q.consensus.IsLeader() {
 		if leader := q.leaderHeardSince(r.arrived); leader != nil {
 			return &notLeaderError{leader}
 		}
@@ -123,7 +123,7 @@
 	}
 	if r.command == nil {
 		q.reads[r.sequence] = r
-		q.consensus.Read(now, r.sequence)
+		q.consensus.ReadIndex(now, r.sequence)
 		return nil
 	}
 	if raft.Voters(q.consensus.Peers()) < q.minVoters() {
@@ -142,7 +142,7 @@
 // sign of life of the leader before its sender is sent there: one that was heard before may have died since, and the
 // sender would wait for it in vain, for a second where it has lost its power.
 func (q *requestQueue) leaderHeardSince(at time.Duration) *wire.Peer {
-	id := q.consensus.LeaderHeardSince(at)
+	id := q.consensus.LeaderContactedSince(at)
 	i := slices.IndexFunc(q.consensus.Peers(), func(p *wire.Peer) bool { return p.Id == id })
 	if id == 0 || i < 0 {
 		return nil
@@ -151,7 +151,7 @@
 }
 
 func (q *requestQueue) observeLeader(now time.Duration) {
-	if q.consensus.LeaderHeardSince(q.leaderSeenAt+1) != 0 {
+	if q.consensus.LeaderContactedSince(q.leaderSeenAt+1) != 0 {
 		q.leaderSeenAt = now
 	}
 }
@@ -162,7 +162,7 @@
 	if q.len() == 0 {
 		return
 	}
-	if !q.consensus.Leads() {
+	if !q.consensus.IsLeader() {
 		q.loseLead()
 	}
 	if now >= q.nextDeadline {
@@ -238,7 +238,7 @@
 
 // confirmed passes on what came of a read. One that was refused while this member leads came before the leader's first
 // entry was committed, and is asked again.
-func (q *requestQueue) confirmed(read raft.Read) {
+func (q *requestQueue) confirmed(read raft.ReadState) {
 	r := q.reads[read.Token]
 	if r == nil {
 		return
--- a/internal/controlplane/server/proposals_test.go
+++ b/internal/controlplane/server/proposals_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	node.Campaign(now)
 	node.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 1, Term: node.Term()})
-	if !node.Leads() {
+	if !node.IsLeader() {
 		t.Fatal("it does not lead")
 	}
 	settle(node)
@@ -31,9 +31,9 @@
 
 // settle puts what is to be saved on a disk.
 func settle(node *raft.Node) {
-	for out := node.Take(); !out.Empty(); out = node.Take() {
+	for out := node.Ready(); !out.Empty(); out = node.Ready() {
 		if n := len(out.Entries); n > 0 {
-			node.Stable(out.Entries[n-1].Index)
+			node.StableTo(out.Entries[n-1].Index)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		q.submit(now, got.request("b", false, deadline))
 		q.submit(now, got.request("", true, deadline))
 	}
-	for _, r := range node.Take().Reads { // no entry of this term is committed: they are refused, and wait
+	for _, r := range node.Ready().ReadStates { // no entry of this term is committed: they are refused, and wait
 		q.confirmed(r)
 	}
 	for i := range time.Duration(4) {
@@ -103,7 +103,7 @@
 	settle(node)
 	got = nil
 	q.submit(now, got.request("c", true, now))
-	if out := node.Take(); len(got) != 1 || !errors.Is(got[0].err, errNotRun) || len(out.Entries) > 0 {
+	if out := node.Ready(); len(got) != 1 || !errors.Is(got[0].err, errNotRun) || len(out.Entries) > 0 {
 		t.Errorf("%v, and %d entries for a request that came too late", got, len(out.Entries))
 	}
 }
--- a/internal/controlplane/server/recovery_sim_test.go
+++ b/internal/controlplane/server/recovery_sim_test.go
@@ -26,7 +26,7 @@
 		}
 		if dead == nil && w.now >= lost {
 			for _, m := range w.members {
-				if m.node != nil && m.node.Leads() {
+				if m.node != nil && m.node.IsLeader() {
 					dead = m
 				}
 			}
--- a/internal/controlplane/server/snapshots.go
+++ b/internal/controlplane/server/snapshots.go
@@ -52,7 +52,7 @@
 		delete(n.transfers, m.To)
 	}
 	if len(n.transfers) >= maxTransfers {
-		n.consensus.Transfer(n.now(), m.To, m.Snapshot.Index, raft.TransferFailed)
+		n.consensus.ReportSnapshot(n.now(), m.To, m.Snapshot.Index, raft.SnapshotFailed)
 		return
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, transferTimeout)
@@ -79,11 +79,11 @@
 		return
 	}
 	delete(n.transfers, to)
-	event := raft.TransferFinished
+	event := raft.SnapshotFinished
 	if err != nil {
-		event = raft.TransferFailed
+		event = raft.SnapshotFailed
 	}
-	n.consensus.Transfer(n.now(), to, t.snapshot.Index, event)
+	n.consensus.ReportSnapshot(n.now(), to, t.snapshot.Index, event)
 }
 
 // transfer sends a snapshot over a new stream.
@@ -100,7 +100,7 @@
 			return
 		}
 		reported = time.Now()
-		n.do(func() { n.consensus.Transfer(n.now(), offer.To, t.snapshot.Index, raft.TransferProgress) })
+		n.do(func() { n.consensus.ReportSnapshot(n.now(), offer.To, t.snapshot.Index, raft.SnapshotProgress) })
 	})
 }
 
@@ -213,7 +213,7 @@
 	case offer.Term < n.consensus.Term():
 		return false, errOldTerm
 	}
-	return offer.Snapshot.GetIndex() > n.consensus.Commit(), nil
+	return offer.Snapshot.GetIndex() > n.consensus.Committed(), nil
 }
 
 // receivePieces writes the pieces of an offered snapshot to the folder as they come, answers each, and reads the state
@@ -256,7 +256,7 @@
 // install hands a snapshot to the consensus and carries out what it says: see save, which puts it in force.
 func (n *Node) install(r *received) error {
 	n.installing = r
-	n.consensus.Install(n.now(), r.snapshot)
+	n.consensus.InstallSnapshot(n.now(), r.snapshot)
 	n.flush()
 	if n.installing != nil { // the log has gone beyond it meanwhile
 		n.installing = nil
--- a/internal/controlplane/server/web.go
+++ b/internal/controlplane/server/web.go
@@ -82,8 +82,8 @@
 func (n *Node) state(ctx context.Context) (s Status, ok bool) {
 	c := make(chan Status, 1)
 	n.do(func() {
-		s := Status{Node: n.set.Load().Node, Leads: n.consensus.Leads(), Leader: n.leader().GetAddress(), Term: n.consensus.Term(),
-			Commit: n.consensus.Commit(), Revision: n.catalog.Revision(), AgeMs: n.contactAge().Milliseconds()}
+		s := Status{Node: n.set.Load().Node, Leads: n.consensus.IsLeader(), Leader: n.leader().GetAddress(), Term: n.consensus.Term(),
+			Commit: n.consensus.Committed(), Revision: n.catalog.Revision(), AgeMs: n.contactAge().Milliseconds()}
 		for _, p := range n.consensus.Peers() {
 			s.Members = append(s.Members, Member{fmt.Sprintf("%016x", p.Id), p.Address, p.Voter})
 		}
--- a/internal/simulation/lab/client.go
+++ b/internal/simulation/lab/client.go
@@ -168,7 +168,7 @@
 		next := func() { ask(i+1, s.cores[(first+i+1)%len(s.cores)]) }
 		s.call(from, &c.machine, size, answerWithin, func(answer func(int, func())) {
 			c.do(func() {
-				if !c.raft.Leads() {
+				if !c.raft.IsLeader() {
 					to := c.leader()
 					answer(rpcBytes, func() {
 						if to == nil || to == c {
--- a/internal/simulation/lab/core.go
+++ b/internal/simulation/lab/core.go
@@ -117,7 +117,7 @@
 	if !c.busy {
 		c.turn()
 	}
-	c.s.at(max(c.s.now+time.Millisecond, min(c.raft.Next(), c.s.now+manageEvery)), func() { c.loop(incarnation) })
+	c.s.at(max(c.s.now+time.Millisecond, min(c.raft.NextTick(), c.s.now+manageEvery)), func() { c.loop(incarnation) })
 }
 
 // turn takes in what has come, and carries out what the core asks for.
@@ -139,18 +139,18 @@
 
 // flush is the driver's: disk first, then messages, then what is committed.
 func (c *core) flush() {
-	o := c.raft.Take()
+	o := c.raft.Ready()
 	if o.Empty() {
 		c.contactAt = c.s.now - c.raft.QuorumContactAge(c.s.now)
 		return
 	}
-	if o.Snapshot == nil && o.Hard == nil && len(o.Entries) == 0 {
+	if o.Snapshot == nil && o.HardState == nil && len(o.Entries) == 0 {
 		c.finish(o)
 		c.flush()
 		return
 	}
 	c.busy = true
-	c.disk.Write(o.Snapshot, o.Hard, o.Entries)
+	c.disk.Write(o.Snapshot, o.HardState, o.Entries)
 	incarnation := c.incarnation
 	took := max(0, c.stall-c.s.now) + ms(c.s.w.SyncMs*(0.5+c.s.rng.Float64()))
 	c.s.after(took, func() {
@@ -158,7 +158,7 @@
 			return
 		}
 		c.disk.Sync()
-		c.raft.Synced(took)
+		c.raft.ObserveSync(took)
 		c.busy = false
 		if o.Snapshot != nil {
 			c.s.must(c.catalog.Restore(o.Snapshot.Data))
@@ -167,14 +167,14 @@
 			c.feed()
 		}
 		if n := len(o.Entries); n > 0 {
-			c.raft.Stable(o.Entries[n-1].Index)
+			c.raft.StableTo(o.Entries[n-1].Index)
 		}
 		c.finish(o)
 		c.turn()
 	})
 }
 
-func (c *core) finish(o raft.Output) {
+func (c *core) finish(o raft.Ready) {
 	for _, m := range o.Messages {
 		to := c.s.coreByID(m.To)
 		if to == nil {
@@ -184,10 +184,10 @@
 			to.do(func() { to.raft.Step(c.s.now, m) })
 		})
 	}
-	for _, e := range o.Committed {
+	for _, e := range o.CommittedEntries {
 		c.apply(e)
 	}
-	for _, r := range o.Reads {
+	for _, r := range o.ReadStates {
 		if f := c.reads[r.Token]; f != nil {
 			delete(c.reads, r.Token)
 			f(r.OK)
@@ -227,7 +227,7 @@
 
 // manage is the leader's upkeep.
 func (c *core) manage() {
-	if !c.raft.Leads() {
+	if !c.raft.IsLeader() {
 		c.lose()
 		return
 	}
@@ -235,7 +235,7 @@
 		c.leads, c.ledSince = true, c.s.now
 		c.s.m.newLeader(c.s.now)
 	}
-	if c.raft.Ill() && c.raft.HandOver(c.s.now) {
+	if c.raft.ShouldTransferLeadership() && c.raft.TransferLeadership(c.s.now) {
 		return
 	}
 	gone := c.catalog.On(func(node string) bool { return c.group.Lost(c.s.now, node, c.s.now-c.ledSince) })
@@ -248,7 +248,7 @@
 func (c *core) propose(cmd *wire.Command, result func(error)) {
 	data, err := proto.Marshal(cmd)
 	c.s.must(err)
-	if c.raft.Leads() && raft.Voters(c.raft.Peers()) < raft.MinAckVoters(tolerated, len(c.s.cores)) {
+	if c.raft.IsLeader() && raft.Voters(c.raft.Peers()) < raft.MinAckVoters(tolerated, len(c.s.cores)) {
 		result(errYoung)
 		return
 	}
@@ -264,7 +264,7 @@
 func (c *core) read(look func(ok bool)) {
 	c.token++
 	c.reads[c.token] = look
-	c.raft.Read(c.s.now, c.token)
+	c.raft.ReadIndex(c.s.now, c.token)
 }
 
 func (c *core) leader() *core {
@@ -279,10 +279,10 @@
 // manageMembers is the driver of raft.MembershipManager.
 func (c *core) manageMembers() {
 	actions := c.members.Tick(c.s.now, c.peer(false), raft.WantedVoters(tolerated, len(c.s.cores)), c.knownMembers)
-	if actions.Change.Next != nil {
-		c.raft.Change(c.s.now, actions.Change.Next)
+	if actions.Propose.Next != nil {
+		c.raft.ProposeMembership(c.s.now, actions.Propose.Next)
 	}
-	for _, address := range actions.Ask {
+	for _, address := range actions.JoinAt {
 		c.askToJoin(address)
 	}
 }
@@ -308,15 +308,15 @@
 	self := c.peer(false)
 	c.s.call(&c.machine, &other.machine, proto.Size(self), joinCallTimeout, func(answer func(int, func())) {
 		other.do(func() {
-			change, joined := other.members.Join(c.s.now, self)
+			change, joined := other.members.HandleJoin(c.s.now, self)
 			if change.Next != nil {
-				other.raft.Change(c.s.now, change.Next)
+				other.raft.ProposeMembership(c.s.now, change.Next)
 			}
 			answer(proto.Size(joined), func() {
 				if !c.up || c.incarnation != incarnation {
 					return
 				}
-				if leader := c.members.Answered(joined); leader != "" {
+				if leader := c.members.HandleJoinResponse(joined); leader != "" {
 					c.askToJoin(leader)
 				}
 			})
--- a/internal/simulation/lab/measure.go
+++ b/internal/simulation/lab/measure.go
@@ -316,7 +316,7 @@
 	r.ProbesS, r.ProbeBytesS, r.FeedBytesS = float64(m.probes)/each, float64(m.probeBytes)/each, float64(m.feedBytes)/each
 	for _, c := range s.cores {
 		if c.up {
-			r.Entries = max(r.Entries, c.raft.Commit())
+			r.Entries = max(r.Entries, c.raft.Committed())
 		}
 	}
 	busiest := int64(0)
--- a/internal/simulation/lab/sim.go
+++ b/internal/simulation/lab/sim.go
@@ -175,7 +175,7 @@
 // atEnd checks what has to hold once all is over.
 func (s *sim) atEnd() {
 	for _, c := range s.cores {
-		if c.up && c.raft.Leads() && s.now-c.raftProof() < time.Second && c.catalog.Revision() < s.acked {
+		if c.up && c.raft.IsLeader() && s.now-c.raftProof() < time.Second && c.catalog.Revision() < s.acked {
 			s.broken("%s leads with revision %d, and %d was acknowledged", c.name, c.catalog.Revision(), s.acked)
 		}
 	}
--- a/internal/simulation/lab/troubles.go
+++ b/internal/simulation/lab/troubles.go
@@ -47,7 +47,7 @@
 func (s *sim) leaderPlace(otherwise int) int {
 	place := otherwise
 	for n, c := range s.cores {
-		if c.up && c.raft.Leads() {
+		if c.up && c.raft.IsLeader() {
 			place = n
 		}
 	}
@@ -228,12 +228,12 @@
 func (s *sim) whole() bool {
 	newest := uint64(0)
 	for _, c := range s.cores {
-		if !c.up || c.cut || len(c.raft.Peers()) != len(s.cores) || raft.Voters(c.raft.Peers()) != len(s.cores) || !c.raft.Settled() {
+		if !c.up || c.cut || len(c.raft.Peers()) != len(s.cores) || raft.Voters(c.raft.Peers()) != len(s.cores) || !c.raft.MembershipCommitted() {
 			return false
 		}
-		newest = max(newest, c.raft.Commit())
+		newest = max(newest, c.raft.Committed())
 	}
-	return !slices.ContainsFunc(s.cores, func(c *core) bool { return c.raft.Commit() < newest })
+	return !slices.ContainsFunc(s.cores, func(c *core) bool { return c.raft.Committed() < newest })
 }
 
 // split cuts a zone off from the others, or joins it again.
--- a/internal/simulation/modelcheck/directed.go
+++ b/internal/simulation/modelcheck/directed.go
@@ -6,21 +6,21 @@
 	// Figure 8 of the Raft paper: an entry of term 2 on one disk, a later one in its place on another.
 	{"figure-8", `
 		campaign 0
-		deliver 0 1 VOTE@2
-		deliver 1 0 VOTED@2
+		deliver 0 1 REQUEST_VOTE@2
+		deliver 1 0 REQUEST_VOTE_RESPONSE@2
 		lose all
 		campaign 2
-		deliver 2 1 VOTE@2
+		deliver 2 1 REQUEST_VOTE@2
 		campaign 2
-		deliver 2 1 VOTE@3
-		deliver 1 2 VOTED@3
+		deliver 2 1 REQUEST_VOTE@3
+		deliver 1 2 REQUEST_VOTE_RESPONSE@3
 		lose all
 		crash 0
 		start 0
 		campaign 0
 		campaign 0
-		deliver 0 1 VOTE@4
-		deliver 1 0 VOTED@4
+		deliver 0 1 REQUEST_VOTE@4
+		deliver 1 0 REQUEST_VOTE_RESPONSE@4
 	`, Bounds{Members: 3, Terms: 5, Link: 1, Batch: 1, States: 400_000}},
 
 	// A leader of four members whose entry is committed, with votes still to come for others.
@@ -36,10 +36,10 @@
 		crash 0
 		start 0
 		campaign 2
-		deliver 2 1 VOTE@3
-		deliver 2 3 VOTE@3
-		deliver 1 2 VOTED@3
-		deliver 3 2 VOTED@3
+		deliver 2 1 REQUEST_VOTE@3
+		deliver 2 3 REQUEST_VOTE@3
+		deliver 1 2 REQUEST_VOTE_RESPONSE@3
+		deliver 3 2 REQUEST_VOTE_RESPONSE@3
 		lose all
 		campaign 0
 		campaign 0
@@ -65,15 +65,15 @@
 		crash 0
 		start 0
 		campaign 0
-		deliver 0 2 VOTE
-		deliver 2 0 VOTED
-		deliver 0 2 APPEND@3
-		deliver 2 0 APPENDED@3
+		deliver 0 2 REQUEST_VOTE
+		deliver 2 0 REQUEST_VOTE_RESPONSE
+		deliver 0 2 APPEND_ENTRIES@3
+		deliver 2 0 APPEND_ENTRIES_RESPONSE@3
 		lose 0 1
 		lose 0 2
 		campaign 2
-		deliver 2 1 VOTE
-		deliver 1 2 VOTED
+		deliver 2 1 REQUEST_VOTE
+		deliver 1 2 REQUEST_VOTE_RESPONSE
 	`, Bounds{Members: 3, Terms: 4, Link: 4, Proposals: 1, Reads: 1, Old: true, Unordered: true, States: 400_000}},
 
 	// A snapshot is under way to a member that gets the entries another way meanwhile.
--- a/internal/simulation/modelcheck/driver.go
+++ b/internal/simulation/modelcheck/driver.go
@@ -13,7 +13,7 @@
 // reads.
 func (s *state) settle(n int, m *member) {
 	for m.node != nil {
-		o := m.node.Take()
+		o := m.node.Ready()
 		if o.Empty() {
 			return
 		}
@@ -22,27 +22,27 @@
 			m.snapshot, m.entries = o.Snapshot, nil
 			m.applied, m.digest = o.Snapshot.Index, decodeDigest(o.Snapshot.Data)
 		}
-		if o.Hard != nil {
-			s.checkVote(n, m.voted, o.Hard)
-			m.voted = o.Hard
+		if o.HardState != nil {
+			s.checkVote(n, m.voted, o.HardState)
+			m.voted = o.HardState
 			if !s.left.LoseVotes {
-				m.hard = o.Hard
+				m.hard = o.HardState
 			}
 		}
 		for _, e := range o.Entries {
 			m.entries = append(m.entries[:e.Index-m.snapshot.GetIndex()-1], e)
 		}
 		if k := len(o.Entries); k > 0 {
-			m.node.Stable(o.Entries[k-1].Index)
+			m.node.StableTo(o.Entries[k-1].Index)
 		}
 		for _, message := range o.Messages {
 			s.checkMessage(n, m, message)
 			s.send(message)
 		}
-		for _, e := range o.Committed {
+		for _, e := range o.CommittedEntries {
 			s.applyEntry(n, m, e)
 		}
-		for _, r := range o.Reads {
+		for _, r := range o.ReadStates {
 			s.checkRead(n, m, r)
 		}
 	}
--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -172,7 +172,7 @@
 		if m.node == nil {
 			continue
 		}
-		if move, known := leader.Joining(&wire.Peer{Id: identity(i, m.incarnation), Address: strconv.Itoa(i)}); !known {
+		if move, known := leader.JoinChange(&wire.Peer{Id: identity(i, m.incarnation), Address: strconv.Itoa(i)}); !known {
 			add(change{"join", i, move.Next})
 		}
 	}
@@ -207,14 +207,14 @@
 	case read:
 		s.left.Reads--
 		m.asked = append(m.asked, s.history.acked)
-		m.node.Read(m.clock, uint64(len(m.asked)-1))
+		m.node.ReadIndex(m.clock, uint64(len(m.asked)-1))
 	case transfer:
 		s.left.Transfers--
-		m.node.HandOver(m.clock)
+		m.node.TransferLeadership(m.clock)
 	case changeMembers:
 		s.left.Changes--
 		// What the leader refuses changes nothing.
-		_ = m.node.Change(m.clock, e.change.next)
+		_ = m.node.ProposeMembership(m.clock, e.change.next)
 	case takeSnapshot:
 		s.left.Snapshots--
 		m.takeSnapshot()
--- a/internal/simulation/modelcheck/key.go
+++ b/internal/simulation/modelcheck/key.go
@@ -119,7 +119,7 @@
 	b = binary.AppendUvarint(b, m.incarnation)
 	if m.node != nil {
 		b = append(b, 1)
-		b = m.node.AppendState(b, rename)
+		b = m.node.AppendFingerprint(b, rename)
 		for _, want := range m.asked {
 			b = binary.AppendUvarint(b, want)
 		}
--- a/internal/simulation/modelcheck/modelcheck_test.go
+++ b/internal/simulation/modelcheck/modelcheck_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	b := Bounds{Members: 3, Terms: 2, Link: 1, Crashes: 1, LoseVotes: true}
-	if _, err := play(Set{Name: "x", Bounds: b, Scenario: "campaign 0\npropose 0"}); err == nil || !strings.Contains(err.Error(), "deliver 0 1 VOTE@2") {
+	if _, err := play(Set{Name: "x", Bounds: b, Scenario: "campaign 0\npropose 0"}); err == nil || !strings.Contains(err.Error(), "deliver 0 1 REQUEST_VOTE@2") {
 		t.Errorf("a line that can't happen: %v", err)
 	}
 	trace := strings.Join(search(t, b).Trace, "\n")
--- a/internal/simulation/modelcheck/properties.go
+++ b/internal/simulation/modelcheck/properties.go
@@ -20,7 +20,7 @@
 	if m.leads() {
 		s.checkElection(n, m)
 		if before.leads() && before.node.Term() == m.node.Term() {
-			s.checkCommit(n, m, before.node.Commit())
+			s.checkCommit(n, m, before.node.Committed())
 		}
 	}
 	s.checkMatches(n)
@@ -75,7 +75,7 @@
 
 // checkCommit: what a leader commits is on the disks of a majority of the voters that it knows of.
 func (s *state) checkCommit(n int, m *member, before uint64) {
-	commit := m.node.Commit()
+	commit := m.node.Committed()
 	if commit <= before || commit <= m.snapshot.GetIndex() {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // checkRead: a read sees all that was acknowledged before it was asked.
-func (s *state) checkRead(n int, m *member, r raft.Read) {
+func (s *state) checkRead(n int, m *member, r raft.ReadState) {
 	if want := m.asked[r.Token]; r.OK && r.Index < want {
 		s.breaks("member %d reads up to entry %d, and entry %d had been acknowledged before it was asked", n, r.Index, want)
 	}
--- a/internal/simulation/modelcheck/scenario.go
+++ b/internal/simulation/modelcheck/scenario.go
@@ -11,7 +11,7 @@
 
 // play returns the state where a set's search begins: behind its scenario, or at the start.
 //
-// A scenario has an event a line, as traces print them ("deliver 0 1 VOTE@2"); the first that fits is taken, so that the
+// A scenario has an event a line, as traces print them ("deliver 0 1 REQUEST_VOTE@2"); the first that fits is taken, so that the
 // detail may be left out ("deliver 0 1"). "deliver all" delivers what is under way until nothing is, and "deliver all 0 1"
 // what is under way among these members; "lose all" loses what is under way, and "lose 0 1" what is between two members.
 func play(set Set) (*state, error) {
--- a/internal/simulation/modelcheck/state.go
+++ b/internal/simulation/modelcheck/state.go
@@ -85,8 +85,8 @@
 func (m *member) start(n, batch int) {
 	m.processes++
 	m.node = raft.New(identity(n, m.incarnation), m.hard, m.snapshot, slices.Clone(m.entries), m.processes, m.clock)
-	m.node.Batch(batch)
-	m.node.Retain(0, 0) // short logs have to need snapshots
+	m.node.SetMaxBatchEntries(batch)
+	m.node.SetRetention(0, 0) // short logs have to need snapshots
 	m.voted = m.hard
 	m.applied, m.digest = m.snapshot.GetIndex(), decodeDigest(m.snapshot.GetData())
 	m.asked, m.proposed = nil, map[uint64]uint64{}
@@ -120,7 +120,7 @@
 }
 
 // leads tells whether the member runs and believes that it leads.
-func (m *member) leads() bool { return m.node != nil && m.node.Leads() }
+func (m *member) leads() bool { return m.node != nil && m.node.IsLeader() }
 
 // current returns the member that has an identity now; ok is false where its disk is lost.
 func (s *state) current(id uint64) (m *member, ok bool) {
