--- a/internal/controlplane/raft/election.go
+++ b/internal/controlplane/raft/election.go
@@ -1,107 +1,50 @@
 package raft
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"ivydeck/internal/transport/wire"
 )
 
-// electable tells whether this member votes, in the newest set of members or in one
-// that may yet turn out to be in force. One that has been voted out by an entry
-// which is not committed may hold what all others lack, and has to lead until it is
-// (thesis, 4.2.2); its own vote does not count then.
-func (n *Node) electable() bool {
-	for i := len(n.memberships) - 1; i >= 0; i-- {
-		if slices.ContainsFunc(n.memberships[i].peers, func(p *wire.Peer) bool { return p.Id == n.id && p.Voter }) {
-			return true
-		}
-		if n.memberships[i].index <= n.committed {
-			break
-		}
-	}
-	return false
-}
+// campaignType says how a campaign begins.
+type campaignType int
 
-// quorumValue returns the largest value that a majority of voters has reached; own
-// stands for this member.
-func (n *Node) quorumValue(own uint64, of func(*progress) uint64) uint64 {
-	var values []uint64
-	for _, p := range n.Peers() {
-		switch {
-		case !p.Voter:
-		case p.Id == n.id:
-			values = append(values, own)
-		case n.progress[p.Id] != nil:
-			values = append(values, of(n.progress[p.Id]))
-		default:
-			values = append(values, 0)
-		}
-	}
-	if len(values) == 0 {
-		return 0
-	}
-	slices.SortFunc(values, func(a, b uint64) int { return cmp.Compare(b, a) })
-	return values[len(values)/2]
-}
+const (
+	campaignPreElection campaignType = iota // pre-vote: nothing changes before a majority would grant its votes
+	campaignElection
+	campaignTransfer // as campaignElection, asked for by the leader itself
+)
 
-func (n *Node) resetTimer() {
+// resetElectionTimer draws the time at which this member campaigns if it has no contact with a leader before.
+func (n *Node) resetElectionTimer() {
 	low, high := electionMin, electionMax
-	if n.leaderID == 0 && n.now-n.startedAt < startPhase {
+	if n.leaderID == noID && n.now-n.startedAt < startPhase {
 		low, high = startElectionMin, startElectionMax
 	}
 	n.electionDeadline = n.now + low + time.Duration(n.rng.Int64N(int64(high-low)))
 }
 
-// becomeFollower enters a term as a follower.
+// becomeFollower enters a term as a follower; noID: its leader is not known.
 func (n *Node) becomeFollower(term, leaderID uint64) {
 	if n.state == stateLeader {
 		n.contactAt = n.knownContactAt() // before the term changes
 		n.rejectPendingReads()
-		clear(n.progress) // what it knew of the others, and the transfers of snapshots that it had under way
+		clear(n.progress)
 	}
 	if term > n.hardState.Term {
-		n.hardState.Term, n.hardState.Vote = term, 0
-	}
-	n.state, n.leaderID, n.leadTransferee = stateFollower, leaderID, 0
-	n.resetTimer()
-}
-
-// Tick takes the time alone.
-func (n *Node) Tick(now time.Duration) {
-	n.now = now
-	if n.state == stateLeader {
-		if n.isolated() {
-			n.becomeFollower(n.hardState.Term, 0)
-			return
-		}
-		if n.leadTransferee != 0 && now >= n.leadTransferDeadline { // it has not taken the lead
-			n.leadTransferee = 0
-		}
-		if now >= n.heartbeatAt {
-			n.broadcastHeartbeat()
-		}
-		return
-	}
-	if now < n.electionDeadline {
-		return
-	}
-	n.resetTimer()
-	n.leaderID = 0 // not heard for an election timeout: nobody is to be sent there
-	if n.electable() {
-		n.campaign(true, false)
+		n.hardState.Term, n.hardState.Vote = term, noID
 	}
+	n.state, n.leaderID, n.leadTransferee = stateFollower, leaderID, noID
+	n.resetElectionTimer()
 }
 
-// campaign asks for votes, at first only whether they would be given: a member
-// that was away would else unseat a leader that all others hear. One to which the
-// leader has handed the lead needs no such question.
-func (n *Node) campaign(preVote, transferred bool) {
-	n.leaderID = 0
+// campaign requests votes. It begins with a pre-vote, since a member that was cut off would else depose a leader with
+// whom all others are in contact (thesis, 9.6); a leadership transfer needs none.
+func (n *Node) campaign(kind campaignType) {
+	n.leaderID = noID
 	n.votes = map[uint64]bool{n.id: true}
 	term := n.hardState.Term + 1
-	if preVote {
+	if kind == campaignPreElection {
 		n.state = statePreCandidate
 	} else {
 		n.state = stateCandidate
@@ -110,13 +53,68 @@
 	}
 	for _, p := range n.Peers() {
 		if p.Voter && p.Id != n.id {
-			n.send(&wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE, To: p.Id, Term: term, Index: n.last(), LogTerm: n.lastTerm(), PreVote: preVote, LeadershipTransfer: transferred})
+			n.send(&wire.RaftMessage{
+				Kind: wire.RaftMessage_REQUEST_VOTE, To: p.Id, Term: term, Index: n.last(), LogTerm: n.lastTerm(),
+				PreVote: kind == campaignPreElection, LeadershipTransfer: kind == campaignTransfer,
+			})
 		}
 	}
 	n.countVotes()
 }
 
-// countVotes acts once a majority has given its votes.
+// handleRequestVote answers a candidate or pre-candidate.
+func (n *Node) handleRequestVote(m *wire.RaftMessage) {
+	reply := &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, To: m.From, PreVote: m.PreVote, Reject: true}
+	// A member in contact with its leader disregards requests, unless the leader has asked for them (thesis, 4.2.3).
+	leaderAlive := !m.LeadershipTransfer && (n.state == stateLeader || n.leaderID != noID && n.now-n.leaderContactAt < electionMin)
+	// Election restriction: a leader must have all committed entries (thesis, 3.6.1).
+	logUpToDate := m.LogTerm > n.lastTerm() || m.LogTerm == n.lastTerm() && m.Index >= n.last()
+	switch {
+	case m.Term < n.hardState.Term || leaderAlive:
+	case m.PreVote:
+		if logUpToDate && m.Term > n.hardState.Term {
+			reply.Reject, reply.Term = false, m.Term
+		}
+	default:
+		if m.Term > n.hardState.Term {
+			n.becomeFollower(m.Term, noID)
+		}
+		if logUpToDate && (n.hardState.Vote == noID || n.hardState.Vote == m.From) {
+			n.hardState.Vote = m.From // synced before the answer is sent
+			reply.Reject = false
+			n.resetElectionTimer()
+		}
+	}
+	if reply.Reject {
+		reply.Refusal = n.voteRejectionReason(m, leaderAlive, logUpToDate)
+	}
+	n.send(reply)
+}
+
+// voteRejectionReason says why a vote was rejected.
+func (n *Node) voteRejectionReason(m *wire.RaftMessage, leaderAlive, logUpToDate bool) wire.RaftMessage_Refusal {
+	switch {
+	case n.isStranger(m.From):
+		return wire.RaftMessage_NOT_MEMBER
+	case m.Term < n.hardState.Term:
+		return wire.RaftMessage_STALE_TERM
+	case leaderAlive:
+		return wire.RaftMessage_LEADER_ALIVE
+	case !logUpToDate:
+		return wire.RaftMessage_STALE_LOG
+	}
+	return wire.RaftMessage_ALREADY_VOTED
+}
+
+// handlePreVote counts a granted pre-vote for the campaign in progress.
+func (n *Node) handlePreVote(m *wire.RaftMessage) {
+	if n.state == statePreCandidate && m.Term == n.hardState.Term+1 {
+		n.votes[m.From] = true
+		n.countVotes()
+	}
+}
+
+// countVotes goes on once a majority has granted its votes.
 func (n *Node) countVotes() {
 	granted, voters := 0, 0
 	for _, p := range n.Peers() {
@@ -131,17 +129,22 @@
 		return
 	}
 	if n.state == statePreCandidate {
-		n.campaign(false, false)
+		n.campaign(campaignElection)
 		return
 	}
-	n.state, n.leaderID, n.leadTransferee = stateLeader, n.id, 0
+	n.becomeLeader()
+}
+
+// becomeLeader begins to lead the term in which this member was elected.
+func (n *Node) becomeLeader() {
+	n.state, n.leaderID, n.leadTransferee = stateLeader, n.id, noID
 	n.progress = map[uint64]*progress{}
-	// Nobody leads a later term before a majority has voted in this one, after the campaign's begin.
+	// No later term has a leader before a majority has voted in it, which was after this campaign began.
 	n.quorumContactAt, n.leaderSince = n.campaignAt, n.now
 	clear(n.roundStartedAt)
 	clear(n.leaving)
 	n.catchUp = catchUp{}
-	// Only an entry of the own term may be committed by count.
+	// Only an entry of the leader's own term is committed by counting replicas (thesis, 3.6.2 and 6.4).
 	n.append(&wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_NO_OP})
 	n.resetProgress()
 	n.broadcastHeartbeat()
--- a/internal/controlplane/raft/state.go
+++ b/internal/controlplane/raft/fingerprint.go
@@ -4,53 +4,13 @@
 	"cmp"
 	"encoding/binary"
 	"maps"
-	"math/rand/v2"
 	"slices"
-	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/internal/transport/wire"
 )
 
-// Clone returns a copy that goes its own way, for those who look at what could happen next. It is to be called once
-// Take has nothing more. What is drawn at random is not drawn alike by the two.
-func (n *Node) Clone() *Node {
-	d := &Node{
-		id: n.id, rng: rand.New(rand.NewPCG(n.id, n.hardState.Term)), now: n.now, state: n.state, leaderID: n.leaderID,
-		snapshot: n.snapshot, base: n.base, entries: slices.Clone(n.entries), backlogBytes: n.backlogBytes, tailEntries: n.tailEntries, catchUpEntries: n.catchUpEntries, proposed: n.proposed, stable: n.stable, firstUnsaved: n.firstUnsaved, committed: n.committed, applied: n.applied,
-		memberships: slices.Clone(n.memberships), startedAt: n.startedAt, maxBatchEntries: n.maxBatchEntries, electionDeadline: n.electionDeadline, leaderContactAt: n.leaderContactAt,
-		process: n.process, contactAt: n.contactAt, campaignAt: n.campaignAt,
-		votes: maps.Clone(n.votes), progress: make(map[uint64]*progress, len(n.progress)), heartbeatAt: n.heartbeatAt, heartbeatRound: n.heartbeatRound,
-		roundStartedAt: maps.Clone(n.roundStartedAt), quorumContactAt: n.quorumContactAt, leaderSince: n.leaderSince, pendingReads: slices.Clone(n.pendingReads), syncTime: n.syncTime, leadTransferee: n.leadTransferee, leadTransferDeadline: n.leadTransferDeadline,
-		catchUp: n.catchUp, leaving: maps.Clone(n.leaving), removedElsewhere: n.removedElsewhere,
-	}
-	d.hardState.Term, d.hardState.Vote = n.hardState.Term, n.hardState.Vote
-	d.savedHardState.Term, d.savedHardState.Vote = n.savedHardState.Term, n.savedHardState.Vote
-	for id, p := range n.progress {
-		copied := *p
-		d.progress[id] = &copied
-	}
-	return d
-}
-
-// SetMaxBatchEntries sets how many entries go in one message, at most; 0: as many as usual. Small ones reach orders of events that
-// a busy core of large ones has, with a few entries.
-func (n *Node) SetMaxBatchEntries(entries int) {
-	if entries > 0 {
-		n.maxBatchEntries = entries
-	}
-}
-
-// Campaign makes this member ask for votes at once, without the question ahead of it. That question spares a core
-// needless elections; what is safe must not hang on it.
-func (n *Node) Campaign(now time.Duration) {
-	n.now = now
-	if n.state != stateLeader && n.electable() {
-		n.campaign(false, false)
-	}
-}
-
 // AppendFingerprint appends what decides of this member's future, and nothing else: two members with the same bytes answer
 // alike to all that may come. Times count only by the bounds that they are past of. rename gives identities their
 // places, so that members which differ by name alone can be told to be alike.
--- a/internal/controlplane/raft/leave.go
+++ b/internal/controlplane/raft/leave.go
@@ -2,8 +2,6 @@
 
 import (
 	"time"
-
-	"ivydeck/internal/transport/wire"
 )
 
 // A planned end: the process that got the signal hands over the lead (TransferLeadership), then asks the leader until what its
@@ -66,29 +64,3 @@
 	}
 	return holders > voters/2
 }
-
-// LastEntry returns the index and the term of the log's end.
-func (n *Node) LastEntry() (index, term uint64) { return n.last(), n.lastTerm() }
-
-// staleTermReason says why a message of an older term was refused.
-func (n *Node) staleTermReason(from uint64) wire.RaftMessage_Refusal {
-	if !n.isMember(from) && len(n.Peers()) > 0 {
-		return wire.RaftMessage_NOT_MEMBER
-	}
-	return wire.RaftMessage_STALE_TERM
-}
-
-// voteRejectionReason says why a vote was refused, or none of it; see wire.Raft_Refusal.
-func (n *Node) voteRejectionReason(m *wire.RaftMessage, leaderAlive, logUpToDate bool) wire.RaftMessage_Refusal {
-	switch {
-	case !n.isMember(m.From) && len(n.Peers()) > 0:
-		return wire.RaftMessage_NOT_MEMBER
-	case m.Term < n.hardState.Term:
-		return wire.RaftMessage_STALE_TERM
-	case leaderAlive:
-		return wire.RaftMessage_LEADER_ALIVE
-	case !logUpToDate:
-		return wire.RaftMessage_STALE_LOG
-	}
-	return wire.RaftMessage_ALREADY_VOTED
-}
--- a/internal/controlplane/raft/log.go
+++ b/internal/controlplane/raft/log.go
@@ -4,100 +4,189 @@
 	"slices"
 
 	"google.golang.org/protobuf/proto"
+
 	"ivydeck/internal/transport/wire"
 )
 
-// membership is the set of members from an index of the log on.
+// raftLog is a member's log in memory: a snapshot, a tail of entries before it that is kept for members that lag behind
+// (see compaction.go), and all entries after it.
+//
+//	base ....... snapshot.Index ....... applied <= committed ....... last()
+//	     tail                   backlog
+//
+// Invariants: entries[i] has the index base.index+1+i; base.index <= snapshot.Index <= applied <= committed; and
+// stable <= last().
+type raftLog struct {
+	snapshot        *wire.RaftSnapshot
+	pendingSnapshot *wire.RaftSnapshot // to be returned by the next Ready; nil: none
+	base            position           // of the entry before entries[0]
+	entries         []*wire.Entry
+	backlogBytes    int    // of the entries after the snapshot
+	stable          uint64 // last index that is on disk
+	firstUnsaved    uint64 // first index that has to be written; 0: none
+	committed       uint64
+	applied         uint64
+	memberships     []membership // ascending by index; the first is the snapshot's
+
+	tailEntries    int // max. entries kept before the snapshot
+	catchUpEntries int // the same, while a member catches up
+}
+
+// membership is the set of members from an index of the log on. A member uses the newest one as soon as it is in its
+// log, committed or not (thesis, 4.1).
 type membership struct {
 	index uint64
 	peers []*wire.Peer
 }
 
-// position names a place in the log.
+// position identifies an entry: the log matching property says that two logs with an entry of the same index and term
+// are alike up to it (thesis, 3.5).
 type position struct {
 	index, term uint64
 }
 
-// first is the index of the oldest entry that the log holds. It is at most one beyond the snapshot's: a tail of
-// older entries is kept, see retention.go.
-func (n *Node) first() uint64 { return n.base.index + 1 }
+// newLog returns the log as the disk has it. Entries up to the snapshot's index are its tail; of the first of those only
+// the position is of use.
+func newLog(snapshot *wire.RaftSnapshot, entries []*wire.Entry) raftLog {
+	l := raftLog{
+		snapshot:       snapshot,
+		base:           position{snapshot.Index, snapshot.Term},
+		committed:      snapshot.Index,
+		applied:        snapshot.Index,
+		memberships:    []membership{{snapshot.Index, snapshot.GetPeers().GetPeers()}},
+		tailEntries:    tailEntries,
+		catchUpEntries: catchUpEntries,
+	}
+	if len(entries) > 0 && entries[0].Index <= snapshot.Index {
+		l.base = position{entries[0].Index, entries[0].Term}
+		entries = entries[1:]
+	}
+	l.entries = entries
+	for _, e := range entries {
+		if e.Index > snapshot.Index {
+			l.trackMembership(e)
+		}
+	}
+	l.countBacklog()
+	l.stable = l.last()
+	return l
+}
 
-func (n *Node) last() uint64 { return n.base.index + uint64(len(n.entries)) }
+// first is the index of the oldest entry in memory.
+func (l *raftLog) first() uint64 { return l.base.index + 1 }
+
+// last is the index of the newest entry.
+func (l *raftLog) last() uint64 { return l.base.index + uint64(len(l.entries)) }
+
+// lastTerm is the term of the newest entry.
+func (l *raftLog) lastTerm() uint64 {
+	t, _ := l.term(l.last())
+	return t
+}
 
 // term returns the term of an index; ok is false where it is not in the log.
-func (n *Node) term(index uint64) (term uint64, ok bool) {
+func (l *raftLog) term(index uint64) (term uint64, ok bool) {
 	switch {
-	case index == n.base.index:
-		return n.base.term, true
-	case index < n.first() || index > n.last():
+	case index == l.base.index:
+		return l.base.term, true
+	case index < l.first() || index > l.last():
 		return 0, false
 	}
-	return n.entries[index-n.first()].Term, true
-}
-
-func (n *Node) lastTerm() uint64 {
-	t, _ := n.term(n.last())
-	return t
+	return l.entries[index-l.first()].Term, true
 }
 
 // append adds entries at the end of the log.
-func (n *Node) append(entries ...*wire.Entry) {
+func (l *raftLog) append(entries ...*wire.Entry) {
 	for _, e := range entries {
-		n.entries = append(n.entries, e)
-		n.trackMembership(e)
-		n.backlogBytes += len(e.Data)
-		if n.firstUnsaved == 0 {
-			n.firstUnsaved = e.Index
+		l.entries = append(l.entries, e)
+		l.trackMembership(e)
+		l.backlogBytes += len(e.Data)
+		if l.firstUnsaved == 0 {
+			l.firstUnsaved = e.Index
 		}
 	}
 }
 
-func (n *Node) trackMembership(e *wire.Entry) {
+// trackMembership notes the membership that an entry brings, if it does.
+func (l *raftLog) trackMembership(e *wire.Entry) {
 	if e.Kind != wire.Entry_MEMBERSHIP {
 		return
 	}
 	var peers wire.Peers
-	if proto.Unmarshal(e.Data, &peers) == nil {
-		n.memberships = append(n.memberships, membership{e.Index, peers.Peers})
+	if proto.Unmarshal(e.Data, &peers) == nil { // it was marshalled by a leader, and its checksum was verified
+		l.memberships = append(l.memberships, membership{e.Index, peers.Peers})
 	}
 }
 
-// truncate drops all entries from an index on.
-func (n *Node) truncate(from uint64) {
-	for _, e := range n.entries[from-n.first():] {
-		n.backlogBytes -= len(e.Data)
+// truncate drops all entries from an index on, which conflict with the leader's.
+func (l *raftLog) truncate(from uint64) {
+	for _, e := range l.entries[from-l.first():] {
+		l.backlogBytes -= len(e.Data)
 	}
-	n.entries = n.entries[:from-n.first()]
-	for len(n.memberships) > 1 && n.memberships[len(n.memberships)-1].index >= from {
-		n.memberships = n.memberships[:len(n.memberships)-1]
+	l.entries = l.entries[:from-l.first()]
+	for len(l.memberships) > 1 && l.memberships[len(l.memberships)-1].index >= from {
+		l.memberships = l.memberships[:len(l.memberships)-1]
 	}
-	n.stable = min(n.stable, from-1)
-	if n.firstUnsaved == 0 || n.firstUnsaved > from {
-		n.firstUnsaved = from
+	l.stable = min(l.stable, from-1)
+	if l.firstUnsaved == 0 || l.firstUnsaved > from {
+		l.firstUnsaved = from
 	}
 }
 
-// StableTo says that all entries up to an index are on disk.
-func (n *Node) StableTo(index uint64) {
-	n.stable = max(n.stable, min(index, n.last()))
-	if n.state == stateLeader {
-		n.maybeCommit()
+// restore replaces the log by a snapshot that is ahead of it, and returns up to which index the log is the leader's. A
+// log that contains the snapshot's position leads on from it: what follows there may have been acknowledged, and stays.
+func (l *raftLog) restore(s *wire.RaftSnapshot) (matched uint64) {
+	if t, ok := l.term(s.GetIndex()); ok && t == s.GetTerm() {
+		l.committed = max(l.committed, s.GetIndex())
+		return l.committed
 	}
+	if s.GetIndex() > l.committed {
+		l.snapshot, l.pendingSnapshot = s, s
+		l.entries, l.firstUnsaved, l.backlogBytes = nil, 0, 0
+		l.base = position{s.Index, s.Term}
+		l.committed, l.applied, l.stable = s.Index, s.Index, s.Index
+		l.memberships = []membership{{s.Index, s.GetPeers().GetPeers()}}
+	}
+	return l.committed
 }
 
-// maybeCommit commits what a majority has on disk.
-func (n *Node) maybeCommit() {
-	index := n.quorumValue(n.stable, func(p *progress) uint64 { return p.match })
-	if t, _ := n.term(index); index <= n.committed || t != n.hardState.Term {
-		return
-	}
-	n.committed = index
-	for _, p := range n.Peers() { // the others' clients wait for it as well
-		if p.Id != n.id {
-			n.replicate(p.Id, true)
-		}
+// takeSnapshot returns a snapshot that has replaced the log since the last call; nil: none.
+func (l *raftLog) takeSnapshot() *wire.RaftSnapshot {
+	s := l.pendingSnapshot
+	l.pendingSnapshot = nil
+	return s
+}
+
+// takeUnsaved returns the entries that have to be written since the last call.
+func (l *raftLog) takeUnsaved() []*wire.Entry {
+	if l.firstUnsaved == 0 {
+		return nil
 	}
-	if n.MembershipCommitted() && !slices.ContainsFunc(n.Peers(), func(p *wire.Peer) bool { return p.Id == n.id }) {
-		n.becomeFollower(n.hardState.Term, 0) // it has been taken out
+	unsaved := slices.Clone(l.entries[l.firstUnsaved-l.first():])
+	l.firstUnsaved = 0
+	return unsaved
+}
+
+// takeCommitted returns the entries that were committed since the last call, which counts them as applied.
+func (l *raftLog) takeCommitted() []*wire.Entry {
+	if l.committed <= l.applied {
+		return nil
 	}
+	committed := slices.Clone(l.entries[l.applied-l.base.index : l.committed-l.base.index])
+	l.applied = l.committed
+	return committed
 }
+
+// Committed returns the last index that is known to be committed.
+func (l *raftLog) Committed() uint64 { return l.committed }
+
+// LastEntry returns the index and the term of the newest entry.
+func (l *raftLog) LastEntry() (index, term uint64) { return l.last(), l.lastTerm() }
+
+// Peers returns the newest membership. The caller must not change it.
+func (l *raftLog) Peers() []*wire.Peer { return l.newestMembership().peers }
+
+// MembershipCommitted reports whether the newest membership is committed.
+func (l *raftLog) MembershipCommitted() bool { return l.newestMembership().index <= l.committed }
+
+func (l *raftLog) newestMembership() membership { return l.memberships[len(l.memberships)-1] }
--- a/internal/controlplane/raft/raft.go
+++ b/internal/controlplane/raft/raft.go
@@ -1,160 +1,170 @@
-// Package raft is the agreement of the core on one log, after Ongaro's thesis:
-// pre-vote, a leader that steps down once it hears from no majority, reads
-// confirmed by a round of contact, changes of one member at a time, snapshots.
-//
-// Node is a pure state machine. The driver hands it events with the time, then
-// takes its Output, writes what has to be on disk, and only then sends the
-// messages and calls Stable. A member is known by an identity that it drew when
-// its disk was empty, never by its address: a machine that lost its disk has
-// lost its vote with it.
 package raft
 
 import (
 	"cmp"
 	"errors"
 	"math/rand/v2"
-	"slices"
 	"time"
 
-	"google.golang.org/protobuf/proto"
 	"ivydeck/internal/transport/wire"
 )
 
-// Timing of the protocol.
+// Timing and sizes of the protocol.
 const (
-	Heartbeat   = 75 * time.Millisecond
+	// Heartbeat is the time between two rounds of heartbeats of a leader: a quarter of the shortest election timeout, so
+	// that three may be lost.
+	Heartbeat = 75 * time.Millisecond
+
+	// An election timeout is drawn between these bounds (thesis, 3.4).
 	electionMin = 300 * time.Millisecond
 	electionMax = 600 * time.Millisecond
 
-	// A process that has just started waits less: it has nothing to give up, and
-	// where a leader is heard, nobody votes for it.
+	// During startPhase, a process without a known leader draws a shorter timeout: it has no leadership to disturb, and
+	// members that are in contact with a leader reject its pre-vote.
 	startElectionMin = 100 * time.Millisecond
 	startElectionMax = 300 * time.Millisecond
 	startPhase       = 1500 * time.Millisecond
 
-	maxEntries      = 256     // in one message
-	maxBytes        = 1 << 20 // of entries in one message
-	maxPendingReads = 1024    // waiting for a round
+	maxEntries      = 256            // entries in one message
+	maxBytes        = 1 << 20        // bytes of entries in one message
+	maxUncommitted  = 4 * maxEntries // proposals beyond are dropped
+	maxPendingReads = 1024           // reads beyond are rejected
+
+	// noID is the identity of no member.
+	noID uint64 = 0
 )
 
-// What may come of a proposal or a read.
+// The errors of proposals and membership changes. None of them was appended to the log.
 var (
-	ErrNotLeader          = errors.New("raft: not the leader")
-	ErrProposalDropped    = errors.New("raft: too much under way")
-	ErrMembershipChanging = errors.New("raft: another change of members is under way")
-	ErrNotMember          = errors.New("raft: no such member")
-	ErrMemberAlive        = errors.New("raft: the member answers: end its process first, it would join again")
-	ErrTooFewVoters       = errors.New("raft: fewer voters than wanted would be left, or they could bear less than now")
+	// ErrNotLeader says that this member does not lead: see Node.Leader.
+	ErrNotLeader = errors.New("raft: not the leader")
+	// ErrProposalDropped says that too many proposals are uncommitted, or that leadership is being transferred.
+	ErrProposalDropped = errors.New("raft: proposal dropped")
+	// ErrMembershipChanging says that the last membership change is not committed yet.
+	ErrMembershipChanging = errors.New("raft: another membership change is in progress")
+	// ErrNotMember says that the identity belongs to no member.
+	ErrNotMember = errors.New("raft: no such member")
+	// ErrMemberAlive says that the member to be removed answers; it would join again.
+	ErrMemberAlive = errors.New("raft: the member is alive: end its process first, it would join again")
+	// ErrTooFewVoters says that a removal would leave fewer voters than wanted, or tolerate fewer losses than now.
+	ErrTooFewVoters = errors.New("raft: too few voters would be left, or they would tolerate fewer losses than now")
+
+	errMoreThanOneVoter = errors.New("raft: more than one voter changes")
 )
 
+// stateType is the role of a member in its term.
 type stateType int
 
 const (
-	stateFollower stateType = iota
-	statePreCandidate
+	stateFollower     stateType = iota
+	statePreCandidate           // asks whether an election could be won, in the present term
 	stateCandidate
 	stateLeader
 )
 
-// Ready is what the driver must do, in this order: install the snapshot, store
-// the hard state and the entries (dropping all stored ones from the first on),
-// sync, call Stable, send the messages, apply what is committed, answer reads.
+// Ready is what the driver must do next, in the order of the fields, and with a sync and a call of StableTo before any
+// message is sent: see the package comment. The driver must not change what it contains.
 type Ready struct {
-	Snapshot         *wire.RaftSnapshot
-	HardState        *wire.HardState
-	Entries          []*wire.Entry
-	Messages         []*wire.RaftMessage
-	CommittedEntries []*wire.Entry
-	ReadStates       []ReadState
+	Snapshot         *wire.RaftSnapshot  // replaces the state and the log; nil: none
+	HardState        *wire.HardState     // to be saved; nil: unchanged
+	Entries          []*wire.Entry       // to be saved, in place of all saved entries from the first of them on
+	Messages         []*wire.RaftMessage // to be sent, after the sync
+	CommittedEntries []*wire.Entry       // to be applied, each once
+	ReadStates       []ReadState         // to be answered, once the committed entries are applied
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (o *Ready) Empty() bool {
 	return o.Snapshot == nil && o.HardState == nil && len(o.Entries) == 0 && len(o.Messages) == 0 &&
 		len(o.CommittedEntries) == 0 && len(o.ReadStates) == 0
 }
 
-// Node is one member's part in the protocol.
+// Node is one member of the quorum: a pure state machine that belongs to one goroutine.
 type Node struct {
+	raftLog
+
 	id             uint64
 	rng            *rand.Rand
-	now            time.Duration
+	now            time.Duration // of the last event
+	startedAt      time.Duration // of the process
 	state          stateType
-	leaderID       uint64
-	hardState      wire.HardState
-	savedHardState wire.HardState
+	leaderID       uint64         // noID: not known
+	hardState      wire.HardState // term and vote
+	savedHardState wire.HardState // as last returned by Ready
+	proposed       bool           // something was, since the last Ready
+
+	// Election.
+	electionDeadline time.Duration
+	leaderContactAt  time.Duration // last message of a leader
+	campaignAt       time.Duration // when votes of the current term were requested
+	votes            map[uint64]bool
 
-	snapshot        *wire.RaftSnapshot // what stands in front of the log
-	pendingSnapshot *wire.RaftSnapshot // to be handed out
-	base            position           // precedes entries[0]; at most the snapshot's
-	entries         []*wire.Entry
-	backlogBytes    int    // of the entries behind the snapshot
-	proposed        bool   // something was, since the last output
-	tailEntries     int    // kept in front of the snapshot, at most
-	catchUpEntries  int    // the same, for members that catch up
-	stable          uint64 // last index that is on disk
-	firstUnsaved    uint64 // first index that has to be written; 0: none
-	committed       uint64
-	applied         uint64
-	memberships     []membership // ascending by index; the first stands for the snapshot
+	// Contact with the quorum, see quorum_contact.go.
+	process   uint64        // tells the stamps of this process from those of the ones before it
+	contactAt time.Duration // see knownContactAt
 
-	startedAt        time.Duration // of the process
-	maxBatchEntries  int           // entries in one message, at most
-	electionDeadline time.Duration // of the election timer
-	leaderContactAt  time.Duration // when a leader was last heard
-	process          uint64        // tells the stamps of this process from those of the ones before it
-	contactAt        time.Duration // see knownContactAt
-	campaignAt       time.Duration // when votes of the current term were asked for
-	votes            map[uint64]bool
+	// Of a leader.
+	progress        map[uint64]*progress // of the other members
+	heartbeatAt     time.Duration        // of the next round
+	heartbeatRound  uint64
+	heartbeatUnsent bool                     // the newest round's messages have not been taken by the driver
+	roundStartedAt  map[uint64]time.Duration // of the last rounds
+	quorumContactAt time.Duration            // begin of the newest round, or of the campaign, that a majority answered
+	leaderSince     time.Duration            // when it was elected
+	pendingReads    []pendingRead
+	catchUp         catchUp                  // of learners
+	leaving         map[uint64]time.Duration // when members that are about to shut down have last said so
+
+	// Leadership transfer, see leadership_transfer.go.
+	syncTime             time.Duration // moving average of a synced write; 0: not known
+	leadTransferee       uint64        // noID: no transfer is in progress
+	leadTransferDeadline time.Duration
+
+	// removedElsewhere says that another process does not know this one as a member, and no leader was in contact since.
+	removedElsewhere bool
 
-	progress             map[uint64]*progress
-	heartbeatAt          time.Duration
-	heartbeatRound       uint64
-	heartbeatUnsent      bool                     // the newest round's messages have not been taken by the driver
-	roundStartedAt       map[uint64]time.Duration // when the last rounds began
-	quorumContactAt      time.Duration            // begin of the newest round, or of the campaign, that a majority answered
-	leaderSince          time.Duration            // when it was elected
-	pendingReads         []pendingRead
-	syncTime             time.Duration            // that a synced write takes here, averaged; 0: not known
-	leadTransferee       uint64                   // the member that is asked to lead; 0: none
-	leadTransferDeadline time.Duration            // until then it is waited for
-	catchUp              catchUp                  // of learners
-	leaving              map[uint64]time.Duration // when members that are about to end have last said so
-	removedElsewhere     bool                     // another process has said that this one is no member, and no leader has been heard since
+	maxBatchEntries int // entries in one message
 
 	output Ready
 }
 
-// New returns a member as its disk has it. A nil snapshot is an empty one. Entries may begin in front of the snapshot's
-// index, with the tail that was kept. The seed has to differ between the processes that have the same disk one after
-// another.
+// New returns a member as its disk has it. hard and snap may be nil, for a disk without them. entries may begin before
+// the snapshot's index, with the tail that was kept. seed has to differ between the processes that have the same disk
+// one after another.
 func New(id uint64, hard *wire.HardState, snap *wire.RaftSnapshot, entries []*wire.Entry, seed uint64, now time.Duration) *Node {
 	if snap == nil {
 		snap = &wire.RaftSnapshot{}
 	}
-	c := &Node{
-		id: id, rng: rand.New(rand.NewPCG(seed, id)), now: now, snapshot: snap, tailEntries: tailEntries, catchUpEntries: catchUpEntries,
-		committed: snap.Index, applied: snap.Index, progress: map[uint64]*progress{},
-		memberships: []membership{{snap.Index, snap.GetPeers().GetPeers()}}, roundStartedAt: map[uint64]time.Duration{}, leaving: map[uint64]time.Duration{},
-		leaderContactAt: -electionMax, contactAt: now - MaxContactAge, process: seed, startedAt: now, maxBatchEntries: maxEntries,
+	n := &Node{
+		raftLog:         newLog(snap, entries),
+		id:              id,
+		rng:             rand.New(rand.NewPCG(seed, id)),
+		now:             now,
+		startedAt:       now,
+		leaderContactAt: -electionMax,
+		process:         seed,
+		contactAt:       now - MaxContactAge,
+		progress:        map[uint64]*progress{},
+		roundStartedAt:  map[uint64]time.Duration{},
+		leaving:         map[uint64]time.Duration{},
+		maxBatchEntries: maxEntries,
 	}
 	if hard != nil {
-		c.hardState.Term, c.hardState.Vote = hard.Term, hard.Vote
-		c.savedHardState.Term, c.savedHardState.Vote = hard.Term, hard.Vote
+		n.hardState.Term, n.hardState.Vote = hard.Term, hard.Vote
+		n.savedHardState.Term, n.savedHardState.Vote = hard.Term, hard.Vote
 	}
-	c.load(entries)
-	c.resetTimer()
-	return c
+	n.resetElectionTimer()
+	return n
 }
 
 // ID returns the member's identity.
 func (n *Node) ID() uint64 { return n.id }
 
-// Leader returns the leader's identity; 0: unknown.
+// Leader returns the identity of the term's leader; 0: not known.
 func (n *Node) Leader() uint64 { return n.leaderID }
 
-// LeaderContactedSince returns the leader's identity where this member leads, or has heard the leader at that time or later;
-// 0: not so.
+// LeaderContactedSince returns the leader's identity if this member leads, or has received a message of the leader at
+// that time or later; else 0.
 func (n *Node) LeaderContactedSince(at time.Duration) uint64 {
 	if n.state == stateLeader || n.leaderContactAt >= at {
 		return n.leaderID
@@ -162,99 +172,33 @@
 	return 0
 }
 
-// IsLeader tells whether this member is the leader.
+// IsLeader reports whether this member is the leader.
 func (n *Node) IsLeader() bool { return n.state == stateLeader }
 
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.hardState.Term }
 
-// Committed returns the last index known to be committed.
-func (n *Node) Committed() uint64 { return n.committed }
-
-// Peers returns the members that the newest entry names. It is not to be changed.
-func (n *Node) Peers() []*wire.Peer { return n.memberships[len(n.memberships)-1].peers }
-
-// MembershipCommitted tells whether the newest change of members is committed.
-func (n *Node) MembershipCommitted() bool {
-	return n.memberships[len(n.memberships)-1].index <= n.committed
-}
-
+// send adds a message to the next Ready.
 func (n *Node) send(m *wire.RaftMessage) {
 	m.From, m.Term = n.id, cmp.Or(m.Term, n.hardState.Term)
 	n.stampMessage(m)
 	n.output.Messages = append(n.output.Messages, m)
 }
 
-// Propose proposes another set of members, which may differ by one voter.
-func (n *Node) ProposeMembership(now time.Duration, peers []*wire.Peer) error {
-	n.now = now
-	if n.state != stateLeader {
-		return ErrNotLeader
-	}
-	if n.leadTransferee != 0 {
-		return ErrMembershipChanging
-	}
-	// Without an entry of its own term, a leader may not know of a change that
-	// the one before it committed, and two changes from one set may share no
-	// majority.
-	if t, _ := n.term(n.committed); !n.MembershipCommitted() || t != n.hardState.Term {
-		return ErrMembershipChanging
-	}
-	if voterDistance(n.Peers(), peers) > 1 || len(peers) == 0 {
-		return errors.New("raft: more than one voter changes")
-	}
-	data, err := proto.Marshal(&wire.Peers{Peers: peers})
-	if err != nil {
-		return err
-	}
-	n.append(&wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_MEMBERSHIP, Data: data})
-	n.resetProgress()
-	n.replicateAll()
-	return nil
-}
-
-// voterDistance counts the voters that are in one set alone.
-func voterDistance(a, b []*wire.Peer) int {
-	diff := map[uint64]int{}
-	for _, p := range a {
-		if p.Voter {
-			diff[p.Id]++
-		}
-	}
-	for _, p := range b {
-		if p.Voter {
-			diff[p.Id]--
-		}
-	}
-	n := 0
-	for _, d := range diff {
-		if d != 0 {
-			n++
-		}
-	}
-	return n
-}
-
 // Ready returns what has to be done since the last call.
 func (n *Node) Ready() Ready {
 	if n.proposed && n.state == stateLeader {
 		n.replicateAll()
 	}
 	n.proposed = false
-	o := n.output
+	ready := n.output
 	n.output, n.heartbeatUnsent = Ready{}, false
-	o.Snapshot, n.pendingSnapshot = n.pendingSnapshot, nil
 	if n.hardState.Term != n.savedHardState.Term || n.hardState.Vote != n.savedHardState.Vote {
 		n.savedHardState.Term, n.savedHardState.Vote = n.hardState.Term, n.hardState.Vote
-		o.HardState = &wire.HardState{Term: n.hardState.Term, Vote: n.hardState.Vote}
-	}
-	if n.firstUnsaved > 0 {
-		o.Entries = slices.Clone(n.entries[n.firstUnsaved-n.first():])
-		n.firstUnsaved = 0
-	}
-	if n.committed > n.applied {
-		o.CommittedEntries = slices.Clone(n.entries[n.applied-n.base.index : n.committed-n.base.index])
-		n.applied = n.committed
+		ready.HardState = &wire.HardState{Term: n.hardState.Term, Vote: n.hardState.Vote}
 	}
-	return o
+	ready.Snapshot = n.takeSnapshot()
+	ready.Entries = n.takeUnsaved()
+	ready.CommittedEntries = n.takeCommitted()
+	return ready
 }
--- a/internal/controlplane/raft/reads.go
+++ b/internal/controlplane/raft/read_only.go
@@ -39,3 +39,21 @@
 	n.pendingReads = append(n.pendingReads, pendingRead{token, n.committed, n.heartbeatRound + 1})
 	n.broadcastHeartbeat()
 }
+
+// confirmContact confirms what the rounds answered by a majority prove.
+func (n *Node) confirmContact() {
+	round := n.quorumValue(n.heartbeatRound, func(p *progress) uint64 { return p.heartbeatRound })
+	if at, ok := n.roundStartedAt[round]; ok {
+		n.quorumContactAt = max(n.quorumContactAt, at)
+	}
+	kept := 0
+	for _, read := range n.pendingReads {
+		if read.heartbeatRound <= round {
+			n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: read.token, Index: read.index, OK: true})
+		} else {
+			n.pendingReads[kept] = read
+			kept++
+		}
+	}
+	n.pendingReads = n.pendingReads[:kept]
+}
--- a/internal/controlplane/raft/replication.go
+++ b/internal/controlplane/raft/replication.go
@@ -1,54 +1,9 @@
 package raft
 
 import (
-	"math"
-	"slices"
-	"time"
-
 	"ivydeck/internal/transport/wire"
 )
 
-// progress is what a leader knows of another member.
-type progress struct {
-	match, next    uint64
-	heartbeatRound uint64 // newest round that it has answered
-	lastContact    time.Duration
-	readySince     time.Duration // of a learner that has caught up; 0: it has not
-	syncTime       time.Duration // that a synced write takes there; 0: not known
-	stamp          *wire.Stamp   // the newest of its clock
-	stampAt        time.Duration // when that was received
-
-	snapshot        *wire.RaftSnapshot // under way to it; nil: none
-	snapshotRetryAt time.Duration      // a transfer is not begun before
-}
-
-// Lag returns how many entries a member lacks, as far as it has said what it
-// has, and since when it has been silent; ok only on the leader.
-func (n *Node) Lag(id uint64) (lag uint64, sinceContact time.Duration, ok bool) {
-	p := n.progress[id]
-	if n.state != stateLeader || p == nil {
-		return 0, 0, false
-	}
-	if lag = n.last() - min(p.match, n.last()); p.match == 0 {
-		lag = math.MaxUint64
-	}
-	return lag, n.now - p.lastContact, true
-}
-
-// resetProgress keeps a progress for each other member.
-func (n *Node) resetProgress() {
-	for _, p := range n.Peers() {
-		if p.Id != n.id && n.progress[p.Id] == nil {
-			n.progress[p.Id] = &progress{next: n.last(), lastContact: n.now}
-		}
-	}
-	for id := range n.progress {
-		if !slices.ContainsFunc(n.Peers(), func(p *wire.Peer) bool { return p.Id == id }) {
-			delete(n.progress, id)
-		}
-	}
-}
-
 // broadcastHeartbeat begins a round of contact with all others.
 func (n *Node) broadcastHeartbeat() {
 	n.heartbeatRound++
@@ -126,39 +81,28 @@
 	}
 }
 
-// Propose adds a command to the log. It is committed once an entry with this
-// index and term is; another leader may replace it before.
-func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
-	n.now = now
-	if n.state != stateLeader {
-		return 0, 0, ErrNotLeader
-	}
-	if n.leadTransferee != 0 { // what is taken now would keep the transfer target from having all
-		return 0, 0, ErrProposalDropped
+// StableTo says that all entries up to an index are on disk.
+func (n *Node) StableTo(index uint64) {
+	n.stable = max(n.stable, min(index, n.last()))
+	if n.state == stateLeader {
+		n.maybeCommit()
 	}
-	if n.last()-n.committed > 4*maxEntries {
-		return 0, 0, ErrProposalDropped
-	}
-	e := &wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_COMMAND, Data: data}
-	n.append(e)
-	n.proposed = true // sent with all others that are proposed before the next output
-	return e.Index, e.Term, nil
 }
 
-// confirmContact confirms what the rounds answered by a majority prove.
-func (n *Node) confirmContact() {
-	round := n.quorumValue(n.heartbeatRound, func(p *progress) uint64 { return p.heartbeatRound })
-	if at, ok := n.roundStartedAt[round]; ok {
-		n.quorumContactAt = max(n.quorumContactAt, at)
+// maybeCommit commits what a majority has on disk. Entries of earlier terms are committed by one of the leader's own
+// term alone (thesis, 3.6.2).
+func (n *Node) maybeCommit() {
+	index := n.quorumValue(n.stable, func(p *progress) uint64 { return p.match })
+	if t, _ := n.term(index); index <= n.committed || t != n.hardState.Term {
+		return
 	}
-	kept := 0
-	for _, read := range n.pendingReads {
-		if read.heartbeatRound <= round {
-			n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: read.token, Index: read.index, OK: true})
-		} else {
-			n.pendingReads[kept] = read
-			kept++
+	n.committed = index
+	for _, p := range n.Peers() { // the followers apply it as well, and clients wait for that
+		if p.Id != n.id {
+			n.replicate(p.Id, true)
 		}
 	}
-	n.pendingReads = n.pendingReads[:kept]
+	if n.MembershipCommitted() && !n.isMember(n.id) {
+		n.becomeFollower(n.hardState.Term, noID) // it has removed itself (thesis, 4.2.2)
+	}
 }
--- a/internal/controlplane/raft/transfer.go
+++ b/internal/controlplane/raft/snapshot.go
@@ -48,7 +48,7 @@
 // no term is needed with it.
 func (n *Node) InstallSnapshot(now time.Duration, s *wire.RaftSnapshot) {
 	n.now = now
-	n.installSnapshot(s)
+	n.restore(s)
 }
 
 // SnapshotInTransfer tells which snapshot is under way to a member, or has come and is not yet known to count; 0: none.
@@ -82,3 +82,11 @@
 		p.snapshot = nil
 	}
 }
+
+// handleInstallSnapshot takes a leader's snapshot whose data is in the message itself.
+func (n *Node) handleInstallSnapshot(m *wire.RaftMessage) {
+	n.send(&wire.RaftMessage{
+		Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, To: m.From, HeartbeatRound: m.HeartbeatRound,
+		Index: n.restore(m.Snapshot),
+	})
+}
