--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// mayCopy tells whether a second copy of an attempt may go out.
+// mayCopy reports whether a second copy of an attempt may go out.
 func (b *Balancer) mayCopy(c *call, a *attempt) bool {
 	class := &b.set.Classes[c.Class]
 	since := a.sent
--- a/decide/gate.go
+++ b/decide/gate.go
@@ -88,10 +88,10 @@
 	return max(g.r, gateFoot+(gateTop-gateFoot)*gateCrowd*vain)
 }
 
-// Calm tells whether nothing is about to be refused.
+// Calm reports whether nothing is about to be refused.
 func (g *Gate) Calm(now time.Duration) bool { return g.Pressure(now) < gateCalm }
 
-// Idle tells whether requests find room at once, and are answered well within their aims.
+// Idle reports whether requests find room at once, and are answered well within their aims.
 func (g *Gate) Idle(now time.Duration) bool {
 	return g.r < gateIdle && g.Pressure(now) < gateFoot+0.001
 }
--- a/decide/pick.go
+++ b/decide/pick.go
@@ -123,7 +123,7 @@
 	return b.scratch
 }
 
-// inGroup tells whether a keyed call that may have run is known to this server.
+// inGroup reports whether a keyed call that may have run is known to this server.
 func (b *Balancer) inGroup(c *call, s *server) bool {
 	class := &b.set.Classes[c.Class]
 	return !c.ran || class.Effect != Keyed || class.Group == GroupAll ||
--- a/decide/picker.go
+++ b/decide/picker.go
@@ -122,7 +122,7 @@
 	return "", false, false
 }
 
-// wave tells whether too many of the subset are unhealthy.
+// wave reports whether too many of the subset are unhealthy.
 func (p *Picker) wave(now time.Duration) bool {
 	unhealthy, all := 0, len(p.near)+len(p.far)
 	for _, list := range [][]*target{p.near, p.far} {
@@ -146,7 +146,7 @@
 	}
 }
 
-// roomy tells whether a server has said of late that it has slots to spare.
+// roomy reports whether a server has said of late that it has slots to spare.
 func (t *target) roomy(now time.Duration) bool { return now-t.toldAt < fillFor && t.fill < nearFill }
 
 func (p *Picker) usable(now time.Duration, list []*target, tried []string, room, wave bool) []*target {
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// health tells whether something may be sent to: one server, or a zone as seen from here.
+// health reports whether something may be sent to: one server, or a zone as seen from here.
 type health struct {
 	inflight int
 	fails    int // in a row
@@ -30,7 +30,7 @@
 // served clears what was held against it.
 func (h *health) served() { h.fails, h.ejects, h.outUntil = 0, 0, 0 }
 
-// out tells whether to keep away. After an ejection there is one call at a time until it has served one:
+// out reports whether to keep away. After an ejection there is one call at a time until it has served one:
 // what hangs would else swallow a full share of calls at each return.
 func (h *health) out(now time.Duration) bool {
 	return h.outUntil > now || h.ejects > 0 && h.inflight > 0
--- a/internal/balancer/node/sockets.go
+++ b/internal/balancer/node/sockets.go
@@ -33,8 +33,8 @@
 
 func (s *sockets) give() { s.open.Add(-1) }
 
-// over tells whether more is open than the budget allows.
+// over reports whether more is open than the budget allows.
 func (s *sockets) over() bool { return s.open.Load() > s.most }
 
-// full tells whether the spare descriptors are gone too.
+// full reports whether the spare descriptors are gone too.
 func (s *sockets) full() bool { return s.open.Load() >= s.most+spareSockets }
--- a/internal/balancer/node/upstream.go
+++ b/internal/balancer/node/upstream.go
@@ -192,7 +192,7 @@
 	return true
 }
 
-// alive tells whether an idle connection has nothing to read, not even its end.
+// alive reports whether an idle connection has nothing to read, not even its end.
 func (c *conn) alive() bool { return c.look.Quiet() }
 
 // dial opens a connection to a server.
@@ -352,7 +352,7 @@
 	return resp, body, nil
 }
 
-// framed tells whether an answer says in one way only where it ends. net/http
+// framed reports whether an answer says in one way only where it ends. net/http
 // drops a length beside chunks, and takes the end of the connection for the end
 // of the answer, which may as well be a break.
 func framed(resp *http.Response, head []byte) bool {
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -61,7 +61,7 @@
 	return g.group.Gone(g.now(), name)
 }
 
-// Lost tells whether what stands on a node is to be taken off the list; watched is
+// Lost reports whether what stands on a node is to be taken off the list; watched is
 // how long somebody has looked.
 func (g *Gossip) Lost(name string, watched time.Duration) bool {
 	g.mu.Lock()
--- a/internal/cluster/membership/agreement_test.go
+++ b/internal/cluster/membership/agreement_test.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// agreed tells whether all groups have one view.
+// agreed reports whether all groups have one view.
 func (f *fleet) agreed() bool {
 	first := f.groups["n0"].Digest()
 	for _, g := range f.groups {
--- a/internal/cluster/membership/dissemination.go
+++ b/internal/cluster/membership/dissemination.go
@@ -103,7 +103,7 @@
 	return m
 }
 
-// overrides tells whether an update counts against what is known.
+// overrides reports whether an update counts against what is known.
 func overrides(n, old *wire.Member) bool {
 	if n.Generation != old.Generation {
 		return n.Generation > old.Generation
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -117,7 +117,7 @@
 	return list
 }
 
-// reachable tells whether a state is that of a node that may be there.
+// reachable reports whether a state is that of a node that may be there.
 func reachable(s wire.Member_State) bool { return s == wire.Member_ALIVE || s == wire.Member_SUSPECT }
 
 // Digest is alike at two nodes that know the same others, in the same generations.
@@ -153,13 +153,13 @@
 	return max(1, now-m.since)
 }
 
-// Lost tells whether what stands on a node is to be taken off the list: it has been
+// Lost reports whether what stands on a node is to be taken off the list: it has been
 // gone for a while, or was not heard of in all the time that this node has watched.
 func (g *Group) Lost(now time.Duration, name string, watched time.Duration) bool {
 	return g.Gone(now, name) > lostAfter || !g.Knows(name) && watched > unknownAfter
 }
 
-// Knows tells whether a node has ever been heard of.
+// Knows reports whether a node has ever been heard of.
 func (g *Group) Knows(name string) bool { return name == g.self.Name || g.members[name] != nil }
 
 // sorted returns all members, by name.
--- a/internal/cluster/membership/ranges.go
+++ b/internal/cluster/membership/ranges.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-// validRanges tells whether another node may ask for so many.
+// validRanges reports whether another node may ask for so many.
 func validRanges(n uint32) bool { return n > 0 && n <= maxRanges && n&(n-1) == 0 }
 
 // digestsOf returns the digests of n ranges, this node's own entry among them.
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// distinct tells whether no place is taken twice.
+// distinct reports whether no place is taken twice.
 func distinct(c *Config) bool {
 	places := map[Key]bool{}
 	for _, r := range c.Routes {
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -30,7 +30,7 @@
 	return Change{revision: config.Revision, digest: sha256.Sum256(body)}
 }
 
-// Accepted tells whether a change was accepted, now or before. That it was stays true, so that any replica may answer
+// Accepted reports whether a change was accepted, now or before. That it was stays true, so that any replica may answer
 // for it which knows; that it was not is for the log to say.
 func (c *Catalog) Accepted(change Change) bool { return c.accepted.contains(change) }
 
@@ -58,7 +58,7 @@
 	a.newest = slices.Delete(a.newest, 0, drop)
 }
 
-// contains tells whether a very change is remembered.
+// contains reports whether a very change is remembered.
 func (a *acceptedChanges) contains(c Change) bool {
 	i, found := slices.BinarySearchFunc(a.newest, c.revision, func(x Change, revision uint64) int {
 		return cmp.Compare(x.revision, revision)
@@ -66,7 +66,7 @@
 	return found && a.newest[i] == c
 }
 
-// mayHaveForgotten tells whether a change may have been accepted and forgotten since. A change was accepted on top of a
+// mayHaveForgotten reports whether a change may have been accepted and forgotten since. A change was accepted on top of a
 // revision below its own, so one that says otherwise never was.
 func (a *acceptedChanges) mayHaveForgotten(base, revision uint64) bool {
 	return base < revision && revision <= a.forgotten
--- a/internal/controlplane/catalog/judge.go
+++ b/internal/controlplane/catalog/judge.go
@@ -85,7 +85,7 @@
 	return body, nil
 }
 
-// verdict tells whether a change is known, and otherwise why it can't be accepted.
+// verdict reports whether a change is known, and otherwise why it can't be accepted.
 func (c *Catalog) verdict(change Change, base uint64) (known bool, err error) {
 	switch {
 	case c.accepted.contains(change):
--- a/internal/controlplane/catalog/resource.go
+++ b/internal/controlplane/catalog/resource.go
@@ -48,7 +48,7 @@
 
 func routeKey(host, prefix string) key { return key{kind: kindRoute, name: host, prefix: prefix} }
 
-// ofConfig tells whether a resource is a part of the configuration.
+// ofConfig reports whether a resource is a part of the configuration.
 func (k key) ofConfig() bool { return k.kind != 0 && k.kind != kindServer }
 
 func serverResource(index uint64, s *wire.Server) *wire.Resource {
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -103,7 +103,7 @@
 	return lines[r]
 }
 
-// sameConfig tells whether two configurations say the same.
+// sameConfig reports whether two configurations say the same.
 func sameConfig(a, b *meshconfig.Config) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/controlplane/raft/fingerprint.go
+++ b/internal/controlplane/raft/fingerprint.go
@@ -11,9 +11,10 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// AppendFingerprint appends what decides of this member's future, and nothing else: two members with the same bytes answer
-// alike to all that may come. Times count only by the bounds that they are past of. rename gives identities their
-// places, so that members which differ by name alone can be told to be alike.
+// AppendFingerprint appends to b what determines this member's behaviour, and nothing else: two members with the same
+// fingerprint react alike to the same events. It is what a model checker compares states by. A time counts only by the
+// timeouts that it has passed. rename maps identities to numbers, so that states which differ by identities alone have
+// the same fingerprint.
 func (n *Node) AppendFingerprint(b []byte, rename func(uint64) uint64) []byte {
 	u := func(x uint64) { b = binary.AppendUvarint(b, x) }
 	flag := func(f bool) {
@@ -76,7 +77,7 @@
 	return b
 }
 
-// AppendEntry does the same for an entry.
+// AppendEntry appends an entry's fingerprint to b.
 func AppendEntry(b []byte, e *wire.Entry, rename func(uint64) uint64) []byte {
 	b = binary.AppendUvarint(b, e.Term)
 	b = binary.AppendUvarint(b, e.Index)
@@ -91,7 +92,7 @@
 	return append(b, e.Data...)
 }
 
-// AppendMessage does the same for a message.
+// AppendMessage appends a message's fingerprint to b.
 func AppendMessage(b []byte, m *wire.RaftMessage, rename func(uint64) uint64) []byte {
 	u := func(x uint64) { b = binary.AppendUvarint(b, x) }
 	u(uint64(m.Kind))
@@ -133,7 +134,7 @@
 	return appendIDs(b, ids, func(id uint64) uint64 { return id })
 }
 
-// appendIDs appends a set.
+// appendIDs appends a set of identities.
 func appendIDs(b []byte, ids []uint64, rename func(uint64) uint64) []byte {
 	for i := range ids {
 		ids[i] = rename(ids[i])
--- a/internal/controlplane/raft/leadership_transfer.go
+++ b/internal/controlplane/raft/leadership_transfer.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	leadTransferTimeout = electionMin            // so long a transfer target is waited for
-	slowSync            = 8 * time.Millisecond   // a leader whose writes take less keeps the lead ...
-	slowSyncFactor      = 4                      // ... and so does one that takes less than this many times what another takes
-	maxSyncTime         = 10 * time.Second       // a write counts for as long at most
-	syncTimeWeight      = 0.25                   // of the newest write in the average
-	recentContact       = 200 * time.Millisecond // a member that was heard more lately may lead
+	leadTransferTimeout = electionMin            // a transfer that takes longer is given up
+	slowSync            = 8 * time.Millisecond   // a leader whose synced writes take less keeps the leadership ...
+	slowSyncFactor      = 4                      // ... and so does one whose writes take less than this times another's
+	maxSyncTime         = 10 * time.Second       // a longer write counts as one of this
+	syncTimeWeight      = 0.25                   // of the newest write in the moving average
+	recentContact       = 200 * time.Millisecond // a transferee has answered within this time
 )
 
-// ObserveSync takes how long a synced write has taken here. Members tell the leader, which gives the lead away where
-// another's disk is far faster: every change waits for the leader's own.
+// ObserveSync takes the duration of a synced write on this member's disk. Members report the average to the leader, which
+// transfers leadership to one with a far faster disk: every change waits for the leader's own.
 func (n *Node) ObserveSync(took time.Duration) {
 	took = max(time.Microsecond, min(took, maxSyncTime))
 	if n.syncTime == 0 {
@@ -25,7 +25,7 @@
 	n.syncTime += time.Duration(syncTimeWeight * float64(took-n.syncTime))
 }
 
-// ShouldTransferLeadership tells whether the leader's disk is far slower than that of another voter that could lead.
+// ShouldTransferLeadership reports whether the leader's disk is far slower than that of another voter that could lead.
 func (n *Node) ShouldTransferLeadership() bool {
 	if n.state != stateLeader || n.syncTime < slowSync {
 		return false
@@ -34,8 +34,8 @@
 	return p != nil && p.syncTime > 0 && n.syncTime > slowSyncFactor*p.syncTime
 }
 
-// transferCandidate is the voter that could best take the lead: the one that has the most, and of these the one with the
-// fastest disk; 0: nobody is in touch.
+// transferCandidate is the voter that could best take over: the one with the longest log, and of these the one with the
+// fastest disk; noID: no other voter is in contact.
 func (n *Node) transferCandidate() (best uint64) {
 	for _, p := range n.Peers() {
 		o := n.progress[p.Id]
@@ -49,18 +49,18 @@
 	return best
 }
 
-// TransferLeadership is the leadership transfer of the thesis (3.10): it gives the lead away as soon as another voter has all that
-// is in the log; what is proposed meanwhile is turned away unrun. It reports false where this member does not lead or
-// nobody could. A transfer target that does not take the lead in time is no longer waited for.
+// TransferLeadership begins a leadership transfer (thesis, 3.10): once another voter has the complete log, it is asked to
+// start an election. Proposals are dropped meanwhile. It reports false if this member does not lead or no other could. A
+// transfer that takes longer than leadTransferTimeout is given up.
 func (n *Node) TransferLeadership(now time.Duration) bool {
 	n.now = now
 	if n.state != stateLeader {
 		return false
 	}
-	if n.leadTransferee != 0 {
+	if n.leadTransferee != noID {
 		return true
 	}
-	if n.leadTransferee = n.transferCandidate(); n.leadTransferee == 0 {
+	if n.leadTransferee = n.transferCandidate(); n.leadTransferee == noID {
 		return false
 	}
 	n.leadTransferDeadline = now + leadTransferTimeout
@@ -68,9 +68,9 @@
 	return true
 }
 
-// sendTimeoutNow tells the transfer target to lead, once it has everything.
+// sendTimeoutNow asks the transferee to start an election, once it has the complete log.
 func (n *Node) sendTimeoutNow(id uint64) {
-	if p := n.progress[id]; id != 0 && id == n.leadTransferee && p != nil && p.match == n.last() {
+	if p := n.progress[id]; id != noID && id == n.leadTransferee && p != nil && p.match == n.last() {
 		n.send(&wire.RaftMessage{Kind: wire.RaftMessage_TIMEOUT_NOW, To: id})
 	}
 }
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -296,7 +296,7 @@
 	}
 }
 
-// current tells whether all members are up, know the leader and have a recent state.
+// current reports whether all members are up, know the leader and have a recent state.
 func (w *leaseWorld) current() bool {
 	for _, m := range w.members {
 		if m.node == nil || w.now < m.frozen || m.node.Leader() == 0 || w.clock(m)-m.contact > leaseFresh {
--- a/internal/controlplane/raft/membership_cluster_test.go
+++ b/internal/controlplane/raft/membership_cluster_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// due tells whether a process has something to do: a memberDelivery, its timer, or the membership, to which drivers look at
+// due reports whether a process has something to do: a memberDelivery, its timer, or the membership, to which drivers look at
 // least this often.
 func (w *membershipWorld) due(p *process) bool {
 	const look = 10 * time.Millisecond
@@ -381,7 +381,7 @@
 	return w.inForce
 }
 
-// votes tells whether a process is a voter of the membership that is committed.
+// votes reports whether a process is a voter of the membership that is committed.
 func (w *membershipWorld) votes(p *process) bool {
 	peers := w.committed().peers
 	i := peerIndex(peers, p.disk.ID)
--- a/internal/controlplane/raft/membership_manager.go
+++ b/internal/controlplane/raft/membership_manager.go
@@ -7,64 +7,64 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Timing of the questions for membership.
+// Timing of join requests and of the leader's reconciliation.
 const (
-	noLeaderTimeout = 2 * electionMax        // a process that has heard no leader for so long asks whether it is a member
-	joinInterval    = 250 * time.Millisecond // between two rounds of questions
-	joinFanout      = 4                      // processes in a round
-	reconcileGap    = 100 * time.Millisecond // between two looks of a leader at its members, if nothing has changed
+	noLeaderTimeout   = 2 * electionMax        // without contact to a leader for so long, a process asks to join
+	joinInterval      = 250 * time.Millisecond // between two rounds of join requests
+	joinFanout        = 4                      // join requests in a round
+	reconcileInterval = 100 * time.Millisecond // between two reconciliations of a leader, if nothing has changed
 )
 
-// MembershipManager is what a quorum member does for the membership, its own and, as the leader, that of others. It is a
-// pure state machine: the driver calls Tick with the time after whatever it has given to the Node, carries out the
-// actions, and hands in what comes of them. Membership is confirmed by contact and not by the own log, which may be
-// of a time before this process was removed.
+// MembershipManager maintains a process's own membership and, on the leader, that of all others. It is a pure state
+// machine beside Node: the driver calls Tick after every event of the node, carries out the actions, and passes their
+// outcome in. A process is sure of its membership by contact with a leader and not by its own log, which may end before
+// its removal.
 type MembershipManager struct {
 	node    *Node
-	leaving bool // this process is about to end
+	leaving bool // this process is about to shut down
 
-	joinedAt    time.Duration
-	joinTargets []string // in this round
-	nextTarget  int      // of those to ask
-	hint        string   // the leader's address, as another has named it
+	lastJoinAt  time.Duration
+	joinTargets []string // of this round
+	nextTarget  int      // where the next round begins, in the list of known addresses
+	leaderHint  string   // the leader's address, as another process has named it
 
 	reconciledAt   time.Duration
-	committedIndex uint64 // index of the newest membership that was found committed
-	wasLeader      bool   // it led at the last Tick
+	committedIndex uint64 // of the newest membership that was found committed
+	wasLeader      bool   // at the last Tick
 }
 
 // MembershipActions are what the driver has to do after a Tick.
 type MembershipActions struct {
-	Propose MembershipChange // to be proposed by Node.Change; no Next: nothing
-	JoinAt  []string         // addresses of the processes that are to be asked to let this one join
+	Propose MembershipChange // for Node.ProposeMembership; no Next: nothing
+	JoinAt  []string         // addresses for join requests of this process
 }
 
-// NewMembershipManager returns the manager of a node.
+// NewMembershipManager returns the manager beside a node.
 func NewMembershipManager(node *Node) *MembershipManager {
-	return &MembershipManager{node: node, joinedAt: -joinInterval}
+	return &MembershipManager{node: node, lastJoinAt: -joinInterval}
 }
 
-// Tick takes the time. self is this process as it wants to be known, wanted the number of voters that the losses to be
-// borne ask for, and known the addresses of processes that may be members.
+// Tick takes the time. self is this process with its present addresses, wanted the number of voters by WantedVoters, and
+// known returns the addresses of processes that may be members.
 func (m *MembershipManager) Tick(now time.Duration, self *wire.Peer, wanted int, known func() []string) MembershipActions {
 	if m.node.IsLeader() {
 		return MembershipActions{Propose: m.reconcile(now, wanted)}
 	}
 	m.wasLeader = false
-	if m.leaving || !m.mustJoin(now, self) || now-m.joinedAt < joinInterval {
+	if m.leaving || !m.mustJoin(now, self) || now-m.lastJoinAt < joinInterval {
 		return MembershipActions{}
 	}
-	m.joinedAt = now
+	m.lastJoinAt = now
 	m.joinTargets = m.chooseJoinTargets(self, known())
 	return MembershipActions{JoinAt: m.joinTargets}
 }
 
-// reconcile looks at the members where one of them may be due: at once when this node has begun to lead or when the
-// last change is committed, else from time to time.
+// reconcile returns the leader's next change: at once at the begin of its leadership and when the last change is
+// committed, else every reconcileInterval.
 func (m *MembershipManager) reconcile(now time.Duration, wanted int) MembershipChange {
-	newest := m.node.memberships[len(m.node.memberships)-1].index
+	newest := m.node.newestMembership().index
 	due := !m.wasLeader || m.node.MembershipCommitted() && newest != m.committedIndex
-	if !due && now-m.reconciledAt < reconcileGap {
+	if !due && now-m.reconciledAt < reconcileInterval {
 		return MembershipChange{}
 	}
 	m.wasLeader, m.reconciledAt = true, now
@@ -75,22 +75,22 @@
 	return m.node.Reconcile(wanted)
 }
 
-// mustJoin tells whether this process cannot be sure to be a member under its present address.
+// mustJoin reports whether this process cannot be sure to be a member with its present addresses.
 func (m *MembershipManager) mustJoin(now time.Duration, self *wire.Peer) bool {
-	c := m.node
-	index := peerIndex(c.Peers(), self.Id)
-	if index < 0 || c.removedElsewhere {
+	node := m.node
+	index := peerIndex(node.Peers(), self.Id)
+	if index < 0 || node.removedElsewhere {
 		return true
 	}
-	own := c.Peers()[index]
+	own := node.Peers()[index]
 	if own.Address != self.Address || own.ControlAddress != self.ControlAddress {
 		return true
 	}
-	return now-max(c.startedAt, c.leaderContactAt, c.quorumContactAt) > noLeaderTimeout
+	return now-max(node.startedAt, node.leaderContactAt, node.quorumContactAt) > noLeaderTimeout
 }
 
-// chooseJoinTargets returns whom to ask in this round: the leader that another has named, the members of the own log, and those
-// that are known otherwise, some at a time.
+// chooseJoinTargets returns the addresses for this round: the leader that another process has named, the members of the
+// own log, and addresses that are known otherwise, some at a time.
 func (m *MembershipManager) chooseJoinTargets(self *wire.Peer, known []string) []string {
 	var all []string
 	add := func(address string) {
@@ -98,8 +98,8 @@
 			all = append(all, address)
 		}
 	}
-	add(m.hint)
-	m.hint = ""
+	add(m.leaderHint)
+	m.leaderHint = ""
 	hinted := len(all)
 	for _, p := range m.node.Peers() {
 		add(p.Address)
@@ -119,13 +119,13 @@
 	return chosen
 }
 
-// HandleJoinResponse takes the answer of a process that was asked. It returns the leader's address if that is to be asked at once,
-// else nothing.
+// HandleJoinResponse takes the answer to a join request. It returns the leader's address if the next request should go
+// there at once, else nothing.
 func (m *MembershipManager) HandleJoinResponse(answer *wire.JoinResponse) string {
 	if answer.Member || answer.Leader == "" || m.leaving {
 		return ""
 	}
-	m.hint = answer.Leader
+	m.leaderHint = answer.Leader
 	if slices.Contains(m.joinTargets, answer.Leader) {
 		return ""
 	}
@@ -133,31 +133,31 @@
 	return answer.Leader
 }
 
-// HandleJoin answers a process that asks to be a member: it returns the change that a leader has to propose, if any.
-func (m *MembershipManager) HandleJoin(now time.Duration, p *wire.Peer) (MembershipChange, *wire.JoinResponse) {
-	c := m.node
-	if !c.IsLeader() {
-		return MembershipChange{}, &wire.JoinResponse{Leader: c.leaderAddress()}
+// HandleJoin answers a process that asks to become a member, and returns the change that a leader has to propose, if any.
+func (m *MembershipManager) HandleJoin(now time.Duration, peer *wire.Peer) (MembershipChange, *wire.JoinResponse) {
+	node := m.node
+	if !node.IsLeader() {
+		return MembershipChange{}, &wire.JoinResponse{Leader: node.leaderAddress()}
 	}
-	c.now = now
-	delete(c.leaving, p.Id) // it has come back
-	change, member := c.JoinChange(p)
+	node.now = now
+	delete(node.leaving, peer.Id) // it has come back
+	change, member := node.JoinChange(peer)
 	return change, &wire.JoinResponse{Member: member}
 }
 
-// Leave begins the planned end of this process: it asks for membership no more.
+// Leave begins the graceful shutdown of this process: it sends no more join requests.
 func (m *MembershipManager) Leave() { m.leaving = true }
 
-// HandleLeave answers a member that is about to end.
-func (m *MembershipManager) HandleLeave(now time.Duration, q *wire.LeaveRequest, wanted int) *wire.LeaveResponse {
-	d, ok := m.node.Leave(now, q.Id, q.Index, q.LogTerm, wanted)
+// HandleLeave answers a member that is about to shut down.
+func (m *MembershipManager) HandleLeave(now time.Duration, request *wire.LeaveRequest, wanted int) *wire.LeaveResponse {
+	status, ok := m.node.Leave(now, request.Id, request.Index, request.LogTerm, wanted)
 	if !ok {
 		return &wire.LeaveResponse{Leader: m.node.leaderAddress()}
 	}
-	return &wire.LeaveResponse{Replicated: d.Replicated, Removed: d.Removed, KeepsVote: d.KeepsVote}
+	return &wire.LeaveResponse{Replicated: status.Replicated, Removed: status.Removed, KeepsVote: status.KeepsVote}
 }
 
-// leaderAddress is the leader's, as this node knows it; empty: it knows none.
+// leaderAddress is the leader's address; empty: not known.
 func (n *Node) leaderAddress() string {
 	if i := peerIndex(n.Peers(), n.leaderID); i >= 0 {
 		return n.Peers()[i].Address
--- a/internal/controlplane/raft/membership_search_test.go
+++ b/internal/controlplane/raft/membership_search_test.go
@@ -95,7 +95,7 @@
 
 func (q *drawnQuorum) membershipIndex() uint64 { return q.memberships[len(q.memberships)-1].index }
 
-// answers tells whether a member does its part at this moment, as far as a leader can know.
+// answers reports whether a member does its part at this moment, as far as a leader can know.
 func (q *drawnQuorum) answers(id uint64) bool {
 	if id == q.id {
 		return true
@@ -104,7 +104,7 @@
 	return p.heartbeatRound > 0 && q.now-p.lastContact < 200*time.Millisecond && p.match >= q.membershipIndex()
 }
 
-// leaves tells whether a member has said that it ends, and has not been heard a second later.
+// leaves reports whether a member has said that it ends, and has not been heard a second later.
 func (q *drawnQuorum) leaves(id uint64) bool {
 	said, ok := q.leaving[id]
 	return ok && q.progress[id].lastContact-said < time.Second
@@ -125,7 +125,7 @@
 	return stay - (voters/2 + 1)
 }
 
-// answerMajority tells whether a majority of the voters answers.
+// answerMajority reports whether a majority of the voters answers.
 func (q *drawnQuorum) answerMajority(peers []*wire.Peer) bool {
 	voters, answer := 0, 0
 	for _, p := range peers {
@@ -139,7 +139,7 @@
 	return answer > voters/2
 }
 
-// hadLately tells whether a member has what was in the log 300 ms ago, or all that is committed.
+// hadLately reports whether a member has what was in the log 300 ms ago, or all that is committed.
 func (q *drawnQuorum) hadLately(id uint64) bool {
 	match := q.progress[id].match
 	if match >= q.committed {
--- a/internal/controlplane/raft/progress.go
+++ b/internal/controlplane/raft/progress.go
@@ -10,20 +10,21 @@
 
 // progress is what a leader knows of another member.
 type progress struct {
-	match, next    uint64
-	heartbeatRound uint64 // newest round that it has answered
-	lastContact    time.Duration
+	match          uint64        // newest index that is known to be on its disk
+	next           uint64        // first index that has not been sent to it
+	heartbeatRound uint64        // newest round that it has answered
+	lastContact    time.Duration // last answer, or the begin of the leadership
 	readySince     time.Duration // of a learner that has caught up; 0: it has not
-	syncTime       time.Duration // that a synced write takes there; 0: not known
-	stamp          *wire.Stamp   // the newest of its clock
-	stampAt        time.Duration // when that was received
+	syncTime       time.Duration // of a synced write there; 0: not known
+	stamp          *wire.Stamp   // the newest one of its clock
+	stampAt        time.Duration // receipt of stamp
 
-	snapshot        *wire.RaftSnapshot // under way to it; nil: none
-	snapshotRetryAt time.Duration      // a transfer is not begun before
+	snapshot        *wire.RaftSnapshot // being sent to it; nil: none
+	snapshotRetryAt time.Duration      // no transfer begins before
 }
 
-// Lag returns how many entries a member lacks, as far as it has said what it
-// has, and since when it has been silent; ok only on the leader.
+// Lag returns how many entries a member lacks (math.MaxUint64: not known yet) and the time since it last answered; ok
+// is false unless this member leads and the other is a member.
 func (n *Node) Lag(id uint64) (lag uint64, sinceContact time.Duration, ok bool) {
 	p := n.progress[id]
 	if n.state != stateLeader || p == nil {
@@ -35,7 +36,7 @@
 	return lag, n.now - p.lastContact, true
 }
 
-// resetProgress keeps a progress for each other member.
+// resetProgress keeps a progress for each other member of the newest membership.
 func (n *Node) resetProgress() {
 	for _, p := range n.Peers() {
 		if p.Id != n.id && n.progress[p.Id] == nil {
--- a/internal/controlplane/raft/propose.go
+++ b/internal/controlplane/raft/propose.go
@@ -1,7 +1,6 @@
 package raft
 
 import (
-	"errors"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -9,42 +8,42 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Propose adds a command to the log. It is committed once an entry with this
-// index and term is; another leader may replace it before.
+// Propose appends a command to the log. It is committed once an entry with this index and term is; another leader may
+// replace it before. The error is ErrNotLeader or ErrProposalDropped.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.now = now
 	if n.state != stateLeader {
 		return 0, 0, ErrNotLeader
 	}
-	if n.leadTransferee != 0 { // what is taken now would keep the transfer target from having all
+	if n.leadTransferee != noID { // the transferee has to catch up with the log
 		return 0, 0, ErrProposalDropped
 	}
-	if n.last()-n.committed > 4*maxEntries {
+	if n.last()-n.committed > maxUncommitted {
 		return 0, 0, ErrProposalDropped
 	}
 	e := &wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_COMMAND, Data: data}
 	n.append(e)
-	n.proposed = true // sent with all others that are proposed before the next output
+	n.proposed = true // the next Ready sends it, with all others that are proposed until then
 	return e.Index, e.Term, nil
 }
 
-// Propose proposes another set of members, which may differ by one voter.
+// ProposeMembership proposes another membership, which may differ by one voter (thesis, 4.1). The error is ErrNotLeader
+// or ErrMembershipChanging; any other says that the membership itself is no proper one.
 func (n *Node) ProposeMembership(now time.Duration, peers []*wire.Peer) error {
 	n.now = now
 	if n.state != stateLeader {
 		return ErrNotLeader
 	}
-	if n.leadTransferee != 0 {
+	if n.leadTransferee != noID {
 		return ErrMembershipChanging
 	}
-	// Without an entry of its own term, a leader may not know of a change that
-	// the one before it committed, and two changes from one set may share no
-	// majority.
-	if t, _ := n.term(n.committed); !n.MembershipCommitted() || t != n.hardState.Term {
+	// Before it has committed an entry of its own term, a leader may not know of a change that its predecessor has
+	// committed, and two changes of the same membership may have majorities without a common member.
+	if !n.MembershipCommitted() || !n.committedInTerm() {
 		return ErrMembershipChanging
 	}
 	if voterDistance(n.Peers(), peers) > 1 || len(peers) == 0 {
-		return errors.New("raft: more than one voter changes")
+		return errMoreThanOneVoter
 	}
 	data, err := proto.Marshal(&wire.Peers{Peers: peers})
 	if err != nil {
@@ -56,7 +55,7 @@
 	return nil
 }
 
-// voterDistance counts the voters that are in one set alone.
+// voterDistance counts the voters that are in one of two memberships only.
 func voterDistance(a, b []*wire.Peer) int {
 	diff := map[uint64]int{}
 	for _, p := range a {
@@ -69,11 +68,11 @@
 			diff[p.Id]--
 		}
 	}
-	n := 0
+	distance := 0
 	for _, d := range diff {
 		if d != 0 {
-			n++
+			distance++
 		}
 	}
-	return n
+	return distance
 }
--- a/internal/controlplane/raft/quorum.go
+++ b/internal/controlplane/raft/quorum.go
@@ -7,9 +7,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// electable tells whether this member votes, in the newest set of members or in one
-// that may yet turn out to be in force. One that has been voted out by an entry
-// which is not committed may hold what all others lack, and has to lead until it is
+// electable reports whether this member is a voter of the newest membership or of one that may yet turn out to be in
+// force. A member whose removal is not committed may have entries that all others lack, and has to lead until it is
 // (thesis, 4.2.2); its own vote does not count then.
 func (n *Node) electable() bool {
 	for i := len(n.memberships) - 1; i >= 0; i-- {
@@ -23,8 +22,8 @@
 	return false
 }
 
-// quorumValue returns the largest value that a majority of voters has reached; own
-// stands for this member.
+// quorumValue returns the largest value that a majority of the voters has reached, by their progress; own is this
+// member's.
 func (n *Node) quorumValue(own uint64, of func(*progress) uint64) uint64 {
 	var values []uint64
 	for _, p := range n.Peers() {
@@ -45,7 +44,7 @@
 	return values[len(values)/2]
 }
 
-// Voters counts the members that vote.
+// Voters counts the voters of a membership.
 func Voters(peers []*wire.Peer) (n int) {
 	for _, p := range peers {
 		if p.Voter {
@@ -55,10 +54,10 @@
 	return n
 }
 
-// WantedVoters is the number of voters that stay able to elect and commit over the loss of some, where as many seeds
-// are there at least.
+// WantedVoters is the number of voters that elect and commit in spite of so many tolerated losses, or the number of
+// seeds where there are fewer.
 func WantedVoters(tolerated, seeds int) int { return min(2*tolerated+1, seeds) }
 
-// MinAckVoters is the number of voters below which a leader must not acknowledge: a majority of as many is one more
-// than the losses to be borne. It is one below WantedVoters, for the moment of a replacement.
+// MinAckVoters is the number of voters below which a leader must not acknowledge: a majority of them is one more than
+// the tolerated losses. It is one below WantedVoters, for the moment between the two steps of a replacement.
 func MinAckVoters(tolerated, seeds int) int { return min(max(1, 2*tolerated), seeds) }
--- a/internal/controlplane/raft/read_only.go
+++ b/internal/controlplane/raft/read_only.go
@@ -1,20 +1,20 @@
 package raft
 
-import (
-	"time"
-)
+import "time"
 
-// ReadIndex is a read that has been confirmed, or refused.
+// ReadState is the outcome of a ReadIndex.
 type ReadState struct {
-	Token uint64
-	Index uint64 // to be applied before the answer
-	OK    bool
+	Token uint64 // as it was given to ReadIndex
+	Index uint64 // to be applied before the read is answered
+	OK    bool   // false: this member does not lead, or can't be sure of it; the read may be tried again
 }
 
+// pendingRead waits for a majority to answer a round of heartbeats that began after it.
 type pendingRead struct {
 	token, index, heartbeatRound uint64
 }
 
+// rejectPendingReads answers all reads that wait, at the end of the leadership.
 func (n *Node) rejectPendingReads() {
 	for _, r := range n.pendingReads {
 		n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: r.token})
@@ -22,8 +22,8 @@
 	n.pendingReads = nil
 }
 
-// ReadIndex asks for the place in the log that a read has to see. The answer comes
-// in an Output, once a majority has confirmed the lead after this call.
+// ReadIndex asks for the index that a linearizable read has to see (thesis, 6.4). The answer is a ReadState of a Ready,
+// once a majority has confirmed the leadership after this call.
 func (n *Node) ReadIndex(now time.Duration, token uint64) {
 	n.now = now
 	t, _ := n.term(n.committed)
@@ -31,7 +31,7 @@
 		n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: token})
 		return
 	}
-	if n.heartbeatUnsent { // its messages go out after this call
+	if n.heartbeatUnsent { // the round's messages are sent after this call, so it counts for the read
 		n.pendingReads = append(n.pendingReads, pendingRead{token, n.committed, n.heartbeatRound})
 		n.confirmContact()
 		return
@@ -40,7 +40,7 @@
 	n.broadcastHeartbeat()
 }
 
-// confirmContact confirms what the rounds answered by a majority prove.
+// confirmContact notes the newest round that a majority has answered, and answers the reads that it confirms.
 func (n *Node) confirmContact() {
 	round := n.quorumValue(n.heartbeatRound, func(p *progress) uint64 { return p.heartbeatRound })
 	if at, ok := n.roundStartedAt[round]; ok {
--- a/internal/controlplane/raft/reconcile.go
+++ b/internal/controlplane/raft/reconcile.go
@@ -7,12 +7,13 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Reconcile is the leader's upkeep of its members: it returns the next change towards a membership in which all voters
-// are there. Voters are removed by evidence alone, and learners that have caught up become voters. A silent voter goes
-// out first and its successor comes in by the very next change: with the silent one out the same voters are needed as
-// before, while a successor that came in first would be needed at once. What is half done is seen by the membership
-// alone, so that a new leader goes on with it without waiting. wanted is the number of voters that the losses to be
-// borne ask for. See docs/decisions/0001-membership-changes.md.
+// Reconcile returns the next change by which a leader brings the membership towards one of responsive voters, so many as
+// WantedVoters asks for. Voters are removed on evidence alone, and learners that have caught up are promoted.
+//
+// An unresponsive voter is removed first and its replacement promoted by the very next change: without the unresponsive
+// one, the same voters make a majority as before, while a replacement that came first would be needed for it at once.
+// The membership alone shows what is half done, so a new leader goes on with it without a wait. See
+// docs/decisions/0001-membership-changes.md.
 func (n *Node) Reconcile(wanted int) MembershipChange {
 	if n.state != stateLeader || !n.MembershipCommitted() {
 		return MembershipChange{}
@@ -26,7 +27,7 @@
 	return MembershipChange{}
 }
 
-// nextRemoval removes a voter for which there is evidence, as soon as the others can spare it.
+// nextRemoval removes a voter against which there is evidence, as soon as the others can spare it.
 func (n *Node) nextRemoval(wanted int) MembershipChange {
 	peers := n.Peers()
 	successor := n.readyLearner() >= 0
@@ -43,7 +44,7 @@
 	return MembershipChange{}
 }
 
-// removalReason returns the evidence against a voter; successor tells that a learner is ready.
+// removalReason returns the evidence against a voter; successor says that a learner is ready to replace it.
 func (n *Node) removalReason(index int, successor bool) RemovalReason {
 	p := n.Peers()[index]
 	switch {
@@ -57,15 +58,14 @@
 	return ReasonNone
 }
 
-// superseded tells whether a member that came later has a member's address: the disk that the identity stood for is
-// gone.
+// superseded reports whether a later member has a member's address: the disk with the member's identity is lost.
 func superseded(p *wire.Peer, peers []*wire.Peer) bool {
 	later := peers[peerIndex(peers, p.Id)+1:]
 	return p.Address != "" && slices.ContainsFunc(later, func(q *wire.Peer) bool { return q.Address == p.Address })
 }
 
-// nextPromotion makes a learner that has caught up a voter. Where enough voters are there and one of them is neither in
-// contact nor silent, it waits: the learner may be its successor.
+// nextPromotion promotes a learner that has caught up. If there are enough voters and one of them is neither in contact
+// nor unresponsive, it waits: the learner may have to replace that one.
 func (n *Node) nextPromotion(wanted int) MembershipChange {
 	peers := n.Peers()
 	i := n.readyLearner()
@@ -81,7 +81,7 @@
 	return MembershipChange{Next: next, Peer: p, Event: MemberPromoted}
 }
 
-// readyLearner returns the place of a learner that may become a voter; -1: there is none.
+// readyLearner returns the index of a learner that may be promoted; -1: there is none.
 func (n *Node) readyLearner() int {
 	peers := n.Peers()
 	return slices.IndexFunc(peers, func(p *wire.Peer) bool {
@@ -89,7 +89,7 @@
 	})
 }
 
-// ready tells whether a learner is in contact and has caught up, and notes since when.
+// ready reports whether a learner is in contact and has caught up, and notes since when.
 func (n *Node) ready(id uint64) bool {
 	p := n.progress[id]
 	if p == nil {
@@ -106,7 +106,7 @@
 	return true
 }
 
-// longestUnresponsive returns the place of the voter that has been silent for longest; -1: none is silent.
+// longestUnresponsive returns the index of the voter that has been unresponsive for longest; -1: none is.
 func (n *Node) longestUnresponsive() int {
 	longestIndex, longest := -1, time.Duration(0)
 	for i, p := range n.Peers() {
@@ -117,15 +117,15 @@
 	return longestIndex
 }
 
-// anyUndecided tells whether a voter is neither in contact nor silent, so that it will be known in a moment which of the two.
+// anyUndecided reports whether a voter is neither in contact nor unresponsive: which of the two shows in a moment.
 func (n *Node) anyUndecided() bool {
 	return slices.ContainsFunc(n.Peers(), func(p *wire.Peer) bool {
 		return p.Voter && !n.inContact(p.Id) && n.unresponsiveFor(p.Id) == 0
 	})
 }
 
-// nextLearnerRemoval forgets a learner whose disk is gone or that has been silent for long. If it comes back, it joins
-// again.
+// nextLearnerRemoval removes a learner that has left, whose disk is lost or that has been unresponsive for long. If it
+// comes back, it joins again.
 func (n *Node) nextLearnerRemoval(int) MembershipChange {
 	peers := n.Peers()
 	for i, p := range peers {
@@ -146,18 +146,19 @@
 	return MembershipChange{}
 }
 
-// mayRemove is the rule for every removal of a voter: never with less to spare than before or without a majority that is
-// in contact, and not below the wanted number, unless a learner is ready to come in by the very next change.
+// mayRemove is the rule for every removal of a voter: never below the wanted number, unless a learner is ready to be
+// promoted by the very next change; never without a majority in contact; and never with fewer voters to spare than
+// before.
 func (n *Node) mayRemove(next []*wire.Peer, wanted int, successor bool) bool {
 	if successor {
 		wanted--
 	}
-	commits := n.sparedVoters(next, true) >= 0 // those that are about to end still do their part
+	commits := n.sparedVoters(next, true) >= 0 // members that are leaving still take part
 	return Voters(next) >= wanted && commits && n.sparedVoters(next, false) >= n.sparedVoters(n.Peers(), false)
 }
 
-// sparedVoters is the number of voters in contact beyond a majority: how many of them may be lost, with elections and commits
-// going on. It is negative where no majority is in contact. Those that are about to end may be left out.
+// sparedVoters is the number of voters in contact beyond a majority: how many of them may be lost while elections and
+// commits go on. It is negative without a majority in contact. Members that are leaving count only if asked for.
 func (n *Node) sparedVoters(peers []*wire.Peer, departing bool) int {
 	live := 0
 	for _, p := range peers {
@@ -168,8 +169,8 @@
 	return live - (Voters(peers)/2 + 1)
 }
 
-// catchUp holds two samples of the last index of the leader's log, by which Reconcile sees that a learner is no more
-// than some heartbeats behind, although new entries come all the time.
+// catchUp has two samples of the leader's last index, by which Reconcile sees that a learner lags by no more than some
+// heartbeats, although new entries are proposed all the time (thesis, 4.2.1: rounds of replication).
 type catchUp struct {
 	sampledAt time.Duration
 	sampled   uint64 // last index at sampledAt
--- a/internal/controlplane/raft/replication.go
+++ b/internal/controlplane/raft/replication.go
@@ -1,26 +1,28 @@
 package raft
 
-import (
-	"ivydeck/internal/transport/wire"
-)
+import "ivydeck/internal/transport/wire"
 
-// broadcastHeartbeat begins a round of contact with all others.
+// maxRoundsTracked is how many rounds of heartbeats may be unanswered by a majority and still count when they are.
+const maxRoundsTracked = 64
+
+// broadcastHeartbeat begins a round of heartbeats to all other members.
 func (n *Node) broadcastHeartbeat() {
 	n.heartbeatRound++
 	n.heartbeatUnsent = true
 	n.roundStartedAt[n.heartbeatRound] = n.now
-	delete(n.roundStartedAt, n.heartbeatRound-64)
+	delete(n.roundStartedAt, n.heartbeatRound-maxRoundsTracked)
 	n.heartbeatAt = n.now + Heartbeat
-	for _, p := range n.Peers() { // in the log's order, so that runs repeat
+	for _, p := range n.Peers() { // in the order of the log, so that simulations repeat
 		if p.Id != n.id {
 			n.maybeEndSnapshot(n.progress[p.Id])
 			n.replicate(p.Id, true)
 		}
 	}
-	n.confirmContact() // alone, it is its own majority
+	n.confirmContact() // a single voter is its own majority
 }
 
-// replicate sends a member what it lacks, or with heartbeat a sign of life at least.
+// replicate sends a member the entries that follow the last ones sent, or nothing; with heartbeat, an empty message at
+// least.
 func (n *Node) replicate(id uint64, heartbeat bool) {
 	p := n.progress[id]
 	if p == nil {
@@ -31,7 +33,10 @@
 		n.sendSnapshot(id, p, heartbeat)
 		return
 	}
-	m := &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: p.next - 1, LogTerm: prev, Commit: n.committed, HeartbeatRound: n.heartbeatRound}
+	m := &wire.RaftMessage{
+		Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: p.next - 1, LogTerm: prev,
+		Commit: n.committed, HeartbeatRound: n.heartbeatRound,
+	}
 	bytes := 0
 	for i := p.next; i <= n.last() && len(m.Entries) < n.maxBatchEntries && bytes < maxBytes; i++ {
 		e := n.entries[i-n.first()]
@@ -41,27 +46,28 @@
 	if len(m.Entries) == 0 && !heartbeat {
 		return
 	}
-	p.next += uint64(len(m.Entries)) // what gets lost shows in the next round
+	p.next += uint64(len(m.Entries)) // optimistic: a lost message shows by the rejection of the next one
 	n.send(m)
 }
 
-// handleRejection goes back to where a member's log may join, over whole terms that only one of the two has. Entry by entry, a log
-// that differs in more of them than rounds go between two heartbeats would never join: each heartbeat asks for the end.
+// handleRejection goes back to where a member's log may match, over whole terms that only one of the two has. Entry by
+// entry, a log with more conflicts than round trips fit between two heartbeats would never match, since each heartbeat
+// begins at the end again.
 func (n *Node) handleRejection(p *progress, m *wire.RaftMessage) {
 	hint := m.Index
 	for t, ok := n.term(hint); ok && 0 < m.LogTerm && m.LogTerm < t; t, ok = n.term(hint) {
 		hint--
 	}
-	// It may have come by a snapshot to where the log leads on.
+	// By a snapshot, the member may be at a position from which the log leads on.
 	joins := p.next <= n.base.index && hint == m.Index && m.LogTerm > 0 && hint >= n.base.index
 	if hint >= p.next-1 && !joins {
-		return // to an earlier message
+		return // a rejection of an earlier message
 	}
 	p.next = max(hint, p.match) + 1
 	n.replicate(m.From, false)
 }
 
-// replicateAll sends all members what they lack and have not been sent.
+// replicateAll sends all members the entries that have not been sent to them.
 func (n *Node) replicateAll() {
 	for _, p := range n.Peers() {
 		if p.Id != n.id {
@@ -70,7 +76,7 @@
 	}
 }
 
-// replicateRest sends a member all that it lacks and has not been sent, in as many messages as that takes.
+// replicateRest sends a member all entries that have not been sent to it, in as many messages as that takes.
 func (n *Node) replicateRest(id uint64) {
 	p := n.progress[id]
 	for p != nil && p.next <= n.last() {
--- a/internal/controlplane/raft/sim_clients_test.go
+++ b/internal/controlplane/raft/sim_clients_test.go
@@ -218,7 +218,7 @@
 	return list, answered
 }
 
-// answeredSince tells whether a call that began after a time was answered.
+// answeredSince reports whether a call that began after a time was answered.
 func (c *clients) answeredSince(from time.Duration) bool {
 	for _, o := range c.history {
 		if o.ret >= 0 && o.call > from {
--- a/internal/controlplane/raft/snapshot.go
+++ b/internal/controlplane/raft/snapshot.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	snapshotTimeout    = time.Second            // without progress, after which a transfer is begun again
-	snapshotRetryPause = 250 * time.Millisecond // after one that failed
-	catchUpTimeout     = 10 * time.Second       // of a member, after which nothing is kept for it
+	snapshotTimeout    = time.Second            // a transfer without progress for so long is begun again
+	snapshotRetryPause = 250 * time.Millisecond // after a failed transfer
+	catchUpTimeout     = 10 * time.Second       // no entries are kept for a member without contact for so long
 )
 
 // SnapshotEvent is what the driver reports of a snapshot's transfer.
 type SnapshotEvent int
 
-// The events of a transfer. One that fails is resumed later, with the same snapshot as long as the log leads on from it.
+// The events of a transfer. A failed one is resumed later, with the same snapshot as long as the log leads on from it.
 const (
 	SnapshotProgress SnapshotEvent = iota + 1
 	SnapshotFinished
 	SnapshotFailed
 )
 
-// ReportSnapshot takes an event of the transfer of a snapshot to a member. The message that begins a transfer is a SNAPSHOT
-// in an Output; a driver that reports nothing gets it again after a second.
+// ReportSnapshot takes an event of the transfer of the snapshot with an index to a member. A transfer begins with an
+// INSTALL_SNAPSHOT message in a Ready; a driver that reports nothing gets the message again after a second.
 func (n *Node) ReportSnapshot(now time.Duration, to, index uint64, event SnapshotEvent) {
 	n.now = now
 	p := n.progress[to]
@@ -37,21 +37,22 @@
 		p.snapshotRetryAt = now + snapshotRetryPause
 	case SnapshotFinished:
 		p.snapshotRetryAt = now + snapshotTimeout
-		if index >= n.base.index { // it counts once the member's own log says so
+		if index >= n.base.index { // match follows with the member's own answer
 			p.next = max(p.next, index+1)
 			n.replicate(to, true)
 		}
 	}
 }
 
-// InstallSnapshot takes a snapshot that has come in full by a transfer. What it holds was committed, whoever leads by now, so that
-// no term is needed with it.
+// InstallSnapshot takes a snapshot that the driver has received completely. Its state was committed, whoever leads by
+// now, so no term comes with it.
 func (n *Node) InstallSnapshot(now time.Duration, s *wire.RaftSnapshot) {
 	n.now = now
 	n.restore(s)
 }
 
-// SnapshotInTransfer tells which snapshot is under way to a member, or has come and is not yet known to count; 0: none.
+// SnapshotInTransfer returns the index of the snapshot that is being sent to a member, or that the member has not yet
+// confirmed; 0: none.
 func (n *Node) SnapshotInTransfer(id uint64) (index uint64) {
 	if p := n.progress[id]; p != nil {
 		return p.snapshot.GetIndex()
@@ -59,13 +60,17 @@
 	return 0
 }
 
-// snapshot begins or resumes the transfer of a snapshot to a member whose next entry the log no longer holds, or, while one
-// is under way or the member is silent, sends it a heartbeat alone. A newer snapshot takes the place of the one under way only where the log does not lead on from
-// that: a member that gets changes slower than they come would else never see the end of one.
+// sendSnapshot begins or resumes the transfer of a snapshot to a member whose next entry the log no longer has. While
+// one is in progress, or the member is unresponsive, it sends a heartbeat alone. A newer snapshot replaces the one in
+// progress only if the log does not lead on from that: a member that is slower than the changes would else never
+// receive a complete one.
 func (n *Node) sendSnapshot(id uint64, p *progress, heartbeat bool) {
 	if n.now < p.snapshotRetryAt || n.now-p.lastContact >= snapshotTimeout {
 		if heartbeat {
-			n.send(&wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: n.snapshot.Index, LogTerm: n.snapshot.Term, HeartbeatRound: n.heartbeatRound, Commit: n.committed})
+			n.send(&wire.RaftMessage{
+				Kind: wire.RaftMessage_APPEND_ENTRIES, To: id, Index: n.snapshot.Index, LogTerm: n.snapshot.Term,
+				HeartbeatRound: n.heartbeatRound, Commit: n.committed,
+			})
 		}
 		return
 	}
@@ -73,10 +78,13 @@
 		p.snapshot = n.snapshot
 	}
 	p.snapshotRetryAt = n.now + snapshotTimeout
-	n.send(&wire.RaftMessage{Kind: wire.RaftMessage_INSTALL_SNAPSHOT, To: id, Snapshot: p.snapshot, HeartbeatRound: n.heartbeatRound, Commit: n.committed})
+	n.send(&wire.RaftMessage{
+		Kind: wire.RaftMessage_INSTALL_SNAPSHOT, To: id, Snapshot: p.snapshot,
+		HeartbeatRound: n.heartbeatRound, Commit: n.committed,
+	})
 }
 
-// maybeEndSnapshot forgets a transfer that has reached its member, or whose member is gone.
+// maybeEndSnapshot forgets a transfer that its member has confirmed, or whose member has been without contact for long.
 func (n *Node) maybeEndSnapshot(p *progress) {
 	if p != nil && p.snapshot != nil && (p.match >= p.snapshot.Index || n.now-p.lastContact > catchUpTimeout) {
 		p.snapshot = nil
--- a/internal/controlplane/server/snapshots.go
+++ b/internal/controlplane/server/snapshots.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// wanted tells whether an offered snapshot is ahead of what is here.
+// wanted reports whether an offered snapshot is ahead of what is here.
 func (n *Node) wanted(offer *wire.SnapshotOffer) (bool, error) {
 	switch {
 	case offer.To != n.store.ID:
--- a/internal/controlplane/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -49,7 +49,7 @@
 	return c
 }
 
-// heldBy tells whether a store holds this content, with the tail in front of it if there is one.
+// heldBy reports whether a store holds this content, with the tail in front of it if there is one.
 func (c content) heldBy(s *store.Store) error {
 	if !proto.Equal(s.Hard, c.hard) && (s.Hard != nil || c.hard != nil) {
 		return fmt.Errorf("the vote is %v, not %v", s.Hard, c.hard)
--- a/internal/dataplane/entry/cluster.go
+++ b/internal/dataplane/entry/cluster.go
@@ -84,7 +84,7 @@
 	b.cluster.Servers = edit.Map()
 }
 
-// isMember tells whether a machine was among the members last.
+// isMember reports whether a machine was among the members last.
 func (b *ClusterStateBuilder) isMember(node string) bool {
 	_, found := slices.BinarySearchFunc(b.members, node, func(m *wire.Member, name string) int { return strings.Compare(m.Name, name) })
 	return found
--- a/internal/dataplane/entry/request.go
+++ b/internal/dataplane/entry/request.go
@@ -109,7 +109,7 @@
 	Wait   time.Duration
 }
 
-// Once tells whether it may run once only.
+// Once reports whether it may run once only.
 func (r *Request) Once() bool { return r.Route.Kind != meshconfig.Repeatable }
 
 // Usual is the usual time of its route's runs; 0: not known.
@@ -292,7 +292,7 @@
 	return s.gate.RetryAfter(e.Route.Aim(), (e.Until-now)/heeded, odds)
 }
 
-// mayRepeat tells whether the request may reach one more server, and pays for it.
+// mayRepeat reports whether the request may reach one more server, and pays for it.
 // Where a gate has begun to refuse its like, its service's or that of one behind,
 // repeats would only add to the load.
 func (r *Request) mayRepeat(now time.Duration) bool {
--- a/internal/dataplane/entry/update.go
+++ b/internal/dataplane/entry/update.go
@@ -115,7 +115,7 @@
 	return newLevels
 }
 
-// sameBackends tells whether two lists have the same services, in their order.
+// sameBackends reports whether two lists have the same services, in their order.
 func sameBackends(a, b []meshconfig.Backend) bool {
 	return slices.EqualFunc(a, b, func(x, y meshconfig.Backend) bool { return x.Name == y.Name })
 }
--- a/internal/dataplane/health/health.go
+++ b/internal/dataplane/health/health.go
@@ -169,7 +169,7 @@
 	return Healthy
 }
 
-// Hangs tells whether the server has stopped answering.
+// Hangs reports whether the server has stopped answering.
 func (s *Server) Hangs(now time.Duration) bool {
 	return len(s.running) >= stallCalls && now-max(s.answered, s.many) > stallAfter
 }
@@ -279,7 +279,7 @@
 	}
 }
 
-// takes tells whether a request may go; of those to a server that is ejected, a few are probes.
+// takes reports whether a request may go; of those to a server that is ejected, a few are probes.
 func (r *record) takes(now time.Duration, c Call) bool {
 	if r == nil || !r.ejected {
 		return true
--- a/internal/dataplane/http1/head.go
+++ b/internal/dataplane/http1/head.go
@@ -137,7 +137,7 @@
 	return length, lengths == 1, nil
 }
 
-// hasToken tells whether a list header names an option.
+// hasToken reports whether a list header names an option.
 func hasToken(h Headers, name, option string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
--- a/internal/dataplane/http1/http1.go
+++ b/internal/dataplane/http1/http1.go
@@ -193,5 +193,5 @@
 	}
 }
 
-// SameName tells whether two names are of the same field.
+// SameName reports whether two names are of the same field.
 func SameName(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
--- a/internal/dataplane/http1/write.go
+++ b/internal/dataplane/http1/write.go
@@ -11,7 +11,7 @@
 	"proxy-connection", "proxy-authenticate", "proxy-authorization",
 }
 
-// isOneOf tells whether a field's name is in a list.
+// isOneOf reports whether a field's name is in a list.
 func isOneOf(name string, list []string) bool {
 	for _, l := range list {
 		if SameName(l, name) {
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -21,7 +21,7 @@
 	failed bool // a call that it made
 }
 
-// Graph tells whether a request with this Attempt-Id is a call that a run on this
+// Graph reports whether a request with this Attempt-Id is a call that a run on this
 // machine makes, and whether that run is a repeat; the call is booked for the
 // run. Servers give their calls ids that begin with the id of the run; whoever
 // can name a run that is in flight here has been admitted with it. One who makes
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -218,7 +218,7 @@
 	return in.admission.Busy()
 }
 
-// Graph tells whether a request is a call of a run in flight here; see admission.
+// Graph reports whether a request is a call of a run in flight here; see admission.
 func (in *Inbound) Graph(attempt, service string) (inner, repeat bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/dataplane/proxy/schedule_test.go
+++ b/internal/dataplane/proxy/schedule_test.go
@@ -129,7 +129,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nServer-Seal: s\r\nAttempt-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// wants tells whether an outcome is true of what the server did.
+// wants reports whether an outcome is true of what the server did.
 func (do behaviour) wants(id string, out *wire.ForwardResponse) bool {
 	switch do {
 	case cutInHead, cutInBody, silentEnd, otherPromise, otherCloses:
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -65,7 +65,7 @@
 	return list
 }
 
-// Drawn tells whether a request is among a part of all. Every node draws the same
+// Drawn reports whether a request is among a part of all. Every node draws the same
 // ones, so that what one logs of a request another does as well; the calls of a
 // request are drawn with it.
 func Drawn(attempt string, part float64) bool {
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -77,7 +77,7 @@
 // Began is when the agent was made.
 func (a *Agent) Began() time.Time { return a.began }
 
-// Ready tells whether what is known here is as new as what was acknowledged before the start.
+// Ready reports whether what is known here is as new as what was acknowledged before the start.
 func (a *Agent) Ready() bool { return a.ready.Load() }
 
 // seeds are the internal addresses of the seeds.
--- a/internal/distribution/relay/age.go
+++ b/internal/distribution/relay/age.go
@@ -34,7 +34,7 @@
 	return s.AskedAt + offset - drift
 }
 
-// Outdated tells whether the subscription is to be renewed because it no longer relates the two clocks well.
+// Outdated reports whether the subscription is to be renewed because it no longer relates the two clocks well.
 func (s Subscription) Outdated(now time.Duration, f *wire.Feed) bool {
 	lasted := now - s.AskedAt
 	transit := now - s.ContactAt(now, f) - time.Duration(f.AgeMs)*time.Millisecond
--- a/internal/distribution/relay/failure_search_test.go
+++ b/internal/distribution/relay/failure_search_test.go
@@ -67,7 +67,7 @@
 	return up
 }
 
-// downWithin tells whether a parent is down at some moment of a span.
+// downWithin reports whether a parent is down at some moment of a span.
 func (p drawnParent) downWithin(from, to time.Duration) bool {
 	if !p.up(from) {
 		return true
--- a/internal/distribution/relay/selector.go
+++ b/internal/distribution/relay/selector.go
@@ -55,7 +55,7 @@
 	return Continue
 }
 
-// ShouldMove tells whether the node's place is elsewhere by now.
+// ShouldMove reports whether the node's place is elsewhere by now.
 func (s *Selector) ShouldMove(now time.Duration, parents []string) bool {
 	if !s.best {
 		return now-s.began > substitute
--- a/internal/simulation/lab/engine.go
+++ b/internal/simulation/lab/engine.go
@@ -85,7 +85,7 @@
 	cuts map[[2]string]bool // zones between which nothing passes
 }
 
-// reaches tells whether messages pass.
+// reaches reports whether messages pass.
 func (n *network) reaches(a, b *machine) bool {
 	return a == b || !a.cut && !b.cut && !n.cuts[[2]string{a.zone, b.zone}]
 }
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -112,7 +112,7 @@
 	greySlow = 5
 )
 
-// ill tells whether a request from a zone meets a grey server's bad side.
+// ill reports whether a request from a zone meets a grey server's bad side.
 func (v *server) ill(zone string) bool {
 	return v.grey.Kind != "" && (v.grey.From == "" || v.grey.From == zone) && v.s.rng.Float64() < v.grey.Factor
 }
--- a/internal/simulation/lab/troubles.go
+++ b/internal/simulation/lab/troubles.go
@@ -224,7 +224,7 @@
 	return t, true
 }
 
-// whole tells whether all quorum members are voters that have all that was taken.
+// whole reports whether all quorum members are voters that have all that was taken.
 func (s *sim) whole() bool {
 	newest := uint64(0)
 	for _, c := range s.cores {
--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -137,7 +137,7 @@
 	return list
 }
 
-// mayLoseDisk tells whether the loss of a disk is the one that is to be borne: all members are there, under their first
+// mayLoseDisk reports whether the loss of a disk is the one that is to be borne: all members are there, under their first
 // identities, and vote.
 func (s *state) mayLoseDisk() bool {
 	for _, m := range s.members {
--- a/internal/simulation/modelcheck/search.go
+++ b/internal/simulation/modelcheck/search.go
@@ -35,7 +35,7 @@
 	result    Result
 }
 
-// full tells whether as many states have been met as are wanted.
+// full reports whether as many states have been met as are wanted.
 func (q *searcher) full() bool { return q.maxStates > 0 && len(q.seen) >= q.maxStates }
 
 // reached is a state of the level that is searched, with its place among the visits.
--- a/internal/simulation/modelcheck/state.go
+++ b/internal/simulation/modelcheck/state.go
@@ -102,7 +102,7 @@
 	return &c
 }
 
-// holds tells whether the member's disk has the entry of an index and term, or a snapshot past it.
+// holds reports whether the member's disk has the entry of an index and term, or a snapshot past it.
 func (m *member) holds(index, term uint64) bool {
 	if index <= m.snapshot.GetIndex() {
 		return true
@@ -119,7 +119,7 @@
 	return m.snapshot.GetIndex(), m.snapshot.GetTerm()
 }
 
-// leads tells whether the member runs and believes that it leads.
+// leads reports whether the member runs and believes that it leads.
 func (m *member) leads() bool { return m.node != nil && m.node.IsLeader() }
 
 // current returns the member that has an identity now; ok is false where its disk is lost.
@@ -139,7 +139,7 @@
 	return s.history
 }
 
-// withinBounds tells whether no member has passed the newest term.
+// withinBounds reports whether no member has passed the newest term.
 func (s *state) withinBounds() bool {
 	for _, m := range s.members {
 		if m.node != nil && m.node.Term() > s.left.Terms {
--- a/internal/simulation/mutation/run.go
+++ b/internal/simulation/mutation/run.go
@@ -49,10 +49,10 @@
 	searches []string // names of the tests that are searches
 }
 
-// Found tells whether any check has found the bug.
+// Found reports whether any check has found the bug.
 func (r Row) Found() bool { return r.Searched() || r.Tests != "" }
 
-// Searched tells whether a search or a simulated run has found the bug, and not only a case made by hand.
+// Searched reports whether a search or a simulated run has found the bug, and not only a case made by hand.
 func (r Row) Searched() bool { return r.Model+r.Simulation+r.Lab+r.Searches != "" }
 
 // Header is the head of a table of rows.
--- a/internal/simulation/scale/network.go
+++ b/internal/simulation/scale/network.go
@@ -49,7 +49,7 @@
 	return n.region(machine)
 }
 
-// parts tells whether two regions are cut off from each other.
+// parts reports whether two regions are cut off from each other.
 func (n *network) parts(from, to int) bool {
 	cut := int(n.cut.Load())
 	return cut >= 0 && (from == cut) != (to == cut)
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -151,7 +151,7 @@
 	return Peer{c}, nil
 }
 
-// Up tells whether there is a connection to an address.
+// Up reports whether there is a connection to an address.
 func (p *Pool) Up(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +159,7 @@
 	return d != nil && d.up()
 }
 
-// up tells whether the connection stands.
+// up reports whether the connection stands.
 func (d *dialed) up() bool {
 	select {
 	case <-d.ready:
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -387,7 +387,7 @@
 
 func (e *PeerError) Error() string { return "the peer says: " + e.Text }
 
-// IsPeer tells whether an error is the peer's own word, rather than the lack of one.
+// IsPeer reports whether an error is the peer's own word, rather than the lack of one.
 func IsPeer(err error) bool {
 	var p *PeerError
 	return errors.As(err, &p)
--- a/internal/transport/rpc/watch.go
+++ b/internal/transport/rpc/watch.go
@@ -105,7 +105,7 @@
 	return busy
 }
 
-// fresh tells whether the peer has given a sign of life within the last moments.
+// fresh reports whether the peer has given a sign of life within the last moments.
 func (c *conn) fresh() bool { return steadyMs()-c.heard.Load() < freshFor.Milliseconds() }
 
 // pulse decides on a connection from which nothing has come for quiet, with a ping that has been without an answer
--- a/internal/transport/sock/sock.go
+++ b/internal/transport/sock/sock.go
@@ -29,7 +29,7 @@
 	return l
 }
 
-// Quiet tells whether an idle connection has nothing to read, not even its end.
+// Quiet reports whether an idle connection has nothing to read, not even its end.
 // Its read deadline must not be past.
 func (l *Look) Quiet() bool {
 	l.quiet = false
