--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -30,8 +30,8 @@
 		return errors.Join(append(errs, enc.Encode(all))...)
 	}
 	for _, s := range all {
-		fmt.Printf("%s: leads %v, leader %s, term %d, committed %d, revision %d\n", s.Node, s.Leads, s.Leader, s.Term, s.Commit, s.Revision)
-		if !s.Leads {
+		fmt.Printf("%s: leads %v, leader %s, term %d, committed %d, revision %d\n", s.Node, s.IsLeader, s.Leader, s.Term, s.Commit, s.Revision)
+		if !s.IsLeader {
 			continue
 		}
 		for _, m := range s.Members {
@@ -52,7 +52,7 @@
 	}
 	all, errs := core.Status(ctx)
 	for _, s := range all {
-		if s.Leads {
+		if s.IsLeader {
 			return s, nil
 		}
 	}
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	list := slices.DeleteFunc(s.Servers, func(v server.Server) bool { return c.Service != "" && v.Service != c.Service })
+	list := slices.DeleteFunc(s.Servers, func(v server.RegisteredServer) bool { return c.Service != "" && v.Service != c.Service })
 	return table(c.Output, list, "server\tservice\tnode\tzone\tslots\tdraining", func(w io.Writer) {
 		for _, v := range list {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%v\n", v.Member, v.Service, v.Node, v.Zone, v.Slots, v.Draining)
@@ -123,8 +123,8 @@
 	if err != nil {
 		return err
 	}
-	if t.Silent > 0 {
-		fmt.Fprintf(os.Stderr, "%d of %d nodes did not answer\n", t.Silent, t.Asked)
+	if t.Unresponsive > 0 {
+		fmt.Fprintf(os.Stderr, "%d of %d nodes did not answer\n", t.Unresponsive, t.Queried)
 	}
 	if len(t.Parts) == 0 {
 		return fmt.Errorf("no node has kept anything of %s; trace.keep in their settings says how much they keep", c.Attempt)
@@ -132,11 +132,11 @@
 	first := t.Parts[0].AgoMs
 	return table(c.Output, t, "at ms\ttook ms\tnode\tattempt\twhat\tstatus\twhy", func(w io.Writer) {
 		for _, p := range t.Parts {
-			what := fmt.Sprintf("enters %s for %s, %d servers", p.Route, p.Service, p.Tries)
+			what := fmt.Sprintf("enters %s for %s, %d servers", p.Route, p.Service, p.Attempts)
 			if !p.Entry {
 				what = fmt.Sprintf("runs at %s of %s", p.Server, p.Service)
 			}
-			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%d\t%s\n", first-p.AgoMs, p.TookMs, p.Node, p.Attempt, what, p.Status, p.Why)
+			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%d\t%s\n", first-p.AgoMs, p.TookMs, p.Node, p.Attempt, what, p.Status, p.Reason)
 		}
 	})
 }
--- a/cmd/ivydeckctl/top.go
+++ b/cmd/ivydeckctl/top.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	var before server.Look
+	var before server.NodeReports
 	var at time.Time
 	for i := 0; c.Times == 0 || i < c.Times; i++ {
 		if i > 0 {
@@ -61,16 +61,16 @@
 
 // rates are a node's answers in a second, since the look before or its start.
 type rates struct {
-	server.NodeLook
+	server.NodeReport
 	served, refused, failed float64
 }
 
-func since(before server.Look, now server.NodeLook, passed time.Duration) rates {
-	r := rates{NodeLook: now}
+func since(before server.NodeReports, now server.NodeReport, passed time.Duration) rates {
+	r := rates{NodeReport: now}
 	up := time.Duration(now.UpMs) * time.Millisecond
-	var old server.NodeLook
+	var old server.NodeReport
 	// One that has started anew since then counts from its start.
-	if i := slices.IndexFunc(before.Nodes, func(n server.NodeLook) bool { return n.Node == now.Node }); i >= 0 && up >= passed && before.Nodes[i].UpMs <= now.UpMs {
+	if i := slices.IndexFunc(before.Nodes, func(n server.NodeReport) bool { return n.Node == now.Node }); i >= 0 && up >= passed && before.Nodes[i].UpMs <= now.UpMs {
 		old = before.Nodes[i]
 	} else {
 		passed = up
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (c *topCmd) show(out io.Writer, before, now server.Look, passed time.Duration) {
+func (c *topCmd) show(out io.Writer, before, now server.NodeReports, passed time.Duration) {
 	var nodes []rates
 	var served, refused, failed float64
 	type sum struct {
@@ -97,7 +97,7 @@
 	}
 	type ill struct {
 		node string
-		server.ServerLook
+		server.ServerReport
 	}
 	var servers []ill
 	for _, n := range now.Nodes {
@@ -106,15 +106,15 @@
 		served, refused, failed = served+r.served, refused+r.refused, failed+r.failed
 		for _, s := range n.Services {
 			v := service(s.Service)
-			v.r, v.left, v.seen = v.r+s.R, v.left+s.Left, v.seen+1
-			for _, chance := range s.Chances {
+			v.r, v.left, v.seen = v.r+s.NormalizedLatency, v.left+s.RetryBudgetLeft, v.seen+1
+			for _, chance := range s.AdmissionProbabilities {
 				v.least = min(v.least, chance)
 			}
 		}
 		for _, s := range n.Servers {
 			v := service(s.Service)
-			v.running, v.waiting, v.slots, v.servers = v.running+s.Running, v.waiting+s.Waiting, v.slots+s.Slots, v.servers+1
-			if len(s.Out) > 0 {
+			v.running, v.waiting, v.slots, v.servers = v.running+s.Running, v.waiting+s.Queued, v.slots+s.Slots, v.servers+1
+			if len(s.EjectedZones) > 0 {
 				v.out++
 			}
 			if s.Draining {
@@ -124,7 +124,7 @@
 		}
 	}
 	fmt.Fprintf(out, "%s  %d nodes (%d silent): %.1f served, %.1f refused, %.1f failed a second\n",
-		time.Now().Format(time.TimeOnly), now.Asked, now.Silent, served, refused, failed)
+		time.Now().Format(time.TimeOnly), now.Queried, now.Unresponsive, served, refused, failed)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "service\tservers\tout\tdraining\trunning\twaiting\tslots\tmean r\tleast chance\trepeats left")
 	names := make([]string, 0, len(services))
@@ -146,16 +146,16 @@
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\t%d\t%d\t%d\n", r.Node, r.Zone, r.served, r.refused, r.failed, r.Pending, r.UpdateIndex, r.UpdateAgeMs)
 	}
 	w.Flush()
-	servers = slices.DeleteFunc(servers, func(s ill) bool { return len(s.Out) == 0 && s.Waiting == 0 && !s.Draining })
+	servers = slices.DeleteFunc(servers, func(s ill) bool { return len(s.EjectedZones) == 0 && s.Queued == 0 && !s.Draining })
 	slices.SortStableFunc(servers, func(a, b ill) int {
-		return cmp.Or(cmp.Compare(len(b.Out), len(a.Out)), cmp.Compare(b.Waiting, a.Waiting))
+		return cmp.Or(cmp.Compare(len(b.EjectedZones), len(a.EjectedZones)), cmp.Compare(b.Queued, a.Queued))
 	})
 	if len(servers) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "server\tof\tnode\trunning\twaiting\tslots\tout for\tdraining")
 	for _, s := range servers[:min(len(servers), c.Rows)] {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%v\n", s.Server, s.Service, s.node, s.Running, s.Waiting, s.Slots, strings.Join(s.Out, " "), s.Draining)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%v\n", s.Server, s.Service, s.node, s.Running, s.Queued, s.Slots, strings.Join(s.EjectedZones, " "), s.Draining)
 	}
 	w.Flush()
 }
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -161,7 +161,7 @@
 	if g.group.Version() != before {
 		for _, n := range updates {
 			if n.State != wire.Member_ALIVE {
-				g.log.Debug("member.update", "node", n.Name, "state", n.State.String())
+				g.log.Debug("cluster.state_changed", "node", n.Name, "state", n.State.String())
 			}
 		}
 	}
--- a/internal/controlplane/server/compaction.go
+++ b/internal/controlplane/server/compaction.go
@@ -7,18 +7,18 @@
 	"ivydeck/internal/controlplane/store"
 )
 
-// compact begins a snapshot of the state where one is due. Only the copy of the state is taken in the loop, which also
-// sends heartbeats; encoding and writing it is the work of a goroutine, one at a time.
-func (n *Node) compact() {
-	if n.compacting || !n.consensus.SnapshotDue() {
+// compact begins a snapshot of the state if one is due. Only a copy of the state is made in the loop, which also has to
+// send heartbeats; a goroutine, one at a time, encodes and writes it.
+func (srv *Server) compact() {
+	if srv.compacting || !srv.consensus.SnapshotDue() {
 		return
 	}
-	n.compacting = true
-	began, index := time.Now(), n.applied
-	image := n.catalog.Image()
-	n.workers.Go(func() {
-		staged, err := stageImage(n.store, image, index)
-		if !n.do(func() { n.compacted(staged, index, err, began) }) {
+	srv.compacting = true
+	began, index := time.Now(), srv.applied
+	image := srv.catalog.Image()
+	srv.workers.Go(func() {
+		staged, err := stageImage(srv.store, image, index)
+		if !srv.runInLoop(func() { srv.compacted(staged, index, err, began) }) {
 			staged.Discard()
 		}
 	})
@@ -33,23 +33,25 @@
 	return st.Stage(index, data)
 }
 
-// compacted puts a snapshot that is on disk in front of the log. Members that are further behind than the tail of entries
-// in front of it need it.
-func (n *Node) compacted(staged *store.StagedSnapshot, index uint64, err error, began time.Time) {
-	n.compacting = false
+// compacted makes a snapshot that is on disk the begin of the log.
+func (srv *Server) compacted(staged *store.StagedSnapshot, index uint64, err error, began time.Time) {
+	srv.compacting = false
 	if err != nil {
-		n.log.Error("snapshot.failed", "err", err)
+		srv.log.Error("snapshot.write_failed", "err", err)
 		return
 	}
-	snapshot := n.consensus.Compact(index, staged.Data)
-	if snapshot == nil { // a leader's has come meanwhile
+	snapshot := srv.consensus.Compact(index, staged.Data)
+	if snapshot == nil { // a leader's was installed meanwhile
 		staged.Discard()
 		return
 	}
-	if err := n.store.Save(store.Batch{Snapshot: snapshot, Staged: staged, First: n.consensus.First()}); err != nil {
-		n.log.Error("disk.failed", "err", err)
-		n.store.Reopen()
+	if err := srv.store.Save(store.Batch{Snapshot: snapshot, Staged: staged, First: srv.consensus.First()}); err != nil {
+		srv.log.Error("disk.write_failed", "err", err)
+		if err := srv.store.Reopen(); err != nil {
+			srv.log.Error("disk.reopen_failed", "err", err) // the next save tries again
+		}
 		return
 	}
-	n.log.Info("snapshot.taken", "index", index, "bytes", len(staged.Data), "kept", index-n.consensus.First(), "took", time.Since(began))
+	srv.log.Info("snapshot.created", "index", index, "bytes", len(staged.Data), "tail_entries", index-srv.consensus.First(),
+		"duration_ms", time.Since(began).Milliseconds())
 }
--- a/internal/controlplane/server/operator_http_test.go
+++ b/internal/controlplane/server/http_config_test.go
@@ -16,26 +16,25 @@
 
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/transport/rpc"
 )
 
 // aloneNode is the one member of a quorum, on a disk in a folder of the test.
-func aloneNode(t *testing.T) *Node {
+func aloneNode(t *testing.T) *Server {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	disk, err := store.Open(t.TempDir(), rand.New(rand.NewPCG(1, 2)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Node{
-		log: slog.New(slog.DiscardHandler), began: time.Now(), events: make(chan func(), 64), replacing: make(chan struct{}, maxReplacing), ctx: ctx, store: disk, catalog: catalog.New(),
-		senders: map[uint64]*sender{}, heard: map[uint64]string{}, pool: rpc.NewPool(ctx), hub: relay.NewHub(func() time.Duration { return 0 }),
+	n := &Server{
+		log: slog.New(slog.DiscardHandler), startedAt: time.Now(), events: make(chan func(), 64), replaceSlots: make(chan struct{}, maxReplacing), ctx: ctx,
+		replica: newReplica(disk, rpc.NewPool(ctx)), pool: rpc.NewPool(ctx), hub: relay.NewHub(func() time.Duration { return 0 }),
 	}
 	const address = "127.0.0.1:1"
-	n.set.Store(&nodefile.Settings{Node: "n", Control: address, Seeds: []string{address}, Bootstrap: true, IP: "127.0.0.1", Ports: [2]int{2, 3}})
+	n.settings.Store(&nodefile.Settings{Node: "n", Control: address, Seeds: []string{address}, Bootstrap: true, IP: "127.0.0.1", Ports: [2]int{2, 3}})
 	if err := n.restore(1); err != nil {
 		t.Fatal(err)
 	}
@@ -126,13 +125,13 @@
 		return w.Code
 	}
 	for range maxReplacing {
-		n.replacing <- struct{}{}
+		n.replaceSlots <- struct{}{}
 	}
 	if status := post(); status != http.StatusServiceUnavailable {
 		t.Errorf("%d with all places taken", status)
 	}
-	<-n.replacing
-	if status := post(); status != http.StatusOK || len(n.replacing) != maxReplacing-1 {
-		t.Errorf("%d with one place left, and %d are taken behind it", status, len(n.replacing))
+	<-n.replaceSlots
+	if status := post(); status != http.StatusOK || len(n.replaceSlots) != maxReplacing-1 {
+		t.Errorf("%d with one place left, and %d are taken behind it", status, len(n.replaceSlots))
 	}
 }
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -147,19 +147,19 @@
 	var index uint64
 	joining.until(t, "snapshot.installed", func(attrs map[string]slog.Value) bool {
 		index = attrs["index"].Uint64()
-		return index > 1 && attrs["bytes"].Uint64() > 2*pieceBytes
+		return index > 1 && attrs["bytes"].Uint64() > 2*chunkBytes
 	})
 	leader.until(t, string(raft.MemberPromoted), func(map[string]slog.Value) bool { return true })
 	q.register(6000, 12000)
-	joining.until(t, "snapshot.taken", func(attrs map[string]slog.Value) bool { // of the state that it was given, and what came since
-		return attrs["bytes"].Int64() > 8*pieceBytes
+	joining.until(t, "snapshot.created", func(attrs map[string]slog.Value) bool { // of the state that it was given, and what came since
+		return attrs["bytes"].Int64() > 8*chunkBytes
 	})
 	stopJoining()
 	held, err := store.Inspect(q.settings[1].DataDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held.Snapshot.GetIndex() < index || len(held.Snapshot.Data) < 2*pieceBytes {
+	if held.Snapshot.GetIndex() < index || len(held.Snapshot.Data) < 2*chunkBytes {
 		t.Errorf("the snapshot on disk is at %d, with %d bytes; at %d it was installed", held.Snapshot.GetIndex(), len(held.Snapshot.Data), index)
 	}
 	if names, err := filepath.Glob(filepath.Join(q.settings[1].DataDir, "log", "incoming-*")); err != nil || len(names) > 0 {
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -2,195 +2,179 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/controlplane/raft"
-	"ivydeck/internal/controlplane/store"
 	"ivydeck/internal/transport/wire"
 )
 
-// do runs a function in the loop; false: the node ends, or too much waits.
-func (n *Node) do(f func()) bool {
+const (
+	// manageInterval is the longest time between two rounds of a leader's duties.
+	manageInterval = 250 * time.Millisecond
+	// shutdownFlush is the time for the last messages of a member, such as its vote, to be sent.
+	shutdownFlush = 50 * time.Millisecond
+	// minTimer keeps the loop from spinning where a deadline has just passed.
+	minTimer = time.Millisecond
+)
+
+// runInLoop passes a function to the loop, which runs it soon. It blocks while too many wait, and reports false if the
+// server has ended.
+func (srv *Server) runInLoop(f func()) bool {
 	select {
-	case n.events <- f:
+	case srv.events <- f:
 		return true
-	case <-n.ctx.Done():
+	case <-srv.ctx.Done():
 		return false
 	}
 }
 
-// doUntil is do for a caller that waits no longer than its context or a timer.
-func (n *Node) doUntil(ctx context.Context, late <-chan time.Time, f func()) bool {
+// runInLoopUntil is runInLoop for a caller that waits no longer than its context or a timer.
+func (srv *Server) runInLoopUntil(ctx context.Context, timeout <-chan time.Time, f func()) bool {
 	select {
-	case n.events <- f:
+	case srv.events <- f:
 		return true
 	case <-ctx.Done():
-	case <-late:
-	case <-n.ctx.Done():
+	case <-timeout:
+	case <-srv.ctx.Done():
 	}
 	return false
 }
 
-// loop owns the consensus: events in, disk, messages, state. Once stop is closed it returns as soon as
-// another leads and the voters that stay hold what this log holds, or after a part of the grace time.
-func (n *Node) loop(stop <-chan struct{}) {
+// loop runs the consensus until the server ends: events in; disk, messages, state and answers out. Once stop is closed
+// it begins a graceful shutdown, and returns when another member leads and a majority of the remaining voters has all
+// of this log, or after a part of the grace time.
+func (srv *Server) loop(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var left <-chan struct{}     // closed once this process may end by plan
-	var overdue <-chan time.Time // it ends anyway
+	var left <-chan struct{}       // closed once this process may end
+	var graceOver <-chan time.Time // it ends anyway
 	for {
 		select {
 		case <-stop:
 			stop = nil
-			left, overdue = n.members.beginLeave(), time.After(n.set.Load().Bounds.Grace/leavePart)
-			n.log.Info("member.leaves", "term", n.consensus.Term(), "leads", n.consensus.IsLeader())
+			left = srv.membership.beginLeave()
+			graceOver = time.After(srv.settings.Load().Bounds.Grace / leaveGraceDivisor)
+			srv.log.Info("member.leaving", "term", srv.consensus.Term(), "is_leader", srv.consensus.IsLeader())
 		case <-left:
-			n.log.Info("member.left", "term", n.consensus.Term())
-			n.pause(lastWords)
+			srv.log.Info("member.left", "term", srv.consensus.Term())
+			srv.sleep(shutdownFlush)
 			return
-		case <-overdue:
-			index, _ := n.consensus.LastEntry()
-			n.log.Warn("member.left_short", "index", index, "commit", n.consensus.Committed(), "leads", n.consensus.IsLeader())
+		case <-graceOver:
+			index, _ := srv.consensus.LastEntry()
+			srv.log.Warn("member.leave_timeout", "index", index, "committed", srv.consensus.Committed(), "is_leader", srv.consensus.IsLeader())
 			return
-		case f := <-n.events:
-			n.consensus.Tick(n.now()) // after a pause of the process the lead, or the word of it, may be out of date
+		case f := <-srv.events:
+			srv.consensus.Tick(srv.now()) // after a pause of the process, the leadership may be out of date
 			f()
-			for more := true; more; { // what has come meanwhile shares a sync
-				select {
-				case f := <-n.events:
-					f()
-				default:
-					more = false
-				}
-			}
+			srv.runWaiting()
 		case <-timer.C:
 		}
-		n.consensus.Tick(n.now())
-		n.requests.tick(n.now())
-		if now := n.now(); now-n.managed >= manageEvery || n.consensus.IsLeader() != n.wasLead {
-			n.managed = now
-			n.manage()
-		}
-		n.members.tick()
-		n.flush()
-		n.observeContact(n.now())
-		wait := min(n.consensus.NextTick()-n.now(), manageEvery)
-		if at, ok := n.requests.next(); ok {
-			wait = min(wait, at-n.now())
-		}
-		timer.Reset(max(time.Millisecond, wait))
+		timer.Reset(srv.advance())
 	}
 }
 
-// flush carries out what the consensus asks for.
-func (n *Node) flush() {
+// runWaiting runs the events that have come meanwhile, so that one sync serves all of them.
+func (srv *Server) runWaiting() {
 	for {
-		out := n.consensus.Ready()
-		if out.Empty() {
+		select {
+		case f := <-srv.events:
+			f()
+		default:
 			return
 		}
-		n.save(&out)
-		for _, m := range out.Messages {
-			n.send(m)
-		}
-		for _, e := range out.CommittedEntries {
-			n.apply(e)
-		}
-		for _, r := range out.ReadStates {
-			n.requests.confirmed(r)
-		}
-		n.compact()
 	}
 }
 
-// save puts an output on disk. A disk that refuses holds the loop up: nothing is
-// answered from memory, and the others elect a leader whose disk works.
-func (n *Node) save(out *raft.Ready) {
-	if out.Snapshot == nil && out.HardState == nil && len(out.Entries) == 0 {
-		return
+// advance carries out all that is due, and returns when the loop has to run again at the latest.
+func (srv *Server) advance() time.Duration {
+	srv.consensus.Tick(srv.now())
+	srv.requests.tick(srv.now())
+	if now := srv.now(); now-srv.managedAt >= manageInterval || srv.consensus.IsLeader() != srv.wasLeader {
+		srv.managedAt = now
+		srv.manageLeadership()
 	}
-	b := store.Batch{Snapshot: out.Snapshot, Staged: n.staged(out.Snapshot), Whole: out.Snapshot != nil, Hard: out.HardState, Entries: out.Entries}
-	began := time.Now()
-	for failed := false; ; failed = true {
-		err := n.store.Save(b)
-		if err == nil {
-			if failed {
-				n.log.Warn("disk.back", "after", time.Since(began))
-			}
-			break
-		}
-		n.log.Error("disk.failed", "err", err)
-		if !n.pause(diskPause) {
+	srv.membership.tick()
+	srv.flush()
+	srv.observeContact(srv.now())
+	wait := min(srv.consensus.NextTick()-srv.now(), manageInterval)
+	if at, ok := srv.requests.next(); ok {
+		wait = min(wait, at-srv.now())
+	}
+	return max(minTimer, wait)
+}
+
+// flush carries out what the consensus asks for, until it asks for nothing more.
+func (srv *Server) flush() {
+	for {
+		ready := srv.consensus.Ready()
+		if ready.Empty() {
 			return
 		}
-		if err := n.store.Reopen(); err != nil {
-			n.log.Error("disk.reopen", "err", err)
+		srv.save(&ready)
+		for _, m := range ready.Messages {
+			srv.send(m)
 		}
-	}
-	n.shown.Synced(time.Since(began))
-	n.consensus.ObserveSync(time.Since(began))
-	if took := time.Since(began); took > 300*time.Millisecond {
-		n.log.Warn("disk.slow", "took", took)
-	}
-	if s := out.Snapshot; s != nil {
-		if err := n.restoreState(s); err != nil {
-			// It passed on the leader, which runs the same code or a newer one.
-			n.log.Error("snapshot.unreadable", "err", err)
-			panic(err)
+		for _, e := range ready.CommittedEntries {
+			srv.apply(e)
 		}
-		n.applied = s.Index
-		n.publish()
-	}
-	if len(out.Entries) > 0 {
-		n.consensus.StableTo(out.Entries[len(out.Entries)-1].Index)
+		for _, r := range ready.ReadStates {
+			srv.requests.confirmed(r)
+		}
+		srv.compact()
 	}
 }
 
-func (n *Node) pause(d time.Duration) bool {
+// sleep reports false if the server has ended before the time was over.
+func (srv *Server) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
-	case <-n.ctx.Done():
+	case <-srv.ctx.Done():
 		return false
 	}
 }
 
-// apply takes a committed entry into the state.
-func (n *Node) apply(e *wire.Entry) {
-	n.applied = e.Index
-	changes, verdict := applyEntry(n.catalog, e)
-	if changes != nil {
-		n.hub.Apply(changes)
-		if current := n.catalog.Current(); n.current.Load().Revision() != current.Revision() {
-			n.setCurrent()
-			n.log.Info("config.accepted", "revision", current.Revision(), "index", changes.To, "resources", len(changes.Resources))
-		}
-	}
-	n.requests.applied(e, changes != nil, verdict)
+// leadership is what a member knows of its leader.
+type leadership struct {
+	leader *wire.Peer // nil: not known
+	isSelf bool
 }
 
-// applyEntry applies an entry to the state. All replicas pass over one that can't be read alike.
-func applyEntry(state *catalog.Catalog, e *wire.Entry) (*wire.Changes, error) {
-	if e.Kind != wire.Entry_COMMAND {
-		return nil, nil
+// currentLeader returns the leader, for other goroutines than the loop's. It gives up with an empty answer when ctx ends
+// or after operatorTimeout, since a disk may block the loop.
+func (srv *Server) currentLeader(ctx context.Context) leadership {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
+	defer cancel()
+	l, err := callInLoop(ctx, srv, func() leadership {
+		return leadership{leader: srv.leader(), isSelf: srv.consensus.IsLeader()}
+	})
+	if err != nil {
+		return leadership{}
 	}
-	cmd := new(wire.Command)
-	if err := proto.Unmarshal(e.Data, cmd); err != nil {
-		return nil, err
-	}
-	return state.Apply(cmd)
+	return l
 }
 
-// publish hands a state on that was restored.
-func (n *Node) publish() {
-	n.hub.Apply(n.catalog.Whole())
-	n.setCurrent()
+// errorInLoop is callInLoop for a function that can fail.
+func errorInLoop(ctx context.Context, srv *Server, f func() error) error {
+	failure, err := callInLoop(ctx, srv, f)
+	if err != nil {
+		return err
+	}
+	return failure
 }
 
-// setCurrent lets the operator's calls see the configuration.
-func (n *Node) setCurrent() {
-	current := n.catalog.Current()
-	n.current.Store(&current)
+// callInLoop runs f in the server's loop and returns its result, or an error once ctx or the server has ended.
+func callInLoop[T any](ctx context.Context, srv *Server, f func() T) (result T, err error) {
+	results := make(chan T, 1)
+	if !srv.runInLoopUntil(ctx, nil, func() { results <- f() }) {
+		return result, errors.Join(ctx.Err(), srv.ctx.Err())
+	}
+	select {
+	case result = <-results:
+		return result, nil
+	case <-ctx.Done():
+		return result, ctx.Err()
+	case <-srv.ctx.Done():
+		return result, srv.ctx.Err()
+	}
 }
--- a/internal/controlplane/server/operator_history_test.go
+++ b/internal/controlplane/server/operator_history_test.go
@@ -61,7 +61,7 @@
 var orders = porcupine.Model{
 	Init: func() any { return held{} },
 	Step: func(state, input, output any) (bool, any) {
-		h, o, result := state.(held), input.(*operation), output.(Result)
+		h, o, result := state.(held), input.(*operation), output.(OperatorResult)
 		fits := o.base == h.revision && o.revision > h.revision
 		after := held{o.identity, o.revision}
 		switch {
@@ -105,7 +105,7 @@
 // overtake each other, changes of the leader, cuts, frozen and restarted members, snapshots and a restore from a backup,
 // and checks what operators were told. A resend is a part of its operation.
 func TestOperatorsSeeOneConfiguration(t *testing.T) {
-	counts, resends, restored, unknown, again := map[Result]int{}, 0, 0, 0, 0
+	counts, resends, restored, unknown, again := map[OperatorResult]int{}, 0, 0, 0, 0
 	for i := range *simSeeds {
 		seed := *simFirst + uint64(i)
 		w := playOperators(seed, 30*time.Second)
@@ -135,7 +135,7 @@
 	if *simSeeds < 10 {
 		return
 	}
-	for _, result := range []Result{Unavailable, Redirected, Accepted, AlreadyAccepted, Stale, Invalid, Found} {
+	for _, result := range []OperatorResult{Unavailable, Redirected, Accepted, AlreadyAccepted, Stale, Invalid, Found} {
 		if counts[result] < *simSeeds {
 			t.Errorf("%v: %d in %d runs: hardly a test", result, counts[result], *simSeeds)
 		}
--- a/internal/controlplane/server/operator_api_test.go
+++ b/internal/controlplane/server/operator_requests_test.go
@@ -12,14 +12,14 @@
 func TestAnyMemberKnowsWhatWasAccepted(t *testing.T) {
 	const now = 10 * time.Second
 	node, state := member(now), catalog.New()
-	api := operatorAPI{requests: newRequestQueue(node, threeVoters, now), state: func() backup.Backup { return backup.Backup{State: state} }}
-	order := func(base, revision uint64, service string) (answers []Answer) {
+	api := operatorRequests{requests: newRequestQueue(node, threeVoters, now), state: func() backup.Backup { return backup.Backup{State: state} }}
+	order := func(base, revision uint64, service string) (answers []OperatorAnswer) {
 		t.Helper()
 		r, err := parseReplacement(state.Current(), base, []byte(encoded(t, revision, service)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		api.replace(now, now+time.Second, r, func(a Answer) { answers = append(answers, a) })
+		api.replace(now, now+time.Second, r, func(a OperatorAnswer) { answers = append(answers, a) })
 		return answers
 	}
 	for i, service := range []string{"a", "b"} {
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -42,7 +42,7 @@
 	node     *raft.Node // nil: down
 	state    *catalog.Catalog
 	requests *requestQueue
-	api      operatorAPI
+	api      operatorRequests
 	applied  uint64
 	startAt  time.Duration // while it is down
 	dark     bool          // while it is down its address is silent; else connections are refused
@@ -70,7 +70,7 @@
 	again    bool   // it was acknowledged before
 	call     time.Duration
 	finish   time.Duration // -1: there was no clear answer
-	result   Result
+	result   OperatorResult
 	read     string // the identity of what was read
 
 	send      int           // number of the send that is under way
@@ -101,12 +101,12 @@
 	backup      []byte // to be restored at the end of this turn
 	backupTerm  uint64
 	restored    int
-	counts      map[Result]int
+	counts      map[OperatorResult]int
 	resends     int
 }
 
 func newSimWorld(seed uint64, members, operators int) *simWorld {
-	w := &simWorld{rng: rand.New(rand.NewPCG(seed, 17)), cut: map[[2]int]bool{}, known: make([]uint64, operators), counts: map[Result]int{}, perOperator: 3}
+	w := &simWorld{rng: rand.New(rand.NewPCG(seed, 17)), cut: map[[2]int]bool{}, known: make([]uint64, operators), counts: map[OperatorResult]int{}, perOperator: 3}
 	empty, err := catalog.New().Snapshot()
 	if err != nil {
 		panic(err)
@@ -136,7 +136,7 @@
 	m.node.SetRetention(m.disk.Tail, 8*m.disk.Tail)
 	m.restore(m.disk.Snap, w.memory)
 	m.requests = newRequestQueue(m.node, func() int { return min(3, len(w.members)) }, w.now)
-	m.api = operatorAPI{requests: m.requests, state: func() backup.Backup {
+	m.api = operatorRequests{requests: m.requests, state: func() backup.Backup {
 		return backup.Backup{Term: m.node.Term(), Index: m.applied, State: m.state}
 	}}
 	m.inbox = nil
@@ -305,19 +305,19 @@
 	arrives := w.now + w.span(1, 12)
 	if m.node == nil {
 		if !m.dark {
-			o.silentAt = arrives // refused
+			o.silentAt = arrives // rejectedCalls
 		}
 		return
 	}
-	answer := func(a Answer) { w.answer(o, send, number, a) }
+	answer := func(a OperatorAnswer) { w.answer(o, send, number, a) }
 	m.inbox = append(m.inbox, simMessage{arrives: arrives, from: operatorSide, deliver: func() {
-		deadline := w.now + answerWithin
+		deadline := w.now + operatorTimeout
 		if o.revision == 0 {
 			m.api.read(w.now, deadline, answer)
 		} else {
 			replacement, err := parseReplacement(m.state.Current(), o.base, o.body)
 			if err != nil {
-				answer(Answer{Result: Invalid})
+				answer(OperatorAnswer{Result: Invalid})
 				return
 			}
 			m.api.replace(w.now, deadline, replacement, answer)
@@ -325,8 +325,8 @@
 	}})
 }
 
-// answer brings an answer to the operator, unless it is lost or comes too late.
-func (w *simWorld) answer(o *operation, send, member int, a Answer) {
+// awaitAnswer brings an answer to the operator, unless it is lost or comes too late.
+func (w *simWorld) answer(o *operation, send, member int, a OperatorAnswer) {
 	if o.send != send || w.cut[[2]int{member, operatorSide}] {
 		return
 	}
@@ -350,7 +350,7 @@
 	}
 }
 
-func (w *simWorld) finish(o *operation, a Answer) {
+func (w *simWorld) finish(o *operation, a OperatorAnswer) {
 	o.finish, o.result = w.now, a.Result
 	w.close(o)
 	switch a.Result {
@@ -444,7 +444,7 @@
 		if m.node == nil || !m.node.IsLeader() {
 			continue
 		}
-		m.api.backup(w.now, w.now+answerWithin, func(a Answer) {
+		m.api.backup(w.now, w.now+operatorTimeout, func(a OperatorAnswer) {
 			if a.Result != Found || len(w.open) > 0 {
 				return
 			}
--- a/internal/controlplane/server/proposals_test.go
+++ b/internal/controlplane/server/request_queue_test.go
@@ -48,7 +48,7 @@
 type outcomes []outcome
 
 func (o *outcomes) request(command string, patient bool, deadline time.Duration) *request {
-	r := &request{patient: patient, deadline: deadline, done: func(x outcome) { *o = append(*o, x) }}
+	r := &request{retryable: patient, deadline: deadline, done: func(x outcome) { *o = append(*o, x) }}
 	if command != "" {
 		r.command = []byte(command)
 	}
@@ -65,8 +65,8 @@
 	for index, r := range q.proposed {
 		q.applied(&wire.Entry{Index: index, Term: r.term + 1}, true, nil)
 	}
-	if len(got) != 1 || !errors.Is(got[0].err, errEntryReplaced) || len(q.waiting) != 1 {
-		t.Errorf("%v, and %d wait", got, len(q.waiting))
+	if len(got) != 1 || !errors.Is(got[0].err, errEntryReplaced) || len(q.queued) != 1 {
+		t.Errorf("%v, and %d wait", got, len(q.queued))
 	}
 }
 
@@ -103,7 +103,7 @@
 	settle(node)
 	got = nil
 	q.submit(now, got.request("c", true, now))
-	if out := node.Ready(); len(got) != 1 || !errors.Is(got[0].err, errNotRun) || len(out.Entries) > 0 {
+	if out := node.Ready(); len(got) != 1 || !errors.Is(got[0].err, errNotProposed) || len(out.Entries) > 0 {
 		t.Errorf("%v, and %d entries for a request that came too late", got, len(out.Entries))
 	}
 }
@@ -138,11 +138,11 @@
 	}
 	got = nil
 	q.submit(now+time.Millisecond, got.request("c", true, now+time.Hour))
-	q.tick(now + electionWait - time.Millisecond)
+	q.tick(now + maxLeaderless - time.Millisecond)
 	if len(got) != 0 {
 		t.Errorf("%v within an election", got)
 	}
-	q.tick(now + electionWait)
+	q.tick(now + maxLeaderless)
 	if len(got) != 1 || !errors.Is(got[0].err, errNoLeader) {
 		t.Errorf("%v after an election", got)
 	}
@@ -161,7 +161,7 @@
 	node.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES, From: 2, To: 1, Term: node.Term() + 1, Index: 1, LogTerm: 1, Commit: 1})
 	q.tick(now)
 	var elsewhere *notLeaderError
-	if len(got) != 2 || !errors.Is(got[0].err, errLostLead) || errors.Is(got[0].err, errNotRun) || !errors.As(got[1].err, &elsewhere) {
+	if len(got) != 2 || !errors.Is(got[0].err, errLeadershipLost) || errors.Is(got[0].err, errNotProposed) || !errors.As(got[1].err, &elsewhere) {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -1,5 +1,3 @@
-// Package control is the program of the quorum members: it drives the consensus
-// on its disk, answers the operator, and is where the tree of relays begins.
 package server
 
 import (
@@ -10,14 +8,12 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"ivydeck/internal/cluster/gossip"
 	"ivydeck/internal/config/nodefile"
-	"ivydeck/internal/controlplane/backup"
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/controlplane/raft"
 	"ivydeck/internal/controlplane/store"
@@ -30,175 +26,197 @@
 )
 
 const (
-	manageEvery  = 250 * time.Millisecond
-	answerWithin = 900 * time.Millisecond // operators move on after a second of silence
-	maxHeard     = 64
-	diskPause    = 200 * time.Millisecond
-	lastWords    = 50 * time.Millisecond // for its vote to go out
+	// operatorTimeout bounds an answer to operators, who go on to another member after a second.
+	operatorTimeout = 900 * time.Millisecond
+	// maxQueuedEvents bounds what waits for the loop; further callers wait in turn.
+	maxQueuedEvents = 1024
+
+	// The limits of the operator's HTTP interface.
+	httpHeaderTimeout   = 3 * time.Second
+	httpBodyTimeout     = 10 * time.Second
+	httpIdleTimeout     = 30 * time.Second
+	httpMaxHeaderBytes  = 16 << 10
+	httpShutdownTimeout = 500 * time.Millisecond
 )
 
-// Node is a quorum member.
-type Node struct {
-	set     atomic.Pointer[nodefile.Settings]
-	log     *slog.Logger
-	pool    *rpc.Pool
-	gossip  *gossip.Gossip
-	hub     *relay.Hub
-	current atomic.Pointer[catalog.Current] // the configuration as last applied
-	shown   *metrics.Set                    // nil: not served
-	refused atomic.Int64                    // calls of the operator's interface, for want of a proper identity
-	began   time.Time
-	events  chan func()
-	ctx     context.Context
-
-	replacing chan struct{} // one element for each change that an operator's call holds
-
-	// What follows belongs to the goroutine in loop.
-	store       *store.Store
-	consensus   *raft.Node
-	members     *membershipManager
-	catalog     *catalog.Catalog
-	applied     uint64
-	requests    *requestQueue
-	ackGate     ackGate
-	operatorAPI operatorAPI
-	senders     map[uint64]*sender
-	managed     time.Duration
-	wasLead     bool
-	ledSince    time.Duration
-	heard       map[uint64]string // addresses of those who sent messages
-
-	compacting bool                 // a snapshot of the state is being written
-	transfers  map[uint64]*transfer // of snapshots, by receiver
-	installing *received            // is being put in force
-
-	transferPool *rpc.Pool                  // the connections that snapshots go over
-	receiving    atomic.Pointer[rpc.Stream] // over which a snapshot comes
-	receipt      sync.Mutex                 // held by the goroutine that takes one in
-
-	workers   sync.WaitGroup
-	contactAt atomic.Int64 // ns since the begin, when a quorum last confirmed the state here
-
-	outOfTouch bool // as last logged; the loop's
+// Server is a quorum member's process. The embedded replica belongs to the goroutine of loop; all else is safe for
+// concurrent use.
+type Server struct {
+	settings  atomic.Pointer[nodefile.Settings]
+	log       *slog.Logger
+	startedAt time.Time // the zero of all times of the consensus
+	ctx       context.Context
+	workers   sync.WaitGroup // all goroutines of the server but that of loop
+
+	events chan func() // run by loop, in order
+	replica
+
+	// Cluster.
+	pool   *rpc.Pool
+	gossip *gossip.Gossip
+	hub    *relay.Hub // the root of the distribution tree
+
+	// What other goroutines may read of the replica's state.
+	config    atomic.Pointer[catalog.Current] // the configuration that was applied last
+	contactAt atomic.Int64                    // when a quorum last confirmed the state here, in ns since startedAt
+
+	// Operators.
+	replaceSlots  chan struct{} // has an element for each change that a call holds in memory
+	rejectedCalls atomic.Int64  // calls without a proper identity
+	metrics       *metrics.Set  // nil: not served
+
+	snapshotReceiver
 }
 
-// Run is the whole life of a quorum member. It returns soon after the context ends: a leader gives the lead to another
-// first.
-func Run(stop context.Context, set *nodefile.Settings, reload func() *nodefile.Settings, log *slog.Logger) error {
-	ctx, end := context.WithCancel(context.WithoutCancel(stop))
-	defer end()
-	rng := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), rand.Uint64()))
-	source, err := program.Identity(set, log)
+// Run runs a quorum member until stop ends. It returns soon after that: a leader transfers its leadership first, see
+// loop.
+func Run(stop context.Context, settings *nodefile.Settings, reload func() *nodefile.Settings, log *slog.Logger) error {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
+	defer cancel()
+	srv, err := newServer(ctx, settings, log)
 	if err != nil {
 		return err
 	}
-	st, err := store.Open(set.DataDir, rng)
+	listeners, err := srv.listen()
 	if err != nil {
+		srv.store.Close()
 		return err
 	}
+	operatorServer := srv.serve(listeners)
+	srv.workers.Go(func() { srv.followSettings(reload) })
+	log.Info("control.started", "node", settings.Node, "identity", identityText(srv.store.ID), "entries", srv.consensus.Backlog(),
+		"empty", srv.store.Fresh)
+	srv.loop(stop.Done())
+	cancel()
+	srv.closeOperatorServer(operatorServer)
+	srv.workers.Wait()
+	return srv.store.Close()
+}
+
+// newServer opens the store and restores the replicated state from it.
+func newServer(ctx context.Context, settings *nodefile.Settings, log *slog.Logger) (*Server, error) {
+	rng := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), rand.Uint64()))
+	source, err := program.Identity(settings, log)
+	if err != nil {
+		return nil, err
+	}
+	st, err := store.Open(settings.DataDir, rng)
+	if err != nil {
+		return nil, err
+	}
 	if st.Damaged != nil {
-		log.Error("store.damaged", "err", st.Damaged, "kept", "beside the new folder, as log.damaged")
+		log.Error("store.damaged", "err", st.Damaged, "moved_to", "log.damaged, beside the new folder")
 	}
-	n := &Node{
-		log: log, began: time.Now(), events: make(chan func(), 1024), replacing: make(chan struct{}, maxReplacing), ctx: ctx, store: st, catalog: catalog.New(),
-		senders: map[uint64]*sender{}, heard: map[uint64]string{}, pool: rpc.NewPool(ctx), transferPool: rpc.NewPool(ctx),
-		transfers: map[uint64]*transfer{},
+	srv := &Server{
+		log:          log,
+		startedAt:    time.Now(),
+		ctx:          ctx,
+		events:       make(chan func(), maxQueuedEvents),
+		replaceSlots: make(chan struct{}, maxReplacing),
+		pool:         rpc.NewPool(ctx),
+		replica:      newReplica(st, rpc.NewPool(ctx)),
 	}
-	n.pool.Identity, n.transferPool.Identity = source, source
-	n.set.Store(set)
-	n.contactAt.Store(-int64(raft.MaxContactAge))
-	n.outOfTouch = true // a start is no loss of touch
-	n.hub = relay.NewHub(func() time.Duration { return n.now() - time.Duration(n.contactAt.Load()) })
-	if err := n.restore(rng.Uint64()); err != nil {
+	srv.pool.Identity, srv.snapshotPool.Identity = source, source
+	srv.settings.Store(settings)
+	srv.contactAt.Store(-int64(raft.MaxContactAge))
+	srv.hub = relay.NewHub(func() time.Duration { return srv.now() - time.Duration(srv.contactAt.Load()) })
+	if err := srv.restore(rng.Uint64()); err != nil {
 		st.Close()
-		return err
+		return nil, err
+	}
+	self := &wire.Member{
+		Name: settings.Node, Address: settings.Internal(), Zone: settings.Zone, QuorumMember: true,
+		Generation: uint64(time.Now().UnixMilli()),
 	}
-	n.gossip = gossip.New(&wire.Member{
-		Name: set.Node, Address: set.Internal(), Zone: set.Zone, QuorumMember: true, Generation: uint64(time.Now().UnixMilli()),
-	}, rng.Uint64(), n.pool, func() []string { return n.set.Load().SeedNodes() }, log)
+	srv.gossip = gossip.New(self, rng.Uint64(), srv.pool, func() []string { return srv.settings.Load().SeedNodes() }, log)
+	return srv, nil
+}
+
+// listeners are the server's ports.
+type listeners struct {
+	internal net.Listener // of the other processes of the mesh
+	operator net.Listener
+}
 
-	internal, err := net.Listen("tcp", set.Internal())
+// listen opens both ports, or none.
+func (srv *Server) listen() (listeners, error) {
+	settings := srv.settings.Load()
+	internal, err := net.Listen("tcp", settings.Internal())
 	if err != nil {
-		st.Close()
-		return fmt.Errorf("listening to nodes: %w", err)
+		return listeners{}, fmt.Errorf("listening to nodes: %w", err)
 	}
-	public, err := net.Listen("tcp", set.Control)
+	operator, err := net.Listen("tcp", settings.Control)
 	if err != nil {
 		internal.Close()
-		st.Close()
-		return fmt.Errorf("listening to operators: %w", err)
-	}
-	server := rpc.NewServer(log)
-	server.Identity, server.Refused = n.pool.Identity, &n.refused
-	n.gossip.Register(server)
-	server.Handle("raft", n.raftStream, identity.Core)
-	server.Handle("snapshot", n.snapshotStream, identity.Core)
-	server.Handle("join", rpc.Unary(n.members.join), identity.Core)
-	server.Handle("leave", rpc.Unary(n.members.leave), identity.Core)
-	server.Handle("propose", rpc.Unary(n.propose))
-	server.Handle("latest", rpc.Unary(n.latest))
-	server.Handle("subscribe", n.hub.Serve)
-	web := &http.Server{
-		Handler: n.routes(), ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
-		IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		return listeners{}, fmt.Errorf("listening to operators: %w", err)
 	}
-	if set.Metrics != "" {
-		n.shown = n.figures()
-		n.workers.Go(func() { n.shown.Serve(ctx, set.Metrics, program.Secure(n.pool.Identity, set.SecureMetrics), log) })
+	if settings.SecureOperator {
+		operator = tls.NewListener(operator, srv.pool.Identity.Server())
 	}
-	n.workers.Go(func() { server.Serve(ctx, internal) })
-	if set.SecureOperator {
-		public = tls.NewListener(public, n.pool.Identity.Server())
+	return listeners{internal, operator}, nil
+}
+
+// serve starts the goroutines that answer others, and returns the operators' HTTP server.
+func (srv *Server) serve(l listeners) *http.Server {
+	settings := srv.settings.Load()
+	rpcServer := srv.newRPCServer()
+	operatorServer := srv.newOperatorServer()
+	if settings.Metrics != "" {
+		srv.metrics = srv.newMetrics()
+		secure := program.Secure(srv.pool.Identity, settings.SecureMetrics)
+		srv.workers.Go(func() { srv.metrics.Serve(srv.ctx, settings.Metrics, secure, srv.log) })
 	}
-	n.workers.Go(func() { web.Serve(public) })
-	n.workers.Go(func() { n.gossip.Run(ctx) })
-	n.members.run(ctx)
-	n.workers.Go(func() {
-		for s := reload(); s != nil; s = reload() { // it returns nothing once the program ends
-			n.set.Store(s)
-		}
-	})
-	log.Info("control.started", "node", set.Node, "identity", fmt.Sprintf("%016x", st.ID), "entries", n.consensus.Backlog(), "empty", st.Fresh)
-	n.loop(stop.Done())
-	end()
-	shut, done := context.WithTimeout(context.Background(), 500*time.Millisecond)
-	defer done()
-	web.Shutdown(shut)
-	web.Close()
-	n.workers.Wait()
-	return st.Close()
+	srv.workers.Go(func() { rpcServer.Serve(srv.ctx, l.internal) })
+	srv.workers.Go(func() { operatorServer.Serve(l.operator) }) // it returns an error once it is closed
+	srv.workers.Go(func() { srv.gossip.Run(srv.ctx) })
+	srv.membership.run(srv.ctx)
+	return operatorServer
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.began) }
-
-// restore brings the replicated state to where the disk has it. The first of the
-// seeds begins the core by itself, once in its life; all others join it.
-func (n *Node) restore(seed uint64) error {
-	set, st := n.set.Load(), n.store
-	if st.Fresh && st.Damaged == nil && set.Bootstrap && slices.Min(set.Seeds) == set.Control {
-		data, err := n.catalog.Snapshot()
-		if err != nil {
-			return err
-		}
-		snap := &wire.RaftSnapshot{Term: 1, Index: 1, Data: data, Peers: &wire.Peers{Peers: []*wire.Peer{n.self(true)}}}
-		if err := st.Save(store.Batch{Snapshot: snap, Hard: &wire.HardState{Term: 1}}); err != nil {
-			return err
-		}
-		st.Hard, st.Snapshot = &wire.HardState{Term: 1}, snap
+// newRPCServer registers the methods that other processes call. Their names are frozen: see the proto files.
+func (srv *Server) newRPCServer() *rpc.Server {
+	s := rpc.NewServer(srv.log)
+	s.Identity, s.Refused = srv.pool.Identity, &srv.rejectedCalls
+	srv.gossip.Register(s)
+	s.Handle("raft", srv.raftStream, identity.Core)
+	s.Handle("snapshot", srv.snapshotStream, identity.Core)
+	s.Handle("join", rpc.Unary(srv.membership.handleJoin), identity.Core)
+	s.Handle("leave", rpc.Unary(srv.membership.handleLeave), identity.Core)
+	s.Handle("propose", rpc.Unary(srv.handlePropose))
+	s.Handle("latest", rpc.Unary(srv.handleLatest))
+	s.Handle("subscribe", srv.hub.Serve)
+	return s
+}
+
+func (srv *Server) newOperatorServer() *http.Server {
+	return &http.Server{
+		Handler:           srv.routes(),
+		ReadHeaderTimeout: httpHeaderTimeout,
+		ReadTimeout:       httpBodyTimeout,
+		WriteTimeout:      httpBodyTimeout,
+		IdleTimeout:       httpIdleTimeout,
+		MaxHeaderBytes:    httpMaxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(srv.log.Handler(), slog.LevelDebug),
 	}
-	if st.Snapshot != nil && st.Snapshot.Index > 0 {
-		if err := n.catalog.Restore(st.Snapshot.Data); err != nil {
-			return err
-		}
+}
+
+// closeOperatorServer lets the calls in progress end, for a moment.
+func (srv *Server) closeOperatorServer(s *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
+	defer cancel()
+	s.Shutdown(ctx) // an error says that calls are still in progress: Close ends them
+	s.Close()
+}
+
+// followSettings takes settings as they change. reload blocks until then, and returns nil once the program ends.
+func (srv *Server) followSettings(reload func() *nodefile.Settings) {
+	for s := reload(); s != nil; s = reload() {
+		srv.settings.Store(s)
 	}
-	n.consensus = raft.New(st.ID, st.Hard, st.Snapshot, slices.Concat(st.Tail, st.Entries), seed, 0)
-	n.members = newMembershipManager(n)
-	st.Tail, st.Entries = nil, nil
-	n.requests = newRequestQueue(n.consensus, n.minAckVoters, 0)
-	n.operatorAPI = operatorAPI{requests: n.requests, state: func() backup.Backup {
-		return backup.Backup{Term: n.consensus.Term(), Index: n.applied, State: n.catalog}
-	}}
-	n.applied = st.Snapshot.GetIndex()
-	n.publish()
-	return nil
 }
+
+// now is the time of the consensus: a duration since the process started.
+func (srv *Server) now() time.Duration { return time.Since(srv.startedAt) }
+
+// identityText is a member's identity as logs, operators and tools write it.
+func identityText(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -8,20 +8,20 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestQuestionsEndWithTheProcess: whoever has asked the loop something is let go when the loop ends without having read
-// it. One that was not kept the process from ending, until the platform killed it.
-func TestQuestionsEndWithTheProcess(t *testing.T) {
+// TestCallsEndWithTheServer: a call that waits for the loop returns when the server ends without having run it. One that
+// did not kept the process from ending, until the platform killed it.
+func TestCallsEndWithTheServer(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &Node{events: make(chan func(), 64), ctx: ctx} // nobody reads the events
-	n.members = &membershipManager{node: n, asks: make(chan string)}
+	n := &Server{events: make(chan func(), 64), ctx: ctx} // nobody reads the events
+	n.membership = &membershipDriver{server: n, joinQueue: make(chan string)}
 	for name, ask := range map[string]func(){
-		"leaving": func() { n.members.awaitLeft(ctx) },
-		"leader":  func() { n.ask(ctx) },
-		"status":  func() { n.state(ctx) },
-		"change":  func() { n.change(ctx, nil) },
-		"read":    func() { n.read(ctx, func() {}) },
-		"join":    func() { n.members.join(ctx, &wire.JoinRequest{Peer: &wire.Peer{Id: 1, Address: "a"}}) },
-		"asking":  func() { n.members.run(ctx); n.workers.Wait() },
+		"leaving": func() { n.membership.awaitLeave(ctx) },
+		"leader":  func() { n.currentLeader(ctx) },
+		"status":  func() { n.currentStatus(ctx) },
+		"change":  func() { n.applyCommand(ctx, nil) },
+		"read":    func() { n.readState(ctx, func() {}) },
+		"join":    func() { n.membership.handleJoin(ctx, &wire.JoinRequest{Peer: &wire.Peer{Id: 1, Address: "a"}}) },
+		"asking":  func() { n.membership.run(ctx); n.workers.Wait() },
 	} {
 		done := make(chan struct{})
 		go func() { defer close(done); ask() }()
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -85,12 +85,12 @@
 }
 
 // transferOnce sends a snapshot over a stream that breaks after so many pieces, and returns what was sent and received.
-func transferOnce(st *store.Store, offer *wire.SnapshotOffer, data []byte, pieces int) (sent int, r *received, err error) {
+func transferOnce(st *store.Store, offer *wire.SnapshotOffer, data []byte, pieces int) (sent int, r *receivedSnapshot, err error) {
 	sender, receiver := newPipe(pieces)
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		if r, err = receivePieces(receiver, proto.CloneOf(offer), st, func(uint64) {}); err == nil {
+		if r, err = receiveChunks(receiver, proto.CloneOf(offer), st, func(uint64) {}); err == nil {
 			err = receiver.Send(&wire.SnapshotStatus{Offset: offer.Size, Finished: true})
 		}
 		if err != nil && pieces < 0 {
@@ -98,7 +98,7 @@
 		}
 		done <- err
 	}()
-	sent, err = sendPieces(sender, data, func() {})
+	sent, err = sendChunks(sender, data, func() {})
 	return sent, r, errors.Join(err, <-done)
 }
 
@@ -137,7 +137,7 @@
 	if st.Snapshot.GetIndex() != 900 || !bytes.Equal(st.Snapshot.Data, data) {
 		t.Errorf("after a restart the snapshot is at %d, with %d bytes", st.Snapshot.GetIndex(), len(st.Snapshot.GetData()))
 	}
-	if tries < 3 || total > len(data)+tries*unconfirmed {
+	if tries < 3 || total > len(data)+tries*maxUnacknowledged {
 		t.Errorf("%d bytes were sent in %d tries for %d", total, tries, len(data))
 	}
 }
@@ -165,14 +165,14 @@
 	sender, receiver := newPipe(-1)
 	done := make(chan error, 1)
 	go func() {
-		_, err := sendPieces(sender, make([]byte, 8<<20), func() {})
+		_, err := sendChunks(sender, make([]byte, 8<<20), func() {})
 		done <- err
 	}()
 	if err := receiver.Send(&wire.SnapshotStatus{}); err != nil {
 		t.Fatal(err)
 	}
 	bytes := 0
-	for bytes < unconfirmed {
+	for bytes < maxUnacknowledged {
 		piece := new(wire.SnapshotChunk)
 		if err := receiver.Recv(piece); err != nil {
 			t.Fatal(err)
@@ -180,7 +180,7 @@
 		bytes += len(piece.Data)
 	}
 	close(receiver.broken)
-	if <-done == nil || bytes != unconfirmed || len(receiver.in) > 0 {
+	if <-done == nil || bytes != maxUnacknowledged || len(receiver.in) > 0 {
 		t.Errorf("%d bytes are under way without an answer, and %d pieces more", bytes, len(receiver.in))
 	}
 }
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -233,7 +233,7 @@
 	case ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded):
 		t.out, t.result = noAnswer(), decide.TimedOut
 	default:
-		o.Log.Debug("request.broken", "attempt", c.Headers.Get("Attempt-Id"), "server", t.server, "err", err)
+		o.Log.Debug("request.aborted", "attempt", c.Headers.Get("Attempt-Id"), "server", t.server, "err", err)
 		t.out, t.result = &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}, decide.Broken
 	}
 	return t
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -98,7 +98,7 @@
 		in.Trace(trace.Record{Attempt: q.Attempt, Began: began, Took: now - began, Service: q.Service, Server: q.Member, Status: int(out.Status), Why: out.Reason})
 	}
 	if f.Ejected {
-		in.Log.Warn("server.ejected", "member", q.Member, "zone", q.Zone, "last", out.Result.String(), "status", out.Status, "why", out.Reason)
+		in.Log.Warn("server.ejected", "member", q.Member, "zone", q.Zone, "result", out.Result.String(), "status", out.Status, "reason", out.Reason)
 	}
 	if f.Restored {
 		in.Log.Info("server.restored", "member", q.Member, "zone", q.Zone)
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -148,7 +148,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return err
 			}
-			f.Log.Warn("front.accept", "err", err)
+			f.Log.Warn("listener.accept_failed", "err", err)
 			select { // out of descriptors, most likely
 			case <-time.After(20 * time.Millisecond):
 			case <-ctx.Done():
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -109,10 +109,10 @@
 		in.shut(id)
 	}
 	if h.New {
-		in.Log.Info("server.new", "member", b.ID, "service", b.Service, "address", b.Address)
+		in.Log.Info("server.registered", "member", b.ID, "service", b.Service, "address", b.Address)
 	}
 	if h.Back {
-		in.Log.Info("server.back", "member", b.ID)
+		in.Log.Info("server.recovered", "member", b.ID)
 	}
 	if h.Drains {
 		in.Log.Info("server.draining", "member", b.ID)
@@ -142,7 +142,7 @@
 	deliver(verdicts)
 	if ended {
 		in.shut(id)
-		in.Log.Info("server.left", "member", id)
+		in.Log.Info("server.deregistered", "member", id)
 	}
 	in.Wake()
 }
@@ -163,7 +163,7 @@
 	silent, verdicts := in.admission.Sweep(now.Sub(in.began))
 	deliver(verdicts)
 	for _, id := range silent {
-		in.Log.Warn("server.silent", "member", id)
+		in.Log.Warn("server.heartbeat_lost", "member", id)
 		in.shut(id)
 		in.Wake()
 	}
--- a/internal/dataplane/proxy/pressure.go
+++ b/internal/dataplane/proxy/pressure.go
@@ -34,8 +34,8 @@
 
 // log writes what the node knows of the service.
 func (r refusals) log(log *slog.Logger, now entry.Reading) {
-	log.Info("admission.refusing", "service", now.Service, "gates", r.gates, "noRoom", r.noRoom,
-		"reading", now.R, "pressure", now.Pressure, "servers", now.Servers, "chances", now.Chances)
+	log.Info("admission.rejecting", "service", now.Service, "gates", r.gates, "no_capacity", r.noRoom,
+		"normalized_latency", now.R, "pressure", now.Pressure, "servers", now.Servers, "probabilities", now.Chances)
 }
 
 // serverLoad sums up how busy a server beside the node was between two records of requests that it had no room for.
@@ -59,5 +59,5 @@
 // log writes how much of its slots' time the server was busy; over 1 is rounding.
 func (l serverLoad) log(log *slog.Logger, now time.Duration, member string, slots int) {
 	utilization := l.busy.Seconds() / ((now - l.since).Seconds() * float64(max(1, slots)))
-	log.Info("server.full", "member", member, "slots", slots, "utilization", utilization, "turnedAway", l.turnedAway)
+	log.Info("server.saturated", "member", member, "slots", slots, "utilization", utilization, "rejected", l.turnedAway)
 }
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -70,7 +70,7 @@
 	n.workers.Go(func() { server.Serve(running, l.internal) })
 	n.workers.Go(func() {
 		if err := n.front.Serve(running, l.outbound); err != nil {
-			log.Error("front.ended", "err", err)
+			log.Error("listener.serve_failed", "err", err)
 		}
 	})
 	n.workers.Go(func() { heartbeats.Serve(l.control) })
@@ -87,7 +87,7 @@
 			n.outbound.Metrics.Serve(running, set.Metrics, program.Secure(n.pool.Identity, set.SecureMetrics), log)
 		})
 	}
-	log.Info("data.start", "node", set.Node, "service", set.Backend)
+	log.Info("sidecar.started", "node", set.Node, "service", set.Backend)
 	<-ctx.Done()
 	n.shutDown()
 	heartbeats.Close()
--- a/internal/dataplane/sidecar/mesh_test.go
+++ b/internal/dataplane/sidecar/mesh_test.go
@@ -236,19 +236,19 @@
 	for n := range core.Addresses { // calls may be answered by any of them
 		one := *core
 		one.Addresses = core.Addresses[n : n+1]
-		m.until("a quorum member that knows of the node", func() bool { all, err := one.Look(ctx); return err == nil && all.Asked > 0 })
+		m.until("a quorum member that knows of the node", func() bool { all, err := one.Look(ctx); return err == nil && all.Queried > 0 })
 	}
-	if all, err := core.Look(ctx); err != nil || all.Asked != 1 || all.Silent != 0 || len(all.Nodes) != 1 || all.Nodes[0].Served == 0 ||
+	if all, err := core.Look(ctx); err != nil || all.Queried != 1 || all.Unresponsive != 0 || len(all.Nodes) != 1 || all.Nodes[0].Served == 0 ||
 		len(all.Nodes[0].Services) != 1 || len(all.Nodes[0].Servers) != 1 || all.Nodes[0].Servers[0].Server != "i-1" {
 		t.Errorf("the nodes see %+v, %v", all, err)
 	}
 	way, err := core.Trace(ctx, "a")
-	var last []server.Part // of the served one
+	var last []server.TracePart // of the served one
 	if len(way.Parts) > 1 {
 		last = way.Parts[len(way.Parts)-2:]
 	}
-	if err != nil || way.Asked != 1 || way.Silent != 0 || len(last) != 2 || !last[0].Entry || last[0].Route != "r" || last[0].Status != 200 ||
-		last[0].Tries != 1 || last[1].Entry || last[1].Server != "i-1" || last[1].Status != 200 || last[1].AgoMs > last[0].AgoMs {
+	if err != nil || way.Queried != 1 || way.Unresponsive != 0 || len(last) != 2 || !last[0].Entry || last[0].Route != "r" || last[0].Status != 200 ||
+		last[0].Attempts != 1 || last[1].Entry || last[1].Server != "i-1" || last[1].Status != 200 || last[1].AgoMs > last[0].AgoMs {
 		t.Errorf("the way of a request is %+v, %v", way, err)
 	}
 
@@ -290,7 +290,7 @@
 				}
 				old = old || p.Identity == before
 			}
-			if s.Leads {
+			if s.IsLeader {
 				return voters == 3 && !old && len(s.Servers) == 1
 			}
 		}
--- a/internal/dataplane/sidecar/shutdown.go
+++ b/internal/dataplane/sidecar/shutdown.go
@@ -26,7 +26,7 @@
 	began := time.Now()
 	n.leaving.Store(true)
 	n.front.Leave()
-	n.log.Info("data.leaving")
+	n.log.Info("sidecar.shutting_down")
 	grace := n.set.Load().Bounds.Grace
 	idle := func() bool { return n.front.Pending() == 0 && n.inbound.Busy() == 0 }
 	for time.Since(began) < readingEnds(grace) && !(time.Since(began) >= clientsLeave && idle()) {
@@ -50,5 +50,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	n.gossip.Leave(ctx)
-	n.log.Info("data.left", "pending", n.front.Pending(), "busy", n.inbound.Busy())
+	n.log.Info("sidecar.stopped", "pending", n.front.Pending(), "busy", n.inbound.Busy())
 }
--- a/internal/distribution/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -28,8 +28,8 @@
 		age := a.Follower.Age()
 		if proof := readiness.Check(time.Since(a.began), age, a.Hub.Index()); proof != relay.NoProof {
 			a.ready.Store(true)
-			a.log.Info("data.ready", "index", a.Hub.Index(), "confirmed", proof != relay.Unconfirmed, "proof", string(proof),
-				"age", min(age, time.Hour))
+			a.log.Info("sidecar.ready", "index", a.Hub.Index(), "confirmed", proof != relay.Unconfirmed, "proof", string(proof),
+				"age_ms", min(age, time.Hour).Milliseconds())
 			return
 		}
 		select {
--- a/internal/distribution/relay/follow.go
+++ b/internal/distribution/relay/follow.go
@@ -56,7 +56,7 @@
 		why, err := f.follow(ctx, &selector, addr, began)
 		selector.Ended(time.Since(began), why)
 		if ctx.Err() == nil {
-			f.Log.Debug("relay.parent", "address", addr, "why", string(why), "err", err)
+			f.Log.Debug("relay.parent_left", "address", addr, "reason", string(why), "err", err)
 		}
 	}
 }
@@ -99,9 +99,9 @@
 // unreadableEvent names the log event of a feed that can't be read.
 func unreadableEvent(err error) string {
 	if errors.Is(err, ErrFormat) {
-		return "relay.format"
+		return "relay.format_unknown"
 	}
-	return "relay.unreadable"
+	return "relay.decode_failed"
 }
 
 // readable unpacks a feed of this node's format.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -109,7 +109,7 @@
 func (s *Set) Serve(ctx context.Context, address string, source *identity.Source, log *slog.Logger) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		log.Error("metrics.off", "err", err)
+		log.Error("metrics.listen_failed", "err", err)
 		return
 	}
 	if source != nil {
@@ -124,6 +124,6 @@
 	web := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
 	defer context.AfterFunc(ctx, func() { web.Close() })()
 	if err := web.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		log.Error("metrics.ended", "err", err)
+		log.Error("metrics.serve_failed", "err", err)
 	}
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -147,7 +147,7 @@
 }
 
 // Look asks a quorum member for what all nodes see.
-func (c *Client) Look(ctx context.Context) (l server.Look, err error) {
+func (c *Client) Look(ctx context.Context) (l server.NodeReports, err error) {
 	return l, c.fetch(ctx, "/look", &l)
 }
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -165,10 +165,10 @@
 		w.seen = stamp(w.path)
 		set, err := load(w.path, w.class)
 		if err != nil {
-			w.log.Error("settings.kept", "err", err)
+			w.log.Error("settings.reload_failed", "err", err)
 			continue
 		}
-		w.log.Info("settings.changed", "file", w.path)
+		w.log.Info("settings.reloaded", "file", w.path)
 		return set
 	}
 }
--- a/internal/simulation/demo/demo.go
+++ b/internal/simulation/demo/demo.go
@@ -354,7 +354,7 @@
 func (m *mesh) endLeader(ctx context.Context, core *operator.Client) error {
 	states, err := core.Status(ctx)
 	for _, s := range states {
-		if s.Leads {
+		if s.IsLeader {
 			m.say("         the leader, %s, is killed", s.Node)
 			m.mu.Lock()
 			defer m.mu.Unlock()
--- a/internal/simulation/scale/agree.go
+++ b/internal/simulation/scale/agree.go
@@ -27,7 +27,7 @@
 func (r *run) listed(ctx context.Context) int {
 	all, _ := r.core.Status(ctx)
 	for _, s := range all {
-		if s.Leads {
+		if s.IsLeader {
 			return len(s.Servers)
 		}
 	}
@@ -39,7 +39,7 @@
 	all, _ := r.core.Status(ctx)
 	for _, s := range all {
 		for _, c := range r.list(quorumRole) {
-			if s.Leads && s.Node == c.name {
+			if s.IsLeader && s.Node == c.name {
 				return c
 			}
 		}
--- a/internal/simulation/timeline/timeline.go
+++ b/internal/simulation/timeline/timeline.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"fmt"
 	"io"
 	"regexp"
@@ -37,7 +38,7 @@
 		if err != nil {
 			continue
 		}
-		e := Event{At: at, Machine: machine, Name: m[3]}
+		e := Event{At: at, Machine: machine, Name: cmp.Or(renamed[m[3]], m[3])}
 		if words := strings.Fields(m[1]); len(words) > 0 {
 			e.Machine = words[len(words)-1]
 		}
@@ -49,8 +50,11 @@
 	return list, nil
 }
 
+// renamed maps events of the version before to their present names, so that its logs are read as well.
+var renamed = map[string]string{"data.start": "sidecar.started", "server.new": "server.registered", "data.ready": "sidecar.ready"}
+
 // Steps of a start, in the order in which they wait for each other.
-var Steps = []string{"control.started", "leadership.acquired", "data.start", "server.new", "config.applied", "data.ready"}
+var Steps = []string{"control.started", "leadership.acquired", "sidecar.started", "server.registered", "config.applied", "sidecar.ready"}
 
 // calm is the time without a start that parts two waves.
 const calm = 3 * time.Second
@@ -74,7 +78,7 @@
 func Last(events []Event) (w Wave, ok bool) {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
-	starts := func(e Event) bool { return e.Name == "control.started" || e.Name == "data.start" }
+	starts := func(e Event) bool { return e.Name == "control.started" || e.Name == "sidecar.started" }
 	var before time.Time
 	for _, e := range events {
 		if !starts(e) {
--- a/internal/simulation/timeline/timeline_test.go
+++ b/internal/simulation/timeline/timeline_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("%+v, %v", w, ok)
 	}
 	const ms = time.Millisecond
-	want := Step{Name: "data.ready", Machines: 2, First: 300 * ms, Median: 450 * ms, Last: 450 * ms, Slowest: "n2"}
+	want := Step{Name: "sidecar.ready", Machines: 2, First: 300 * ms, Median: 450 * ms, Last: 450 * ms, Slowest: "n2"}
 	if got := w.Steps[3]; got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -148,10 +148,10 @@
 		if seen := stamp(s.files); seen != s.seen {
 			s.seen = seen
 			if h, err := read(s.files); err != nil {
-				s.log.Error("identity.kept", "err", err)
+				s.log.Error("identity.reload_failed", "err", err)
 			} else {
 				s.held = h
-				s.log.Info("identity.changed", "name", h.name.String(), "until", h.cert.Leaf.NotAfter)
+				s.log.Info("identity.reloaded", "name", h.name.String(), "not_after", h.cert.Leaf.NotAfter)
 			}
 		}
 	}
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -105,7 +105,7 @@
 		err = fmt.Errorf("no method %q", name)
 	case s.Identity != nil && !slices.Contains(m.roles, peer.Role):
 		s.Refused.Add(1)
-		s.log.Warn("rpc.refused", "peer", peer.String(), "from", st.c.nc.RemoteAddr().String(), "method", name)
+		s.log.Warn("rpc.rejected", "peer", peer.String(), "from", st.c.nc.RemoteAddr().String(), "method", name)
 		err = fmt.Errorf("%s may not call %s", peer, name)
 	default:
 		err = m.run(st)
@@ -142,7 +142,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return fmt.Errorf("accepting nodes: %w", err)
 			}
-			s.log.Warn("rpc.accept", "err", err)
+			s.log.Warn("rpc.accept_failed", "err", err)
 			select { // out of descriptors, most likely
 			case <-time.After(50 * time.Millisecond):
 			case <-ctx.Done():
@@ -168,7 +168,7 @@
 		secure := tls.Server(nc, s.Identity.Server())
 		if err := shake(ctx, secure); err != nil {
 			s.Refused.Add(1)
-			s.log.Warn("rpc.refused", "from", nc.RemoteAddr().String(), "err", err)
+			s.log.Warn("rpc.rejected", "from", nc.RemoteAddr().String(), "err", err)
 			nc.Close()
 			return
 		}
