--- a/cmd/ivydeckctl/store.go
+++ b/cmd/ivydeckctl/store.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("identity %016x\nterm %d, vote %016x\nsnapshot at %d, %d bytes\nentries %d\n", s.ID, s.Hard.GetTerm(), s.Hard.GetVote(),
+	fmt.Printf("identity %016x\nterm %d, vote %016x\nsnapshot at %d, %d bytes\nentries %d\n", s.ID, s.HardState.GetTerm(), s.HardState.GetVote(),
 		s.Snapshot.GetIndex(), len(s.Snapshot.GetData()), len(s.Entries))
 	for _, p := range s.Snapshot.GetPeers().GetPeers() {
 		fmt.Printf("member at the snapshot: %016x at %s, voter %v\n", p.Id, p.Address, p.Voter)
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -15,7 +15,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-const maxAway = 32 // probes under way
+const maxInFlight = 32 // probes under way
 
 // Gossip is one node's part in knowing all others.
 type Gossip struct {
@@ -25,17 +25,17 @@
 	began time.Time
 
 	mu    sync.Mutex
-	group *membership.Group
+	members *membership.Memberlist
 	wake  chan struct{}
-	away  chan struct{}
+	inFlight  chan struct{}
 	calls sync.WaitGroup
 }
 
 // New returns a driver; seeds may change their answer over time.
 func New(self *wire.Member, seed uint64, pool *rpc.Pool, seeds func() []string, log *slog.Logger) *Gossip {
 	return &Gossip{
-		pool: pool, log: log, seeds: seeds, began: time.Now(), group: membership.New(self, seed, 0),
-		wake: make(chan struct{}, 1), away: make(chan struct{}, maxAway),
+		pool: pool, log: log, seeds: seeds, began: time.Now(), members: membership.New(self, seed, 0),
+		wake: make(chan struct{}, 1), inFlight: make(chan struct{}, maxInFlight),
 	}
 }
 
@@ -43,7 +43,7 @@
 
 // Register names the methods that others call.
 func (g *Gossip) Register(s *rpc.Server) {
-	s.Handle("probe", rpc.Unary(g.probed))
+	s.Handle("probe", rpc.Unary(g.handleProbe))
 }
 
 // Members returns the nodes that are not dead, this one among them. The list and
@@ -51,14 +51,14 @@
 func (g *Gossip) Members() []*wire.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.group.Members()
+	return g.members.Members()
 }
 
-// Gone tells for how long a node has been dead; 0: it is not.
-func (g *Gossip) Gone(name string) time.Duration {
+// DeadFor tells for how long a node has been dead; 0: it is not.
+func (g *Gossip) DeadFor(name string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.group.Gone(g.now(), name)
+	return g.members.DeadFor(g.now(), name)
 }
 
 // Lost reports whether what stands on a node is to be taken off the list; watched is
@@ -66,26 +66,26 @@
 func (g *Gossip) Lost(name string, watched time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.group.Lost(g.now(), name, watched)
+	return g.members.Lost(g.now(), name, watched)
 }
 
 // Version rises whenever Members changes.
 func (g *Gossip) Version() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.group.Version()
+	return g.members.Version()
 }
 
 // Leave tells some others that this node goes.
 func (g *Gossip) Leave(ctx context.Context) {
 	g.mu.Lock()
-	g.group.Leave()
-	self, members := g.group.Self(), g.group.Members()
+	g.members.Leave()
+	self, members := g.members.Self(), g.members.Members()
 	g.mu.Unlock()
-	told := 0
+	notified := 0
 	for _, m := range members {
-		if m.Name != self.Name && told < 4 && g.exchange(ctx, m.Address, &wire.ProbeRequest{From: self, Updates: []*wire.Member{self}}, membership.ProbeTimeout) != nil {
-			told++
+		if m.Name != self.Name && notified < 4 && g.exchange(ctx, m.Address, &wire.ProbeRequest{From: self, Updates: []*wire.Member{self}}, membership.ProbeTimeout) != nil {
+			notified++
 		}
 	}
 }
@@ -103,11 +103,11 @@
 		}
 		now, seeds := g.now(), g.seeds()
 		g.mu.Lock()
-		actions := g.group.Tick(now, seeds)
-		next := g.group.Next() - now
+		actions := g.members.Tick(now, seeds)
+		next := g.members.NextTick() - now
 		g.mu.Unlock()
 		for _, a := range actions {
-			g.send(ctx, a)
+			g.sendProbe(ctx, a)
 		}
 		timer.Reset(max(next, 10*time.Millisecond))
 	}
@@ -116,27 +116,27 @@
 // start runs a call, unless too many are under way.
 func (g *Gossip) start(f func()) {
 	select {
-	case g.away <- struct{}{}:
+	case g.inFlight <- struct{}{}:
 	default:
 		return
 	}
 	g.calls.Go(func() {
-		defer func() { <-g.away }()
+		defer func() { <-g.inFlight }()
 		f()
 	})
 }
 
-func (g *Gossip) send(ctx context.Context, a membership.Action) {
+func (g *Gossip) sendProbe(ctx context.Context, a membership.Probe) {
 	g.start(func() {
-		answer := g.exchange(ctx, a.Address, a.Probe, a.Wait())
+		answer := g.exchange(ctx, a.Address, a.Request, a.Timeout())
 		if ctx.Err() != nil {
 			return
 		}
 		g.mu.Lock()
-		more := g.group.Probed(g.now(), a, answer)
+		more := g.members.HandleProbeResult(g.now(), a, answer)
 		g.mu.Unlock()
 		for _, m := range more {
-			g.send(ctx, m)
+			g.sendProbe(ctx, m)
 		}
 	})
 }
@@ -149,16 +149,16 @@
 	if err := g.pool.Call(ctx, addr, "probe", p, answer); err != nil {
 		return nil
 	}
-	g.hear(answer.Updates)
+	g.merge(answer.Updates)
 	return answer
 }
 
-func (g *Gossip) hear(updates []*wire.Member) {
+func (g *Gossip) merge(updates []*wire.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before := g.group.Version()
-	g.group.Merge(g.now(), updates...)
-	if g.group.Version() != before {
+	before := g.members.Version()
+	g.members.Merge(g.now(), updates...)
+	if g.members.Version() != before {
 		for _, n := range updates {
 			if n.State != wire.Member_ALIVE {
 				g.log.Debug("cluster.state_changed", "node", n.Name, "state", n.State.String())
@@ -167,25 +167,25 @@
 	}
 }
 
-// probed answers a probe, of this node or through it of another.
-func (g *Gossip) probed(ctx context.Context, p *wire.ProbeRequest) (*wire.ProbeResponse, error) {
+// handleProbe answers a probe, of this node or through it of another.
+func (g *Gossip) handleProbe(ctx context.Context, p *wire.ProbeRequest) (*wire.ProbeResponse, error) {
 	if p.From != nil {
 		if caller, ok := rpc.Caller(ctx); ok && (caller.Name != p.From.Name || (caller.Role == identity.Core) != p.From.QuorumMember) {
 			return nil, fmt.Errorf("the certificate is of %s, not of %s", caller, p.From.Name)
 		}
-		g.hear([]*wire.Member{p.From})
+		g.merge([]*wire.Member{p.From})
 	}
-	g.hear(p.Updates)
+	g.merge(p.Updates)
 	reached := true
 	if p.Target != nil {
 		g.mu.Lock()
-		self := g.group.Self()
+		self := g.members.Self()
 		g.mu.Unlock()
 		reached = g.exchange(ctx, p.Target.Address, &wire.ProbeRequest{From: self}, membership.ProbeTimeout) != nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	answer := g.group.Answer(p)
+	answer := g.members.HandleProbe(p)
 	answer.Reached = reached
 	return answer, nil
 }
--- a/internal/cluster/membership/agreement_test.go
+++ b/internal/cluster/membership/agreement_test.go
@@ -75,16 +75,16 @@
 	f.untilAgreed(time.Minute)
 	for name, g := range f.groups { // probes tell of it no more
 		if m := g.members["n7"]; name != "n7" {
-			m.transmits = passedOn
+			m.transmits = transmitLimitReached
 		}
 	}
 	for i := 100; i < 100+missed; i++ {
 		g := f.groups[fmt.Sprint("n", i)]
 		m := g.members["n7"]
-		g.toggle(m.Member)
+		g.toggleDigest(m.Member)
 		m.Member = &wire.Member{Name: "n7", Address: "n7", Generation: 1}
-		g.toggle(m.Member)
-		g.compareAt = f.now + time.Hour
+		g.toggleDigest(m.Member)
+		g.nextPushPullAt = f.now + time.Hour
 	}
 	if took := f.untilAgreed(time.Minute); took > bound {
 		t.Errorf("%d nodes that missed a change know of it after %v, want %v", missed, took, bound)
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -16,7 +16,7 @@
 	t      *testing.T
 	rng    *rand.Rand
 	now    time.Duration
-	groups map[string]*Group
+	groups map[string]*Memberlist
 	loss   float64
 	cut    func(a, b string) bool
 }
@@ -36,7 +36,7 @@
 	if p.Target != nil {
 		reached = f.exchange(to, p.Target.Name, &wire.ProbeRequest{From: g.Self()}) != nil
 	}
-	answer := g.Answer(p)
+	answer := g.HandleProbe(p)
 	answer.Reached = reached
 	f.groups[from].Merge(f.now, answer.Updates...)
 	return answer
@@ -51,19 +51,19 @@
 				a := todo[0]
 				to := a.Target
 				switch {
-				case a.Helper != "":
-					to = a.Helper
+				case a.Via != "":
+					to = a.Via
 				case to == "":
 					to = a.Address
 				}
-				todo = append(todo[1:], g.Probed(f.now, a, f.exchange(g.Self().Name, to, a.Probe))...)
+				todo = append(todo[1:], g.HandleProbeResult(f.now, a, f.exchange(g.Self().Name, to, a.Request))...)
 			}
 		}
 	}
 }
 
 func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(1, 2)), groups: map[string]*Group{}}
+	f := &fleet{t: t, rng: rand.New(rand.NewPCG(1, 2)), groups: map[string]*Memberlist{}}
 	for i := range n {
 		name := fmt.Sprint("n", i)
 		f.groups[name] = New(&wire.Member{Name: name, Address: name, Generation: 1}, uint64(i), 0)
@@ -97,7 +97,7 @@
 	f.run(20 * time.Second)
 	f.want(19, "after a death")
 	for name, g := range f.groups {
-		if g.Gone(f.now, "n7") == 0 {
+		if g.DeadFor(f.now, "n7") == 0 {
 			t.Errorf("%s does not hold n7 for gone", name)
 		}
 	}
--- a/internal/cluster/membership/probing.go
+++ b/internal/cluster/membership/probing.go
@@ -7,141 +7,141 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Action is a probe to send: to Helper about Target where a helper is set, to
+// Probe is a probe to send: to Helper about Target where a helper is set, to
 // Target itself, or with neither only to compare views. The driver answers with
 // Probed.
-type Action struct {
+type Probe struct {
 	Target  string
-	Helper  string
+	Via  string
 	Address string // where to
-	Probe   *wire.ProbeRequest
+	Request   *wire.ProbeRequest
 }
 
-// Wait is how long the driver waits for the answer.
-func (a Action) Wait() time.Duration {
+// Timeout is how long the driver waits for the answer.
+func (a Probe) Timeout() time.Duration {
 	switch {
 	case a.Target == "":
-		return comparisonTimeout
-	case a.Helper != "":
+		return pushPullTimeout
+	case a.Via != "":
 		return 2 * ProbeTimeout
 	}
 	return ProbeTimeout
 }
 
-// Next is when Tick is due.
-func (g *Group) Next() time.Duration { return g.next }
+// NextTick is when Tick is due.
+func (l *Memberlist) NextTick() time.Duration { return l.nextTickAt }
 
 // Tick begins the next probe, ends suspicions that nobody has refuted, and at
 // times asks seeds, given by address, for what they know.
-func (g *Group) Tick(now time.Duration, seeds []string) []Action {
-	g.now = now
-	keep := g.unreachable[:0]
-	for _, m := range g.unreachable {
+func (l *Memberlist) Tick(now time.Duration, seeds []string) []Probe {
+	l.now = now
+	kept := l.unreachable[:0]
+	for _, m := range l.unreachable {
 		switch {
-		case m.State == wire.Member_SUSPECT && now-m.since >= suspicionTimeout:
-			g.setState(m, wire.Member_DEAD)
-			keep = append(keep, m)
-		case !reachable(m.State) && now-m.since >= deadRetention:
-			delete(g.members, m.Name)
-			g.all = slices.DeleteFunc(g.all, func(x *member) bool { return x == m })
+		case m.State == wire.Member_SUSPECT && now-m.stateChangedAt >= suspicionTimeout:
+			l.setState(m, wire.Member_DEAD)
+			kept = append(kept, m)
+		case !reachable(m.State) && now-m.stateChangedAt >= deadRetention:
+			delete(l.members, m.Name)
+			l.sortedMembers = slices.DeleteFunc(l.sortedMembers, func(x *member) bool { return x == m })
 			m.unreachable = false
 		case m.State == wire.Member_ALIVE:
 			m.unreachable = false
 		default:
-			keep = append(keep, m)
+			kept = append(kept, m)
 		}
 	}
-	clear(g.unreachable[len(keep):])
-	g.unreachable = keep
-	if now < g.next {
+	clear(l.unreachable[len(kept):])
+	l.unreachable = kept
+	if now < l.nextTickAt {
 		return nil
 	}
-	g.next = now + ProbeInterval
-	var out []Action
-	if m := g.nextTarget(); m != nil {
-		m.probing, m.asked = true, 0
-		out = append(out, Action{Target: m.Name, Address: m.Address, Probe: &wire.ProbeRequest{From: g.self, Updates: g.updates()}})
+	l.nextTickAt = now + ProbeInterval
+	var probes []Probe
+	if m := l.nextProbeTarget(); m != nil {
+		m.probing, m.pendingIndirect = true, 0
+		probes = append(probes, Probe{Target: m.Name, Address: m.Address, Request: &wire.ProbeRequest{From: l.self, Updates: l.nextBroadcasts()}})
 	}
-	return append(out, g.compare(seeds)...)
+	return append(probes, l.pushPull(seeds)...)
 }
 
-// compare begins to compare views, once it is time.
-func (g *Group) compare(seeds []string) (out []Action) {
-	alone := len(g.members) == 0
+// pushPull begins to compare views, once it is time.
+func (l *Memberlist) pushPull(seeds []string) (probes []Probe) {
+	alone := len(l.members) == 0
 	if alone {
-		g.next = min(g.next, g.now+joinInterval)
-	} else if g.now < g.compareAt {
+		l.nextTickAt = min(l.nextTickAt, l.now+joinInterval)
+	} else if l.now < l.nextPushPullAt {
 		return nil
 	}
-	g.compareWait = min(max(2*g.compareWait, g.shortestComparisonInterval()), g.longestComparisonInterval())
-	g.comparedAt, g.compareAt = g.now, g.now+g.compareWait
-	for _, address := range g.comparisonTargets(seeds) {
-		out = append(out, g.comparison(address, rangesFor(len(g.members))))
+	l.pushPullInterval = min(max(2*l.pushPullInterval, l.minPushPullInterval()), l.maxPushPullInterval())
+	l.lastPushPullAt, l.nextPushPullAt = l.now, l.now+l.pushPullInterval
+	for _, address := range l.pushPullTargets(seeds) {
+		probes = append(probes, l.pushPullProbe(address, rangesFor(len(l.members))))
 	}
-	return out
+	return probes
 }
 
-// nextTarget returns the next member of a round in random order.
-func (g *Group) nextTarget() *member {
+// nextProbeTarget returns the next member of a round in random order.
+func (l *Memberlist) nextProbeTarget() *member {
 	for range 2 {
-		for len(g.order) > 0 {
-			m := g.order[0]
-			g.order = g.order[1:]
+		for len(l.probeRound) > 0 {
+			m := l.probeRound[0]
+			l.probeRound = l.probeRound[1:]
 			if !m.probing && reachable(m.State) {
 				return m
 			}
 		}
-		g.order = slices.Clone(g.sorted()) // one that is forgotten meanwhile is not up
-		g.rng.Shuffle(len(g.order), func(i, j int) { g.order[i], g.order[j] = g.order[j], g.order[i] })
+		l.probeRound = slices.Clone(l.sorted()) // one that is forgotten meanwhile is not up
+		l.rng.Shuffle(len(l.probeRound), func(i, j int) { l.probeRound[i], l.probeRound[j] = l.probeRound[j], l.probeRound[i] })
 	}
 	return nil
 }
 
-// Probed takes the answer to an action; nil: none came. What it says of others goes to
+// HandleProbeResult takes the answer to an action; nil: none came. What it says of others goes to
 // Merge first.
-func (g *Group) Probed(now time.Duration, a Action, answer *wire.ProbeResponse) []Action {
-	g.now = now
-	if a.Target == "" {
-		return g.compared(a, answer)
+func (l *Memberlist) HandleProbeResult(now time.Duration, probe Probe, answer *wire.ProbeResponse) []Probe {
+	l.now = now
+	if probe.Target == "" {
+		return l.handlePushPull(probe, answer)
 	}
 	reached := answer != nil && answer.Reached
-	m := g.members[a.Target]
+	m := l.members[probe.Target]
 	if m == nil || !m.probing {
 		return nil
 	}
 	if reached {
 		m.probing = false
 		if m.State == wire.Member_SUSPECT { // it refutes by itself; this only saves the time until then
-			g.setState(m, wire.Member_ALIVE)
+			l.setState(m, wire.Member_ALIVE)
 		}
 		return nil
 	}
-	if a.Helper == "" {
-		var out []Action
-		for _, h := range g.drawHelpers(a.Target) {
-			out = append(out, Action{Target: m.Name, Helper: h.Name, Address: h.Address,
-				Probe: &wire.ProbeRequest{Target: m.Member, From: g.self, Updates: g.updates()}})
+	if probe.Via == "" {
+		var probes []Probe
+		for _, h := range l.randomAliveMembers(probe.Target) {
+			probes = append(probes, Probe{Target: m.Name, Via: h.Name, Address: h.Address,
+				Request: &wire.ProbeRequest{Target: m.Member, From: l.self, Updates: l.nextBroadcasts()}})
 		}
-		if m.asked = uint8(len(out)); m.asked > 0 {
-			return out
+		if m.pendingIndirect = uint8(len(probes)); m.pendingIndirect > 0 {
+			return probes
 		}
-	} else if m.asked--; m.asked > 0 {
+	} else if m.pendingIndirect--; m.pendingIndirect > 0 {
 		return nil
 	}
 	m.probing = false
 	if m.State == wire.Member_ALIVE {
-		g.setState(m, wire.Member_SUSPECT)
+		l.setState(m, wire.Member_SUSPECT)
 	}
 	return nil
 }
 
-// drawHelpers draws third parties.
-func (g *Group) drawHelpers(but string) []*member {
-	all := g.sorted()
+// randomAliveMembers draws third parties.
+func (l *Memberlist) randomAliveMembers(except string) []*member {
+	all := l.sorted()
 	var list []*member
 	for range 8 * indirectProbes { // enough, unless most are unreachable
-		m := all[g.rng.IntN(len(all))]
-		if m.Name != but && m.State == wire.Member_ALIVE && !slices.Contains(list, m) {
+		m := all[l.rng.IntN(len(all))]
+		if m.Name != except && m.State == wire.Member_ALIVE && !slices.Contains(list, m) {
 			if list = append(list, m); len(list) == indirectProbes {
 				break
 			}
--- a/internal/cluster/membership/ranges.go
+++ b/internal/cluster/membership/ranges.go
@@ -13,8 +13,8 @@
 // sends none of its own: one that was cut off would bring back the dead that all others have forgotten. A member belongs to a range by the hash of its name. A range of many is the union of neighbouring ones of more.
 const (
 	maxRanges       = 1024 // a power of two
-	membersOfRange  = 16   // some as many are wanted in each
-	comparedAsWhole = 64   // views of so few members are sent whole, which saves a round trip
+	membersPerRange  = 16   // some as many are wanted in each
+	maxFullViewMembers = 64   // views of so few members are sent whole, which saves a round trip
 )
 
 // rangeDigests are the digests of the members that are not dead, by their range of maxRanges.
@@ -45,24 +45,24 @@
 	return digestOfHash(nameHash(m.Name), m.Generation)
 }
 
-// toggle takes a member into the digests, or out of them.
-func (g *Group) toggle(m *wire.Member) {
+// toggleDigest takes a member into the digests, or out of them.
+func (l *Memberlist) toggleDigest(m *wire.Member) {
 	if !reachable(m.State) {
 		return
 	}
 	hash := nameHash(m.Name)
 	d := digestOfHash(hash, m.Generation)
-	g.digest ^= d
-	g.ranges[finestRange(hash)] ^= d
+	l.digest ^= d
+	l.ranges[finestRange(hash)] ^= d
 }
 
 // rangesFor returns into how many ranges a view of so many members is divided for a comparison; 0: it is sent whole.
 func rangesFor(members int) uint32 {
-	if members <= comparedAsWhole {
+	if members <= maxFullViewMembers {
 		return 0
 	}
 	n := uint32(1)
-	for int(n)*membersOfRange < members && n < maxRanges {
+	for int(n)*membersPerRange < members && n < maxRanges {
 		n *= 2
 	}
 	return n
@@ -72,18 +72,18 @@
 func validRanges(n uint32) bool { return n > 0 && n <= maxRanges && n&(n-1) == 0 }
 
 // digestsOf returns the digests of n ranges, this node's own entry among them.
-func (g *Group) digestsOf(n uint32) []uint64 {
+func (l *Memberlist) digestsOf(n uint32) []uint64 {
 	merged := make([]uint64, n)
 	width := maxRanges / n
-	for i, d := range g.ranges {
+	for i, d := range l.ranges {
 		merged[uint32(i)/width] ^= d
 	}
-	merged[uint32(finestRange(nameHash(g.self.Name)))/width] ^= digest(g.self)
+	merged[uint32(finestRange(nameHash(l.self.Name)))/width] ^= digest(l.self)
 	return merged
 }
 
 // membersOf returns what is known of the members of some of n ranges, the dead among them.
-func (g *Group) membersOf(n uint32, wanted []uint32) (list []*wire.Member) {
+func (l *Memberlist) membersOf(n uint32, wanted []uint32) (list []*wire.Member) {
 	width := uint16(maxRanges / n)
 	var in [maxRanges]bool
 	for _, r := range wanted {
@@ -91,7 +91,7 @@
 			in[r] = true
 		}
 	}
-	for _, m := range g.sorted() {
+	for _, m := range l.sorted() {
 		if in[m.finestRange/width] {
 			list = append(list, m.Member)
 		}
@@ -99,42 +99,42 @@
 	return list
 }
 
-// Answer returns what goes back to a node that has sent a probe: updates, or what it needs to compare its view with this
+// HandleProbe returns what goes back to a node that has sent a probe: updates, or what it needs to compare its view with this
 // one, where that is asked for and the two differ. What the probe says of others goes to Merge first.
-func (g *Group) Answer(p *wire.ProbeRequest) *wire.ProbeResponse {
-	if !p.FullView || p.Digest == g.Digest() {
-		return &wire.ProbeResponse{Updates: g.updates()}
+func (l *Memberlist) HandleProbe(p *wire.ProbeRequest) *wire.ProbeResponse {
+	if !p.FullView || p.Digest == l.Digest() {
+		return &wire.ProbeResponse{Updates: l.nextBroadcasts()}
 	}
 	if len(p.Differing) == 0 {
-		g.compareSoon()
+		l.schedulePushPull()
 	}
 	switch {
 	case !validRanges(p.Ranges):
-		return &wire.ProbeResponse{Updates: g.wholeView()}
+		return &wire.ProbeResponse{Updates: l.fullView()}
 	case len(p.Differing) == 0:
-		return &wire.ProbeResponse{Updates: g.updates(), RangeDigests: g.digestsOf(p.Ranges)}
+		return &wire.ProbeResponse{Updates: l.nextBroadcasts(), RangeDigests: l.digestsOf(p.Ranges)}
 	}
-	return &wire.ProbeResponse{Updates: append([]*wire.Member{g.self}, g.membersOf(p.Ranges, p.Differing)...)}
+	return &wire.ProbeResponse{Updates: append([]*wire.Member{l.self}, l.membersOf(p.Ranges, p.Differing)...)}
 }
 
-// wholeView is all that is known.
-func (g *Group) wholeView() []*wire.Member {
-	out := []*wire.Member{g.self}
-	for _, m := range g.sorted() {
-		out = append(out, m.Member)
+// fullView is all that is known.
+func (l *Memberlist) fullView() []*wire.Member {
+	view := []*wire.Member{l.self}
+	for _, m := range l.sorted() {
+		view = append(view, m.Member)
 	}
-	return out
+	return view
 }
 
-// compared takes the answer to a comparison: where it brings digests of ranges, the members of those that differ are
+// handlePushPull takes the answer to a comparison: where it brings digests of ranges, the members of those that differ are
 // asked for next, or the whole view, if most do.
-func (g *Group) compared(a Action, answer *wire.ProbeResponse) []Action {
-	n := a.Probe.Ranges
+func (l *Memberlist) handlePushPull(probe Probe, answer *wire.ProbeResponse) []Probe {
+	n := probe.Request.Ranges
 	if answer == nil || !validRanges(n) || len(answer.RangeDigests) != int(n) {
 		return nil
 	}
 	var differing []uint32
-	for i, d := range g.digestsOf(n) {
+	for i, d := range l.digestsOf(n) {
 		if d != answer.RangeDigests[i] {
 			differing = append(differing, uint32(i))
 		}
@@ -143,61 +143,61 @@
 	case len(differing) == 0:
 		return nil
 	case len(differing) > int(n/2):
-		return []Action{g.comparison(a.Address, 0)}
+		return []Probe{l.pushPullProbe(probe.Address, 0)}
 	}
-	next := g.comparison(a.Address, n)
-	next.Probe.Differing = differing
-	return []Action{next}
+	next := l.pushPullProbe(probe.Address, n)
+	next.Request.Differing = differing
+	return []Probe{next}
 }
 
-// comparison is the question that begins to compare views by so many ranges; 0: it asks for the whole view.
-func (g *Group) comparison(address string, ranges uint32) Action {
-	return Action{Address: address, Probe: &wire.ProbeRequest{From: g.self, FullView: true, Digest: g.Digest(), Ranges: ranges}}
+// pushPullProbe is the question that begins to compare views by so many ranges; 0: it asks for the whole view.
+func (l *Memberlist) pushPullProbe(address string, ranges uint32) Probe {
+	return Probe{Address: address, Request: &wire.ProbeRequest{From: l.self, FullView: true, Digest: l.Digest(), Ranges: ranges}}
 }
 
-// shortestComparisonInterval bounds what comparisons cost while views change.
-func (g *Group) shortestComparisonInterval() time.Duration {
+// minPushPullInterval bounds what comparisons cost while views change.
+func (l *Memberlist) minPushPullInterval() time.Duration {
 	const digestBytes = 8
-	bytes := digestBytes * rangesFor(len(g.members))
-	return max(minComparisonInterval, time.Duration(bytes)*time.Second/comparisonRate)
+	bytes := digestBytes * rangesFor(len(l.members))
+	return max(minPushPullInterval, time.Duration(bytes)*time.Second/maxPushPullBytesPerSecond)
 }
 
-// longestComparisonInterval bounds how long a difference lasts that nobody has noticed.
-func (g *Group) longestComparisonInterval() time.Duration {
-	inProportion := comparisonInterval * time.Duration(1+len(g.members)/comparisonScale)
-	return max(min(maxComparisonInterval, inProportion), g.shortestComparisonInterval())
+// maxPushPullInterval bounds how long a difference lasts that nobody has noticed.
+func (l *Memberlist) maxPushPullInterval() time.Duration {
+	inProportion := pushPullInterval * time.Duration(1+len(l.members)/pushPullScale)
+	return max(min(maxPushPullInterval, inProportion), l.minPushPullInterval())
 }
 
-// compareSoon has this node compare its view with another before long, as the view has changed, or differs from that of a
+// schedulePushPull has this node compare its view with another before long, as the view has changed, or differs from that of a
 // node that has asked. Who has missed a change that all others know of is asked soon by one of them, and then asks as well.
-func (g *Group) compareSoon() {
-	shortest := g.shortestComparisonInterval()
-	g.compareWait = shortest / 2                           // which the next comparison doubles
-	spread := time.Duration(g.rng.Int64N(int64(shortest))) // a change reaches many nodes at about the same time
-	g.compareAt = min(g.compareAt, max(g.now+shortest/2+spread, g.comparedAt+shortest))
+func (l *Memberlist) schedulePushPull() {
+	shortest := l.minPushPullInterval()
+	l.pushPullInterval = shortest / 2                           // which the next comparison doubles
+	spread := time.Duration(l.rng.Int64N(int64(shortest))) // a change reaches many nodes at about the same time
+	l.nextPushPullAt = min(l.nextPushPullAt, max(l.now+shortest/2+spread, l.lastPushPullAt+shortest))
 }
 
-// comparisonTargets returns the addresses of those with whom this node compares its view now. In a large mesh that is most
+// pushPullTargets returns the addresses of those with whom this node compares its view now. In a large mesh that is most
 // often another node, drawn by lot: the seeds, which join what was partitioned, would have to answer all of them.
-func (g *Group) comparisonTargets(seeds []string) []string {
-	g.comparisons++
-	if len(g.members) > comparisonScale && g.comparisons%seedComparisons != 1 {
-		if helpers := g.drawHelpers(""); len(helpers) > 0 {
+func (l *Memberlist) pushPullTargets(seeds []string) []string {
+	l.pushPulls++
+	if len(l.members) > pushPullScale && l.pushPulls%pushPullsPerSeedPushPull != 1 {
+		if helpers := l.randomAliveMembers(""); len(helpers) > 0 {
 			return []string{helpers[0].Address}
 		}
 	}
-	return g.drawSeeds(seeds)
+	return l.randomSeeds(seeds)
 }
 
-// drawSeeds returns two of the seeds, drawn by lot: one may be unreachable.
-func (g *Group) drawSeeds(seeds []string) (drawn []string) {
+// randomSeeds returns two of the seeds, drawn by lot: one may be unreachable.
+func (l *Memberlist) randomSeeds(seeds []string) (drawn []string) {
 	if len(seeds) == 0 {
 		return nil
 	}
-	at := g.rng.IntN(len(seeds))
+	at := l.rng.IntN(len(seeds))
 	for i := range seeds {
 		address := seeds[(at+i)%len(seeds)]
-		if address != g.self.Address && len(drawn) < 2 && !slices.Contains(drawn, address) {
+		if address != l.self.Address && len(drawn) < 2 && !slices.Contains(drawn, address) {
 			drawn = append(drawn, address)
 		}
 	}
--- a/internal/cluster/membership/ranges_test.go
+++ b/internal/cluster/membership/ranges_test.go
@@ -12,21 +12,21 @@
 )
 
 // compare has one group compare its view with another's, as a driver does, and returns the bytes of all messages.
-func compare(now time.Duration, asks, answers *Group) (bytes, messages int) {
-	todo := []Action{asks.comparison(answers.self.Address, rangesFor(len(asks.members)))}
+func compare(now time.Duration, asks, answers *Memberlist) (bytes, messages int) {
+	todo := []Probe{asks.pushPullProbe(answers.self.Address, rangesFor(len(asks.members)))}
 	for len(todo) > 0 {
-		p := todo[0].Probe
+		p := todo[0].Request
 		answers.Merge(now, p.From)
-		answer := answers.Answer(p)
+		answer := answers.HandleProbe(p)
 		asks.Merge(now, answer.Updates...)
 		bytes += proto.Size(p) + proto.Size(answer)
 		messages += 2
-		todo = append(todo[1:], asks.Probed(now, todo[0], answer)...)
+		todo = append(todo[1:], asks.HandleProbeResult(now, todo[0], answer)...)
 	}
 	return bytes, messages
 }
 
-func groupOf(name string, members []*wire.Member) *Group {
+func groupOf(name string, members []*wire.Member) *Memberlist {
 	g := New(&wire.Member{Name: name, Address: name, Generation: 1}, 1, 0)
 	g.Load(0, members)
 	return g
@@ -39,7 +39,7 @@
 		rng := rand.New(rand.NewPCG(seed, 0xd16e))
 		all := []int{3, 60, 70, 300, 2000}[rng.IntN(5)]
 		share := []float64{0, 0.01, 0.2, 0.9}[rng.IntN(4)]
-		groups := []*Group{groupOf("x", nil), groupOf("y", nil)}
+		groups := []*Memberlist{groupOf("x", nil), groupOf("y", nil)}
 		newest := map[string]uint64{}
 		for i := range all {
 			name := fmt.Sprint("n", i)
@@ -73,12 +73,12 @@
 }
 
 // checkDigests holds the digests that were kept up against those of the members.
-func checkDigests(t *testing.T, seed uint64, groups ...*Group) {
+func checkDigests(t *testing.T, seed uint64, groups ...*Memberlist) {
 	t.Helper()
 	for _, g := range groups {
 		want := New(g.self, 1, 0)
 		for _, m := range g.members {
-			want.toggle(m.Member)
+			want.toggleDigest(m.Member)
 		}
 		if g.digest != want.digest || g.ranges != want.ranges {
 			t.Fatalf("seed %d: the digests of %s are not those of its members", seed, g.self.Name)
@@ -104,7 +104,7 @@
 		members = append(members, &wire.Member{Name: name, Address: "10.200.100.100:7380", Zone: "some-zone", Generation: 1 << 50})
 	}
 	x, y := groupOf("x", members), groupOf("y", append(members, &wire.Member{Name: "another", Address: "another", Generation: 1}))
-	whole := proto.Size(y.Answer(&wire.ProbeRequest{FullView: true}))
+	whole := proto.Size(y.HandleProbe(&wire.ProbeRequest{FullView: true}))
 	bytes, messages := compare(0, x, y)
 	if x.members["another"] == nil || messages != 4 || bytes > 12<<10 || whole < 50*bytes {
 		t.Errorf("known: %v, after %d messages of %d bytes; a whole view has %d", x.members["another"] != nil, messages, bytes, whole)
@@ -120,14 +120,14 @@
 func TestComparisonsAreBounded(t *testing.T) {
 	g := groupOf("x", []*wire.Member{{Name: "n", Address: "n", Generation: 1}})
 	for _, ranges := range []uint32{3, maxRanges * 2, 1 << 31} {
-		if a := g.Answer(&wire.ProbeRequest{FullView: true, Ranges: ranges, Differing: []uint32{1 << 30}}); len(a.Updates) != 2 || len(a.RangeDigests) > 0 {
+		if a := g.HandleProbe(&wire.ProbeRequest{FullView: true, Ranges: ranges, Differing: []uint32{1 << 30}}); len(a.Updates) != 2 || len(a.RangeDigests) > 0 {
 			t.Errorf("%d ranges: %v", ranges, a)
 		}
 	}
-	if a := g.Answer(&wire.ProbeRequest{FullView: true, Ranges: 4, Differing: []uint32{4, 1 << 31}}); len(a.Updates) != 1 {
+	if a := g.HandleProbe(&wire.ProbeRequest{FullView: true, Ranges: 4, Differing: []uint32{4, 1 << 31}}); len(a.Updates) != 1 {
 		t.Errorf("ranges that are not there: %v", a)
 	}
-	if more := g.Probed(0, g.comparison("y", 4), &wire.ProbeResponse{RangeDigests: make([]uint64, 5)}); more != nil {
+	if more := g.HandleProbeResult(0, g.pushPullProbe("y", 4), &wire.ProbeResponse{RangeDigests: make([]uint64, 5)}); more != nil {
 		t.Errorf("an answer of another number of ranges: %v", more)
 	}
 }
--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -205,8 +205,8 @@
 	}
 	peers := &wire.Peers{Peers: []*wire.Peer{{Id: s.ID, Address: address, ControlAddress: control, Voter: true}}}
 	err = s.Save(store.Batch{
-		Snapshot: &wire.RaftSnapshot{Term: b.Term + 1, Index: b.Index + 1, Peers: peers, Data: data}, Whole: true,
-		Hard: &wire.HardState{Term: b.Term + 1},
+		Snapshot: &wire.RaftSnapshot{Term: b.Term + 1, Index: b.Index + 1, Peers: peers, Data: data}, ReplacesLog: true,
+		HardState: &wire.HardState{Term: b.Term + 1},
 	})
 	if err = errors.Join(err, s.Close()); err != nil {
 		return fmt.Errorf("backup: %s: %w", filepath.Join(dir, "log"), err)
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -43,7 +43,7 @@
 		}
 		entries = append(entries, &wire.Entry{Term: 3, Index: uint64(i + 1), Data: data})
 	}
-	if err := s.Save(store.Batch{Hard: &wire.HardState{Term: 3}, Entries: entries}); err != nil {
+	if err := s.Save(store.Batch{HardState: &wire.HardState{Term: 3}, Entries: entries}); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -77,8 +77,8 @@
 		t.Fatal(err)
 	}
 	peers := s.Snapshot.GetPeers().GetPeers()
-	if len(peers) != 1 || peers[0].Id != s.ID || !peers[0].Voter || peers[0].Address != "1.2.3.4:5" || s.Hard.GetTerm() <= b.Term || s.Snapshot.Index <= b.Index {
-		t.Errorf("members %v, term %d, index %d", peers, s.Hard.GetTerm(), s.Snapshot.Index)
+	if len(peers) != 1 || peers[0].Id != s.ID || !peers[0].Voter || peers[0].Address != "1.2.3.4:5" || s.HardState.GetTerm() <= b.Term || s.Snapshot.Index <= b.Index {
+		t.Errorf("members %v, term %d, index %d", peers, s.HardState.GetTerm(), s.Snapshot.Index)
 	}
 	again, _, err := OfStore(made)
 	if err != nil || again.State.Revision() != 4 || len(again.State.Servers()) != 1 || again.State.Servers()[0].Member != "i-1" || again.State.Index() <= b.State.Index() {
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -16,8 +16,8 @@
 // state.
 const maxAccepted = 16384
 
-// maxAcceptedBefore is the bound of the versions whose snapshots do not say what has been forgotten.
-const maxAcceptedBefore = 1024
+// earlierMaxAccepted is the bound of the versions whose snapshots do not say what has been forgotten.
+const earlierMaxAccepted = 1024
 
 // Change identifies a configuration: two may have one revision.
 type Change struct {
@@ -38,13 +38,13 @@
 // their order, and all that is forgotten is below all that is remembered.
 type acceptedChanges struct {
 	newest    []Change // ascending by revision
-	forgotten uint64   // the highest revision that is no longer remembered; 0: none is
+	highestForgotten uint64   // the highest revision that is no longer remembered; 0: none is
 	limit     int      // of how many are remembered; 0: maxAccepted
 }
 
-// RememberAccepted bounds how many accepted changes are remembered; 0: as many as usual. Small bounds reach in a short
+// SetAcceptedLimit bounds how many accepted changes are remembered; 0: as many as usual. Small bounds reach in a short
 // simulation what service reaches in hours.
-func (c *Catalog) RememberAccepted(limit int) { c.accepted.limit = limit }
+func (c *Catalog) SetAcceptedLimit(limit int) { c.accepted.limit = limit }
 
 // add remembers a change whose revision is above all others.
 func (a *acceptedChanges) add(c Change) {
@@ -54,7 +54,7 @@
 		return
 	}
 	drop := max(1, limit/8) // some at a time: each move costs the whole list
-	a.forgotten = a.newest[drop-1].revision
+	a.highestForgotten = a.newest[drop-1].revision
 	a.newest = slices.Delete(a.newest, 0, drop)
 }
 
@@ -69,7 +69,7 @@
 // mayHaveForgotten reports whether a change may have been accepted and forgotten since. A change was accepted on top of a
 // revision below its own, so one that says otherwise never was.
 func (a *acceptedChanges) mayHaveForgotten(base, revision uint64) bool {
-	return base < revision && revision <= a.forgotten
+	return base < revision && revision <= a.highestForgotten
 }
 
 // encode puts the memory into a snapshot.
@@ -78,17 +78,17 @@
 	for i := range a.newest {
 		s.Accepted[i] = &wire.AcceptedConfig{Revision: a.newest[i].revision, Hash: a.newest[i].digest[:]}
 	}
-	s.ForgottenRevision = &a.forgotten
+	s.ForgottenRevision = &a.highestForgotten
 }
 
 // decode replaces the memory by that of a snapshot.
 func (a *acceptedChanges) decode(s *wire.Snapshot) {
-	a.newest, a.forgotten = make([]Change, len(s.GetAccepted())), s.GetForgottenRevision()
+	a.newest, a.highestForgotten = make([]Change, len(s.GetAccepted())), s.GetForgottenRevision()
 	for i, t := range s.GetAccepted() {
 		a.newest[i].revision = t.Revision
 		copy(a.newest[i].digest[:], t.Hash)
 	}
-	if s.ForgottenRevision == nil && len(a.newest) >= maxAcceptedBefore { // there may have been others
-		a.forgotten = a.newest[0].revision - 1
+	if s.ForgottenRevision == nil && len(a.newest) >= earlierMaxAccepted { // there may have been others
+		a.highestForgotten = a.newest[0].revision - 1
 	}
 }
--- a/internal/controlplane/catalog/accepted_test.go
+++ b/internal/controlplane/catalog/accepted_test.go
@@ -72,7 +72,7 @@
 
 // TestSnapshotsOfOldVersions: one that is full has forgotten, and does not say so.
 func TestSnapshotsOfOldVersions(t *testing.T) {
-	for _, kept := range []int{maxAcceptedBefore, maxAcceptedBefore - 1} {
+	for _, kept := range []int{earlierMaxAccepted, earlierMaxAccepted - 1} {
 		s := &wire.Snapshot{State: &wire.State{Config: config(t, 9000, nil)}}
 		for i := range kept {
 			s.Accepted = append(s.Accepted, &wire.AcceptedConfig{Revision: uint64(5000 + i), Hash: make([]byte, 32)})
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		want := ErrStale
-		if kept == maxAcceptedBefore {
+		if kept == earlierMaxAccepted {
 			want = ErrForgotten
 		}
 		if _, err := c.Apply(put(4, config(t, 4999, nil))); !errors.Is(err, want) {
--- a/internal/controlplane/catalog/bench_test.go
+++ b/internal/controlplane/catalog/bench_test.go
@@ -57,7 +57,7 @@
 		}
 		cmd := before.Command(1, config, body)
 		node := NewView()
-		node.Apply(c.Whole())
+		node.Apply(c.FullChanges())
 		changes, err := c.Apply(cmd)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -51,17 +51,17 @@
 // Servers are those that are registered, by name.
 func (c *Catalog) Servers() []*wire.Server { return c.view.Servers() }
 
-// On returns the members that stand on nodes of which a function holds, in order.
-func (c *Catalog) On(holds func(node string) bool) []string {
+// MembersOn returns the members that stand on nodes of which a function holds, in order.
+func (c *Catalog) MembersOn(matches func(node string) bool) []string {
 	var list []string
-	for _, s := range c.view.ServersOn(holds) {
+	for _, s := range c.view.ServersOn(matches) {
 		list = append(list, s.Member)
 	}
 	return list
 }
 
-// Whole returns the state as changes that lead to it from anywhere; nil before the first update.
-func (c *Catalog) Whole() *wire.Changes { return c.view.Changes(0) }
+// FullChanges returns the state as changes that lead to it from anywhere; nil before the first update.
+func (c *Catalog) FullChanges() *wire.Changes { return c.view.Changes(0) }
 
 // Revision of the configuration in force; 0: none yet.
 func (c *Catalog) Revision() uint64 {
@@ -75,7 +75,7 @@
 // on the command.
 func (c *Catalog) Apply(cmd *wire.Command) (*wire.Changes, error) {
 	index := c.Index() + 1
-	resources, err := c.resources(index, cmd)
+	resources, err := c.applyCommand(index, cmd)
 	if err != nil || len(resources) == 0 {
 		return nil, err
 	}
@@ -84,27 +84,27 @@
 	return changes, nil
 }
 
-// resources carries a command out on all but the view.
-func (c *Catalog) resources(index uint64, cmd *wire.Command) (changed []*wire.Resource, err error) {
-	switch what := cmd.Change.(type) {
+// applyCommand carries a command out on all but the view.
+func (c *Catalog) applyCommand(index uint64, cmd *wire.Command) (changed []*wire.Resource, err error) {
+	switch change := cmd.Change.(type) {
 	case *wire.Command_Config:
-		accepted, err := c.judge(what.Config)
+		accepted, err := c.acceptConfig(change.Config)
 		if accepted == nil || err != nil {
 			return nil, err
 		}
 		changed = configChanges(index, c.config, accepted.Config)
 		c.config, c.body = accepted.Config, accepted.Body
 	case *wire.Command_Server:
-		old := c.view.Server(what.Server.GetMember())
-		if proto.Equal(old, what.Server) {
+		old := c.view.Server(change.Server.GetMember())
+		if proto.Equal(old, change.Server) {
 			return nil, nil
 		}
 		if old == nil && c.view.ServerCount() >= maxServers {
 			return nil, ErrFull
 		}
-		changed = append(changed, serverResource(index, what.Server))
+		changed = append(changed, serverResource(index, change.Server))
 	case *wire.Command_Remove:
-		for _, m := range what.Remove.GetMembers() {
+		for _, m := range change.Remove.GetMembers() {
 			if c.view.Server(m) != nil {
 				changed = append(changed, removedServer(index, m))
 			}
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -101,8 +101,8 @@
 	if err := d.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if !proto.Equal(c.Whole(), d.Whole()) || d.Revision() != 3 || !bytes.Equal(d.Body(), body) {
-		t.Errorf("%v and %v", c.Whole(), d.Whole())
+	if !proto.Equal(c.FullChanges(), d.FullChanges()) || d.Revision() != 3 || !bytes.Equal(d.Body(), body) {
+		t.Errorf("%v and %v", c.FullChanges(), d.FullChanges())
 	}
 	if changes, err := d.Apply(put(0, body)); changes != nil || err != nil {
 		t.Errorf("a resend after a snapshot: %v, %v", changes, err)
--- a/internal/controlplane/catalog/image.go
+++ b/internal/controlplane/catalog/image.go
@@ -10,7 +10,7 @@
 // Image is the state at one moment. It shares with the catalog what is never changed in place: resources, and the
 // configuration. Any goroutine may encode it while the catalog goes on.
 type Image struct {
-	whole    *wire.Changes // nil: before the first update
+	full    *wire.Changes // nil: before the first update
 	body     []byte
 	config   *meshconfig.Config
 	accepted acceptedChanges
@@ -18,15 +18,15 @@
 
 // Image returns the present state. It costs a pointer for each resource and a copy of the accepted changes.
 func (c *Catalog) Image() *Image {
-	accepted := acceptedChanges{newest: slices.Clone(c.accepted.newest), forgotten: c.accepted.forgotten}
-	return &Image{whole: c.Whole(), body: c.body, config: c.config, accepted: accepted}
+	accepted := acceptedChanges{newest: slices.Clone(c.accepted.newest), highestForgotten: c.accepted.highestForgotten}
+	return &Image{full: c.FullChanges(), body: c.body, config: c.config, accepted: accepted}
 }
 
 // Encode returns the state as bytes, as Catalog.Snapshot does.
 func (i *Image) Encode() ([]byte, error) {
 	view := NewView()
-	if i.whole != nil {
-		view.Apply(i.whole)
+	if i.full != nil {
+		view.Apply(i.full)
 	}
 	c := &Catalog{view: view, body: i.body, config: i.config, accepted: i.accepted}
 	return c.Snapshot()
--- a/internal/controlplane/catalog/judge.go
+++ b/internal/controlplane/catalog/judge.go
@@ -45,13 +45,13 @@
 	return &wire.Command{Change: &wire.Command_Config{Config: put}}
 }
 
-// judge decides on a configuration. It returns neither a configuration nor an
+// acceptConfig decides on a configuration. It returns neither a configuration nor an
 // error for one that has been accepted before.
-func (c *Catalog) judge(put *wire.PutConfig) (*Current, error) {
+func (c *Catalog) acceptConfig(put *wire.PutConfig) (*Current, error) {
 	body, change := put.Body, Change{revision: put.Revision}
 	if len(put.Delta) > 0 {
 		copy(change.digest[:], put.Hash)
-		if known, err := c.verdict(change, put.Base); known || err != nil {
+		if known, err := c.checkChange(change, put.Base); known || err != nil {
 			return nil, err
 		}
 		var err error
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	change.revision = config.Revision
-	if known, err := c.verdict(change, put.Base); known || err != nil {
+	if known, err := c.checkChange(change, put.Base); known || err != nil {
 		return nil, err
 	}
 	c.accepted.add(change)
@@ -85,8 +85,8 @@
 	return body, nil
 }
 
-// verdict reports whether a change is known, and otherwise why it can't be accepted.
-func (c *Catalog) verdict(change Change, base uint64) (known bool, err error) {
+// checkChange reports whether a change is known, and otherwise why it can't be accepted.
+func (c *Catalog) checkChange(change Change, base uint64) (known bool, err error) {
 	switch {
 	case c.accepted.contains(change):
 		return true, nil
--- a/internal/controlplane/catalog/local.go
+++ b/internal/controlplane/catalog/local.go
@@ -7,8 +7,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Local follows the servers of one node, at the cost of what changes.
-type Local struct {
+// NodeServers follows the servers of one node, at the cost of what changes.
+type NodeServers struct {
 	Node string
 
 	index   uint64
@@ -16,10 +16,10 @@
 }
 
 // Index up to which changes were applied.
-func (l *Local) Index() uint64 { return l.index }
+func (l *NodeServers) Index() uint64 { return l.index }
 
 // Apply takes the changes after Index; nil: there are none.
-func (l *Local) Apply(c *wire.Changes) {
+func (l *NodeServers) Apply(c *wire.Changes) {
 	if c == nil {
 		return
 	}
@@ -41,7 +41,7 @@
 }
 
 // Servers are those that are listed, by name.
-func (l *Local) Servers() []*wire.Server {
+func (l *NodeServers) Servers() []*wire.Server {
 	list := make([]*wire.Server, 0, len(l.servers))
 	for _, s := range l.servers {
 		list = append(list, s)
--- a/internal/controlplane/catalog/view.go
+++ b/internal/controlplane/catalog/view.go
@@ -65,7 +65,7 @@
 		v.set(r)
 	}
 	v.index = c.To
-	v.forget()
+	v.dropTombstones()
 	return true
 }
 
@@ -101,8 +101,8 @@
 	}
 }
 
-// forget drops the older half of the tombstones where there are too many.
-func (v *View) forget() {
+// dropTombstones drops the older half of the tombstones where there are too many.
+func (v *View) dropTombstones() {
 	if v.tombstones <= maxTombstones {
 		return
 	}
@@ -174,10 +174,10 @@
 }
 
 // ServersOn returns the servers that stand on nodes of which a function holds, by name.
-func (v *View) ServersOn(holds func(node string) bool) []*wire.Server {
+func (v *View) ServersOn(matches func(node string) bool) []*wire.Server {
 	var list []*wire.Server
 	for e := v.order.next; e != v.order; e = e.next {
-		if s := e.resource.GetServer(); s != nil && holds(s.Node) {
+		if s := e.resource.GetServer(); s != nil && matches(s.Node) {
 			list = append(list, s)
 		}
 	}
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -302,7 +302,7 @@
 
 // TestLocalServers: a node's own servers, as changes come.
 func TestLocalServers(t *testing.T) {
-	source, local := NewView(), Local{Node: "n1"}
+	source, local := NewView(), NodeServers{Node: "n1"}
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 500 {
 		r := serverResource(source.Index()+1, &wire.Server{Member: fmt.Sprint(rng.IntN(9)), Node: fmt.Sprint("n", rng.IntN(3))})
--- a/internal/controlplane/raft/lease_relay_sim_test.go
+++ b/internal/controlplane/raft/lease_relay_sim_test.go
@@ -88,7 +88,7 @@
 		return w.span(time.Millisecond, 20*time.Millisecond)
 	}
 	subscribe := func() {
-		c.parentLife, c.subscription, c.subscribedAt = incarnation, relay.Subscription{AskedAt: own}, -1
+		c.parentLife, c.subscription, c.subscribedAt = incarnation, relay.Subscription{RequestedAt: own}, -1
 		c.requestAt, c.feeds = w.now+delay(), nil
 	}
 	if c.parentLife != incarnation {
@@ -113,7 +113,7 @@
 		if c.applied == f.Latest {
 			c.contact = max(c.contact, c.subscription.ContactAt(own, f))
 		}
-		if c.subscription.Outdated(own, f) {
+		if c.subscription.NeedsRenewal(own, f) {
 			subscribe()
 		}
 	}
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -70,7 +70,7 @@
 	token    uint64
 	faults   []string
 	acked    int
-	answered int // pendingReads
+	answered int // reads
 }
 
 func (w *leaseWorld) fault(format string, args ...any) {
@@ -238,7 +238,7 @@
 	}
 }
 
-// nextTarget is one step of the world.
+// turn is one step of the world.
 func (w *leaseWorld) turn() {
 	w.now += leaseStep
 	for _, m := range w.members {
--- a/internal/controlplane/raft/membership_cluster_test.go
+++ b/internal/controlplane/raft/membership_cluster_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// nextTarget is what a driver does: what has arrived, the time, the membership, the disk, messages, what is committed.
+// turn is what a driver does: what has arrived, the time, the membership, the disk, messages, what is committed.
 func (w *membershipWorld) turn(p *process) {
 	busy := false
 	rest := p.inbox[:0]
@@ -343,7 +343,7 @@
 	delete(p.mine, e.Index)
 }
 
-// stateLeader is the process that leads in the newest term and is not frozen or cut off; nil: none.
+// leader is the process that leads in the newest term and is not frozen or cut off; nil: none.
 func (w *membershipWorld) leader() (lead *process) {
 	for _, p := range w.processes {
 		if p.node != nil && p.node.IsLeader() && !p.frozen && !p.cut && !p.deaf && (lead == nil || p.node.Term() > lead.node.Term()) {
--- a/internal/controlplane/raft/sim_checks_test.go
+++ b/internal/controlplane/raft/sim_checks_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// stateLeader: one member leads in a term.
+// leader: one member leads in a term.
 func (c *checks) leader(now time.Duration, m *simMember) {
 	if !m.node.IsLeader() {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// installSnapshot: a snapshot takes nobody back.
+// install: a snapshot takes nobody back.
 func (c *checks) install(now time.Duration, m *simMember, s *wire.RaftSnapshot) {
 	if s.Index < m.applied {
 		c.breaks(now, "member %d goes back from entry %d to a snapshot of entry %d", m.number, m.applied, s.Index)
@@ -104,7 +104,7 @@
 	}
 }
 
-// snapshot: a snapshot that is under way is sent to its end, as long as the log leads on from it and its receiver is not
+// transfer: a snapshot that is under way is sent to its end, as long as the log leads on from it and its receiver is not
 // gone.
 func (c *checks) transfer(now time.Duration, m *simMember, message *wire.RaftMessage) {
 	if message.Kind != wire.RaftMessage_INSTALL_SNAPSHOT {
--- a/internal/controlplane/raft/sim_faultless_test.go
+++ b/internal/controlplane/raft/sim_faultless_test.go
@@ -24,7 +24,7 @@
 	return w
 }
 
-// nextTarget is one millisecond in which nothing fails, and a message takes as long.
+// turn is one millisecond in which nothing fails, and a message takes as long.
 func (w *simulation) turn() {
 	w.now += time.Millisecond
 	for _, m := range w.members {
@@ -51,7 +51,7 @@
 	}
 }
 
-// stateLeader is the member that leads in the newest term; nil: none does.
+// leader is the member that leads in the newest term; nil: none does.
 func (w *simulation) leader() (lead *simMember) {
 	for _, m := range w.members {
 		if m.node != nil && m.node.IsLeader() && (lead == nil || m.node.Term() > lead.node.Term()) {
--- a/internal/controlplane/raft/snapshot_sim_test.go
+++ b/internal/controlplane/raft/snapshot_sim_test.go
@@ -330,7 +330,7 @@
 	}
 }
 
-// nextTarget is one step of all replicas.
+// turn is one step of all replicas.
 func (c *cluster) turn() {
 	c.now += catchUpStep
 	if c.calm || c.now > c.cutUntil {
--- a/internal/controlplane/server/apply.go
+++ b/internal/controlplane/server/apply.go
@@ -35,7 +35,7 @@
 
 // publishFullState passes a state that was restored on to the nodes.
 func (srv *Server) publishFullState() {
-	srv.hub.Apply(srv.catalog.Whole())
+	srv.hub.Apply(srv.catalog.FullChanges())
 	srv.publishConfig()
 }
 
--- a/internal/controlplane/server/leader.go
+++ b/internal/controlplane/server/leader.go
@@ -30,7 +30,7 @@
 
 // removeLostServers deregisters the servers on machines that the cluster membership has lost.
 func (srv *Server) removeLostServers() {
-	lost := srv.catalog.On(func(node string) bool { return srv.gossip.Lost(node, srv.now()-srv.leaderSince) })
+	lost := srv.catalog.MembersOn(func(node string) bool { return srv.gossip.Lost(node, srv.now()-srv.leaderSince) })
 	if len(lost) == 0 || len(srv.requests.proposed) > 0 {
 		return
 	}
--- a/internal/controlplane/server/operator_history_test.go
+++ b/internal/controlplane/server/operator_history_test.go
@@ -16,7 +16,7 @@
 	w.ackLoss = []float64{0, 0.2, 0.7}[rng.IntN(3)]
 	if w.memory = []int{0, 4}[rng.IntN(2)]; w.memory > 0 {
 		for _, m := range w.members {
-			m.state.RememberAccepted(w.memory)
+			m.state.SetAcceptedLimit(w.memory)
 		}
 	}
 	restoreAt := length * time.Duration(1+rng.IntN(4)) / 4 // a quarter of the runs have none
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -144,7 +144,7 @@
 
 func (m *simMember) restore(s *wire.RaftSnapshot, memory int) {
 	m.state, m.applied = catalog.New(), s.Index
-	m.state.RememberAccepted(memory)
+	m.state.SetAcceptedLimit(memory)
 	if err := m.state.Restore(s.Data); err != nil {
 		panic(err)
 	}
@@ -305,7 +305,7 @@
 	arrives := w.now + w.span(1, 12)
 	if m.node == nil {
 		if !m.dark {
-			o.silentAt = arrives // rejectedCalls
+			o.silentAt = arrives // refused
 		}
 		return
 	}
@@ -325,7 +325,7 @@
 	}})
 }
 
-// awaitAnswer brings an answer to the operator, unless it is lost or comes too late.
+// answer brings an answer to the operator, unless it is lost or comes too late.
 func (w *simWorld) answer(o *operation, send, member int, a OperatorAnswer) {
 	if o.send != send || w.cut[[2]int{member, operatorSide}] {
 		return
--- a/internal/controlplane/server/replica.go
+++ b/internal/controlplane/server/replica.go
@@ -64,7 +64,7 @@
 			return err
 		}
 	}
-	srv.consensus = raft.New(st.ID, st.Hard, st.Snapshot, slices.Concat(st.Tail, st.Entries), seed, 0)
+	srv.consensus = raft.New(st.ID, st.HardState, st.Snapshot, slices.Concat(st.Tail, st.Entries), seed, 0)
 	srv.membership = newMembershipDriver(srv)
 	st.Tail, st.Entries = nil, nil // the consensus has them now
 	srv.requests = newRequestQueue(srv.consensus, srv.minAckVoters, 0)
@@ -90,9 +90,9 @@
 	members := &wire.Peers{Peers: []*wire.Peer{srv.self(true)}}
 	hard := &wire.HardState{Term: 1}
 	snapshot := &wire.RaftSnapshot{Term: 1, Index: 1, Data: data, Peers: members}
-	if err := st.Save(store.Batch{Snapshot: snapshot, Hard: hard}); err != nil {
+	if err := st.Save(store.Batch{Snapshot: snapshot, HardState: hard}); err != nil {
 		return err
 	}
-	st.Hard, st.Snapshot = hard, snapshot
+	st.HardState, st.Snapshot = hard, snapshot
 	return nil
 }
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -126,7 +126,7 @@
 		if !bytes.Equal(r.snapshot.Data, data) || len(r.catalog.Servers()) != 12000 {
 			t.Errorf("%d bytes have come of %d", len(r.snapshot.Data), len(data))
 		}
-		if err := st.Save(store.Batch{Snapshot: r.snapshot, Staged: r.staged, Whole: true}); err != nil {
+		if err := st.Save(store.Batch{Snapshot: r.snapshot, Staged: r.staged, ReplacesLog: true}); err != nil {
 			t.Fatal(err)
 		}
 		st.Close()
--- a/internal/controlplane/server/storage.go
+++ b/internal/controlplane/server/storage.go
@@ -20,8 +20,8 @@
 	}
 	began := time.Now()
 	batch := store.Batch{
-		Snapshot: ready.Snapshot, Staged: srv.stagedFor(ready.Snapshot), Whole: ready.Snapshot != nil,
-		Hard: ready.HardState, Entries: ready.Entries,
+		Snapshot: ready.Snapshot, Staged: srv.stagedFor(ready.Snapshot), ReplacesLog: ready.Snapshot != nil,
+		HardState: ready.HardState, Entries: ready.Entries,
 	}
 	if !srv.writeBatch(batch) {
 		return
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -20,14 +20,14 @@
 	}
 	s := open(t, dir)
 	checkEarlierVersion(t, s)
-	save(t, s, Batch{Hard: &wire.HardState{Term: 4, Vote: s.ID}, Entries: entries(4, 12, 12)})
+	save(t, s, Batch{HardState: &wire.HardState{Term: 4, Vote: s.ID}, Entries: entries(4, 12, 12)})
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	s = open(t, dir)
 	defer s.Close()
-	if s.Hard.GetTerm() != 4 || len(s.Entries) != 6 || s.Entries[5].Term != 4 {
-		t.Errorf("after a write: %v, %d entries", s.Hard, len(s.Entries))
+	if s.HardState.GetTerm() != 4 || len(s.Entries) != 6 || s.Entries[5].Term != 4 {
+		t.Errorf("after a write: %v, %d entries", s.HardState, len(s.Entries))
 	}
 }
 
@@ -36,8 +36,8 @@
 	if s.Fresh || s.Damaged != nil || s.ID != 0xc4f5a58656eef510 {
 		t.Fatalf("fresh %v, damaged %v, identity %016x", s.Fresh, s.Damaged, s.ID)
 	}
-	if s.Hard.GetTerm() != 3 || s.Hard.GetVote() != 42 {
-		t.Errorf("the hard state is %v", s.Hard)
+	if s.HardState.GetTerm() != 3 || s.HardState.GetVote() != 42 {
+		t.Errorf("the hard state is %v", s.HardState)
 	}
 	if s.Snapshot.GetTerm() != 2 || s.Snapshot.GetIndex() != 6 || len(s.Snapshot.GetData()) != 90888 {
 		t.Errorf("the snapshot is of term %d at %d with %d bytes", s.Snapshot.GetTerm(), s.Snapshot.GetIndex(), len(s.Snapshot.GetData()))
--- a/internal/controlplane/store/files.go
+++ b/internal/controlplane/store/files.go
@@ -18,10 +18,10 @@
 	pendingName = "CURRENT.new" // about to take its place
 )
 
-// files are the database's files in a Folder. They differ from the library's own storage in what a loss of power may
+// folderStorage are the database's files in a Folder. They differ from the library's own storage in what a loss of power may
 // take: a file's entry in the folder is synced with the first sync of its content, so that nothing which was synced can be
 // gone with the file's name; and the manifest in force is never guessed from older names.
-type files struct {
+type folderStorage struct {
 	folder Folder
 	lock   sync.Mutex
 	locked bool
@@ -56,7 +56,7 @@
 }
 
 // Lock implements storage.Storage.
-func (f *files) Lock() (storage.Locker, error) {
+func (f *folderStorage) Lock() (storage.Locker, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if f.locked {
@@ -66,7 +66,7 @@
 	return unlocker{f}, nil
 }
 
-type unlocker struct{ f *files }
+type unlocker struct{ f *folderStorage }
 
 // Unlock implements storage.Locker.
 func (u unlocker) Unlock() {
@@ -76,11 +76,11 @@
 }
 
 // Log implements storage.Storage. What the library has to say of its housekeeping is not kept.
-func (f *files) Log(string) {}
+func (f *folderStorage) Log(string) {}
 
 // SetMeta makes a manifest the one in force, once it is on disk: the library writes a new one at each opening and does
 // not sync it.
-func (f *files) SetMeta(fd storage.FileDesc) error {
+func (f *folderStorage) SetMeta(fd storage.FileDesc) error {
 	if !storage.FileDescOk(fd) {
 		return storage.ErrInvalidFile
 	}
@@ -104,7 +104,7 @@
 	return f.folder.Sync()
 }
 
-func (f *files) syncFile(name string) error {
+func (f *folderStorage) syncFile(name string) error {
 	file, err := f.folder.Open(name)
 	if err != nil {
 		return err
@@ -114,21 +114,21 @@
 
 // GetMeta implements storage.Storage. A folder without a manifest in force is a new one as long as nothing was ever
 // written to it, and damaged otherwise.
-func (f *files) GetMeta() (storage.FileDesc, error) {
+func (f *folderStorage) GetMeta() (storage.FileDesc, error) {
 	names, err := f.folder.List()
 	if err != nil {
 		return storage.FileDesc{}, err
 	}
 	if !slices.Contains(names, currentName) {
-		return storage.FileDesc{}, f.unbegun(names)
+		return storage.FileDesc{}, f.removeUnusedManifests(names)
 	}
 	content, err := readFile(f.folder, currentName)
 	if err != nil {
 		return storage.FileDesc{}, err
 	}
-	name, whole := strings.CutSuffix(string(content), "\n")
+	name, complete := strings.CutSuffix(string(content), "\n")
 	fd, ok := parseName(name)
-	if !whole || !ok || fd.Type != storage.TypeManifest {
+	if !complete || !ok || fd.Type != storage.TypeManifest {
 		return storage.FileDesc{}, corrupted(fmt.Sprintf("the manifest in force is said to be %q", content))
 	}
 	if !slices.Contains(names, name) {
@@ -137,9 +137,9 @@
 	return fd, nil
 }
 
-// unbegun tells that a folder without a manifest in force is a new one. The power may have been lost while its first
+// removeUnusedManifests tells that a folder without a manifest in force is a new one. The power may have been lost while its first
 // manifest was made, before anything could be written; that manifest is of no use.
-func (f *files) unbegun(names []string) error {
+func (f *folderStorage) removeUnusedManifests(names []string) error {
 	var manifests []string
 	for _, name := range names {
 		fd, ok := parseName(name)
@@ -172,7 +172,7 @@
 }
 
 // List implements storage.Storage.
-func (f *files) List(kinds storage.FileType) (list []storage.FileDesc, err error) {
+func (f *folderStorage) List(kinds storage.FileType) (list []storage.FileDesc, err error) {
 	names, err := f.folder.List()
 	for _, name := range names {
 		if fd, ok := parseName(name); ok && fd.Type&kinds != 0 {
@@ -183,7 +183,7 @@
 }
 
 // Open implements storage.Storage.
-func (f *files) Open(fd storage.FileDesc) (storage.Reader, error) {
+func (f *folderStorage) Open(fd storage.FileDesc) (storage.Reader, error) {
 	if !storage.FileDescOk(fd) {
 		return nil, storage.ErrInvalidFile
 	}
@@ -191,7 +191,7 @@
 }
 
 // Create implements storage.Storage.
-func (f *files) Create(fd storage.FileDesc) (storage.Writer, error) {
+func (f *folderStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	if !storage.FileDescOk(fd) {
 		return nil, storage.ErrInvalidFile
 	}
@@ -222,7 +222,7 @@
 }
 
 // Remove implements storage.Storage.
-func (f *files) Remove(fd storage.FileDesc) error {
+func (f *folderStorage) Remove(fd storage.FileDesc) error {
 	if !storage.FileDescOk(fd) {
 		return storage.ErrInvalidFile
 	}
@@ -230,7 +230,7 @@
 }
 
 // Rename implements storage.Storage.
-func (f *files) Rename(from, to storage.FileDesc) error {
+func (f *folderStorage) Rename(from, to storage.FileDesc) error {
 	if !storage.FileDescOk(from) || !storage.FileDescOk(to) {
 		return storage.ErrInvalidFile
 	}
@@ -241,4 +241,4 @@
 }
 
 // Close implements storage.Storage.
-func (f *files) Close() error { return f.folder.Close() }
+func (f *folderStorage) Close() error { return f.folder.Close() }
--- a/internal/controlplane/store/fuzz_test.go
+++ b/internal/controlplane/store/fuzz_test.go
@@ -59,7 +59,7 @@
 		}
 		defer s.Close()
 		if s.ID != id {
-			if !s.Fresh || len(s.Entries) > 0 || s.Hard != nil {
+			if !s.Fresh || len(s.Entries) > 0 || s.HardState != nil {
 				t.Errorf("another identity came with %d entries", len(s.Entries))
 			}
 			return
--- a/internal/controlplane/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -28,10 +28,10 @@
 		return err
 	}
 	hard := new(wire.HardState)
-	if ok, err := s.get(keyHard, hard); err != nil {
+	if ok, err := s.get(keyHardState, hard); err != nil {
 		return err
 	} else if ok {
-		s.Hard = hard
+		s.HardState = hard
 	}
 	if err := s.loadSnapshot(); err != nil {
 		return err
@@ -58,7 +58,7 @@
 		return err
 	}
 	if len(id) != 8 {
-		return fmt.Errorf("%w: the identity has %d bytes, not 8", errDamaged, len(id))
+		return fmt.Errorf("%w: the identity has %d bytes, not 8", errCorrupted, len(id))
 	}
 	s.ID = binary.BigEndian.Uint64(id)
 	return nil
@@ -69,7 +69,7 @@
 	it := s.db.NewIterator(util.BytesPrefix([]byte{entryPrefix}), nil)
 	defer it.Release()
 	if it.Next() {
-		return fmt.Errorf("%w: there are entries without an identity", errDamaged)
+		return fmt.Errorf("%w: there are entries without an identity", errCorrupted)
 	}
 	s.Fresh, s.first = true, 1
 	for s.ID == 0 {
@@ -91,7 +91,7 @@
 			return err
 		}
 		if n := len(run); n > 0 && run[n-1].Index+1 != e.Index && run[n-1].Index < end {
-			s.discard(run[0].Index, run[n-1].Index+1)
+			s.markObsolete(run[0].Index, run[n-1].Index+1)
 			run = nil
 		}
 		if e.Index > end { // the log proper, without gaps
@@ -100,7 +100,7 @@
 				next = run[len(run)-1].Index + 1
 			}
 			if e.Index != next {
-				return fmt.Errorf("%w: entry %d is missing before entry %d", errDamaged, next, e.Index)
+				return fmt.Errorf("%w: entry %d is missing before entry %d", errCorrupted, next, e.Index)
 			}
 		}
 		run = append(run, e)
@@ -109,7 +109,7 @@
 		return fmt.Errorf("reading entries: %w", err)
 	}
 	if n := len(run); n > 0 && run[n-1].Index < end {
-		s.discard(run[0].Index, run[n-1].Index+1)
+		s.markObsolete(run[0].Index, run[n-1].Index+1)
 		run = nil
 	}
 	s.first, s.last = end+1, end
@@ -119,7 +119,7 @@
 	tail := int(end + 1 - s.first)
 	s.Tail, s.Entries = run[:tail:tail], run[tail:]
 	if tail > 0 && s.Tail[tail-1].Term != s.Snapshot.Term {
-		return fmt.Errorf("%w: entry %d has term %d, and the snapshot there %d", errDamaged, end, s.Tail[tail-1].Term, s.Snapshot.Term)
+		return fmt.Errorf("%w: entry %d has term %d, and the snapshot there %d", errCorrupted, end, s.Tail[tail-1].Term, s.Snapshot.Term)
 	}
 	return nil
 }
@@ -131,10 +131,10 @@
 	}
 	e := new(wire.Entry)
 	if err := proto.Unmarshal(value, e); err != nil {
-		return nil, fmt.Errorf("%w: the entry %x: %w", errDamaged, key, err)
+		return nil, fmt.Errorf("%w: the entry %x: %w", errCorrupted, key, err)
 	}
 	if string(entryKey(e.Index)) != string(key) {
-		return nil, fmt.Errorf("%w: entry %d stands in another's place", errDamaged, e.Index)
+		return nil, fmt.Errorf("%w: entry %d stands in another's place", errCorrupted, e.Index)
 	}
 	return e, nil
 }
--- a/internal/controlplane/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -31,11 +31,11 @@
 
 // with is the content after a Save.
 func (c content) with(b store.Batch) content {
-	if b.Hard != nil {
-		c.hard = b.Hard
+	if b.HardState != nil {
+		c.hard = b.HardState
 	}
 	if s := b.Snapshot; s != nil {
-		if b.Whole || s.Index >= c.last() {
+		if b.ReplacesLog || s.Index >= c.last() {
 			c.entries = nil
 		} else {
 			c.entries = c.entries[s.Index-c.snapshot.GetIndex():]
@@ -51,8 +51,8 @@
 
 // heldBy reports whether a store holds this content, with the tail in front of it if there is one.
 func (c content) heldBy(s *store.Store) error {
-	if !proto.Equal(s.Hard, c.hard) && (s.Hard != nil || c.hard != nil) {
-		return fmt.Errorf("the vote is %v, not %v", s.Hard, c.hard)
+	if !proto.Equal(s.HardState, c.hard) && (s.HardState != nil || c.hard != nil) {
+		return fmt.Errorf("the vote is %v, not %v", s.HardState, c.hard)
 	}
 	if s.Snapshot.GetIndex() != c.snapshot.GetIndex() || s.Snapshot.GetTerm() != c.snapshot.GetTerm() || !bytes.Equal(s.Snapshot.GetData(), c.snapshot.GetData()) {
 		return fmt.Errorf("the snapshot is at %d, not %d", s.Snapshot.GetIndex(), c.snapshot.GetIndex())
@@ -92,13 +92,13 @@
 		snapshot := &wire.RaftSnapshot{Term: term, Index: c.snapshot.GetIndex() + 1 + uint64(rng.IntN(30))}
 		snapshot.Data = someBytes(rng, 200<<10)
 		staged, err := receive(s, snapshot.Index, snapshot.Data)
-		return store.Batch{Snapshot: snapshot, Staged: staged, Whole: true, Hard: &wire.HardState{Term: term}}, err
+		return store.Batch{Snapshot: snapshot, Staged: staged, ReplacesLog: true, HardState: &wire.HardState{Term: term}}, err
 	default:
 		from := c.last() + 1
 		if rng.IntN(4) == 0 { // another leader's take the place of some
 			from -= uint64(rng.IntN(len(c.entries) + 1))
 		}
-		b := store.Batch{Hard: &wire.HardState{Term: term, Vote: rng.Uint64N(5)}}
+		b := store.Batch{HardState: &wire.HardState{Term: term, Vote: rng.Uint64N(5)}}
 		for i := range uint64(rng.IntN(5) + 1) {
 			b.Entries = append(b.Entries, &wire.Entry{Term: term, Index: from + i, Data: someBytes(rng, 40<<10)})
 		}
--- a/internal/controlplane/store/record.go
+++ b/internal/controlplane/store/record.go
@@ -15,7 +15,7 @@
 // The keys. Entries follow their prefix by index, big-endian.
 var (
 	keyID       = []byte("id")
-	keyHard     = []byte("hard")
+	keyHardState     = []byte("hard")
 	keySnapshot = []byte("snapshot")
 	keyFormat   = []byte("format")
 	entryPrefix = byte('e')
@@ -25,8 +25,8 @@
 // the first format name none.
 const format = 2
 
-// ErrNewer is a folder that a later version has written. Nothing in it is changed.
-var ErrNewer = errors.New("written by a later version")
+// ErrNewerFormat is a folder that a later version has written. Nothing in it is changed.
+var ErrNewerFormat = errors.New("written by a later version")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -39,7 +39,7 @@
 // unseal returns a record without its checksum.
 func unseal(key, sealed []byte) ([]byte, error) {
 	if len(sealed) < 4 || binary.BigEndian.Uint32(sealed) != crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, sealed[4:]) {
-		return nil, fmt.Errorf("%w: the record %q fails its checksum", errDamaged, key)
+		return nil, fmt.Errorf("%w: the record %q fails its checksum", errCorrupted, key)
 	}
 	return sealed[4:], nil
 }
@@ -61,7 +61,7 @@
 		return false, err
 	}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return false, fmt.Errorf("%w: reading %q: %w", errDamaged, key, err)
+		return false, fmt.Errorf("%w: reading %q: %w", errCorrupted, key, err)
 	}
 	return true, nil
 }
@@ -71,7 +71,7 @@
 
 // record returns what a stored record says.
 func (s *Store) record(key, stored []byte) ([]byte, error) {
-	if s.plain {
+	if s.unsealed {
 		return stored, nil
 	}
 	return unseal(key, stored)
@@ -82,14 +82,14 @@
 	b, err := s.db.Get(keyFormat, nil)
 	switch {
 	case errors.Is(err, leveldb.ErrNotFound):
-		s.plain = true
+		s.unsealed = true
 	case err != nil:
 		return fmt.Errorf("reading the format: %w", err)
 	case len(b) != 4:
-		return fmt.Errorf("%w: the format has %d bytes, not 4", errDamaged, len(b))
+		return fmt.Errorf("%w: the format has %d bytes, not 4", errCorrupted, len(b))
 	default:
 		if s.format = binary.BigEndian.Uint32(b); s.format > format {
-			return fmt.Errorf("%w: format %d, and this one knows up to %d", ErrNewer, s.format, format)
+			return fmt.Errorf("%w: format %d, and this one knows up to %d", ErrNewerFormat, s.format, format)
 		}
 	}
 	return nil
@@ -98,7 +98,7 @@
 // upgrade brings the records to the newest format, all of them or none. Only the first format's have no seals.
 func (s *Store) upgrade() error {
 	w := new(leveldb.Batch)
-	if s.plain {
+	if s.unsealed {
 		if err := s.sealAll(w); err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 	if err := s.db.Write(w, &opt.WriteOptions{Sync: true}); err != nil {
 		return fmt.Errorf("writing the records anew: %w", err)
 	}
-	s.plain, s.format = false, format
+	s.unsealed, s.format = false, format
 	return nil
 }
 
--- a/internal/controlplane/store/snapshot.go
+++ b/internal/controlplane/store/snapshot.go
@@ -76,13 +76,13 @@
 	}
 	data, err := readFile(s.folder, file.Name)
 	if errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%w: the snapshot's file %s does not exist", errDamaged, file.Name)
+		return fmt.Errorf("%w: the snapshot's file %s does not exist", errCorrupted, file.Name)
 	}
 	if err != nil {
 		return fmt.Errorf("reading a snapshot: %w", err)
 	}
 	if uint64(len(data)) != file.Size || Checksum(data) != file.Checksum {
-		return fmt.Errorf("%w: the snapshot's file %s fails its checksum", errDamaged, file.Name)
+		return fmt.Errorf("%w: the snapshot's file %s fails its checksum", errCorrupted, file.Name)
 	}
 	snapshot.Data, s.snapshotFile = data, file.Name
 	snapshot.File = nil
@@ -161,15 +161,15 @@
 }
 
 // Offset is how much of the data has come.
-func (i *IncomingSnapshot) Offset() uint64 { return i.offset }
+func (s *IncomingSnapshot) Offset() uint64 { return s.offset }
 
 // Write takes the next piece.
-func (i *IncomingSnapshot) Write(piece []byte) error {
-	if i.offset+uint64(len(piece)) > i.want.Size {
+func (s *IncomingSnapshot) Write(chunk []byte) error {
+	if s.offset+uint64(len(chunk)) > s.want.Size {
 		return errors.New("store: a snapshot is longer than was said")
 	}
-	n, err := i.file.Write(piece)
-	i.offset += uint64(n)
+	n, err := s.file.Write(chunk)
+	s.offset += uint64(n)
 	if err != nil {
 		return fmt.Errorf("store: receiving a snapshot: %w", err)
 	}
@@ -177,27 +177,27 @@
 }
 
 // Finish checks what has come against its checksum, and stages it. What does not pass is removed.
-func (i *IncomingSnapshot) Finish() (*StagedSnapshot, error) {
-	folder := i.folder
-	data, err := readFile(folder, i.name)
+func (s *IncomingSnapshot) Finish() (*StagedSnapshot, error) {
+	folder := s.folder
+	data, err := readFile(folder, s.name)
 	if err != nil {
 		return nil, fmt.Errorf("store: receiving a snapshot: %w", err)
 	}
-	if uint64(len(data)) != i.want.Size || Checksum(data) != i.want.Checksum {
-		folder.Remove(i.name)
+	if uint64(len(data)) != s.want.Size || Checksum(data) != s.want.Checksum {
+		folder.Remove(s.name)
 		return nil, errors.New("store: a snapshot that has come fails its checksum")
 	}
 	staged := &StagedSnapshot{Data: data, folder: folder}
 	if len(data) <= inlineSnapshot {
-		folder.Remove(i.name)
+		folder.Remove(s.name)
 		return staged, nil
 	}
-	staged.file = i.want
-	if err := errors.Join(i.file.Sync(), folder.Rename(i.name, staged.file.Name), folder.Sync()); err != nil {
+	staged.file = s.want
+	if err := errors.Join(s.file.Sync(), folder.Rename(s.name, staged.file.Name), folder.Sync()); err != nil {
 		return nil, fmt.Errorf("store: receiving a snapshot: %w", err)
 	}
 	return staged, nil
 }
 
 // Close ends the receipt; what has come stays.
-func (i *IncomingSnapshot) Close() error { return i.file.Close() }
+func (s *IncomingSnapshot) Close() error { return s.file.Close() }
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -28,17 +28,17 @@
 	folder  Folder
 	db      *leveldb.DB
 	last    uint64       // index of the last entry stored; 0: none
-	garbage []indexRange // of entries that no longer count, to be removed bit by bit
+	obsolete []indexRange // of entries that no longer count, to be removed bit by bit
 	first   uint64       // index of the oldest entry that counts
 	// snapshotFile has the data of the snapshot in force; empty: the record has it.
 	snapshotFile string
-	plain        bool   // records are of the first format, without seals
+	unsealed        bool   // records are of the first format, without seals
 	format       uint32 // of the records
 
 	ID       uint64 // the identity, drawn when the folder was empty
 	Fresh    bool   // the folder was empty
 	Damaged  error  // why an earlier folder was put aside
-	Hard     *wire.HardState
+	HardState     *wire.HardState
 	Snapshot *wire.RaftSnapshot
 	Tail     []*wire.Entry // up to the snapshot's index, as far as they are kept; as loaded
 	Entries  []*wire.Entry // behind the snapshot; as loaded, the caller takes them over
@@ -62,10 +62,10 @@
 	}
 	if _, err := os.Stat(aside); err == nil && errors.Is(missing, os.ErrNotExist) {
 		// The power was lost after the folder was put aside and before the next was made for good.
-		return openAnew(dir, rng, fmt.Errorf("store: %s: %w", aside, errDamaged))
+		return openReplacement(dir, rng, fmt.Errorf("store: %s: %w", aside, errCorrupted))
 	}
 	s, err := openPath(dir, rng)
-	if err == nil || !damaged(err) {
+	if err == nil || !isCorruption(err) {
 		return s, err
 	}
 	// What is left can't be told from what was never there. The machine goes on as
@@ -79,11 +79,11 @@
 	if err := makeFolder(dir); err != nil {
 		return nil, err
 	}
-	return openAnew(dir, rng, err)
+	return openReplacement(dir, rng, err)
 }
 
-// openAnew opens an empty folder in the place of a damaged one.
-func openAnew(dir string, rng *rand.Rand, cause error) (*Store, error) {
+// openReplacement opens an empty folder in the place of a damaged one.
+func openReplacement(dir string, rng *rand.Rand, cause error) (*Store, error) {
 	s, err := openPath(dir, rng)
 	if err != nil {
 		return nil, err
@@ -117,20 +117,20 @@
 }
 
 func (s *Store) open() error {
-	db, err := leveldb.Open(&files{folder: s.folder}, options())
+	db, err := leveldb.Open(&folderStorage{folder: s.folder}, options())
 	if err == nil {
 		s.db = db
 	}
 	return err
 }
 
-// errDamaged is content that contradicts itself.
-var errDamaged = errors.New("damaged")
+// errCorrupted is content that contradicts itself.
+var errCorrupted = errors.New("damaged")
 
-// damaged tells damage from a disk that fails for the moment.
-func damaged(err error) bool {
+// isCorruption tells damage from a disk that fails for the moment.
+func isCorruption(err error) bool {
 	var corrupted *lerrors.ErrCorrupted
-	return errors.Is(err, errDamaged) || errors.As(err, &corrupted) || lerrors.IsCorrupted(err)
+	return errors.Is(err, errCorrupted) || errors.As(err, &corrupted) || lerrors.IsCorrupted(err)
 }
 
 // Reopen closes the store and opens it anew, after a write that failed: whether
@@ -159,7 +159,7 @@
 	defer folder.Close()
 	o := options()
 	o.ReadOnly = true
-	db, err := leveldb.Open(&files{folder: folder}, o)
+	db, err := leveldb.Open(&folderStorage{folder: folder}, o)
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", dir, err)
 	}
@@ -179,8 +179,8 @@
 func (s *Store) Verify() error {
 	term := s.Snapshot.GetTerm()
 	for _, e := range s.Entries {
-		if e.Term < term || e.Term > s.Hard.GetTerm() {
-			return fmt.Errorf("store: %w: entry %d has term %d after %d, in term %d", errDamaged, e.Index, e.Term, term, s.Hard.GetTerm())
+		if e.Term < term || e.Term > s.HardState.GetTerm() {
+			return fmt.Errorf("store: %w: entry %d has term %d after %d, in term %d", errCorrupted, e.Index, e.Term, term, s.HardState.GetTerm())
 		}
 		term = e.Term
 		var m proto.Message = new(wire.Command)
@@ -188,7 +188,7 @@
 			m = new(wire.Peers)
 		}
 		if err := proto.Unmarshal(e.Data, m); err != nil {
-			return fmt.Errorf("store: %w: entry %d: %w", errDamaged, e.Index, err)
+			return fmt.Errorf("store: %w: entry %d: %w", errCorrupted, e.Index, err)
 		}
 	}
 	return nil
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -45,12 +45,12 @@
 	if !s.Fresh || id == 0 {
 		t.Fatalf("fresh %v, identity %d", s.Fresh, id)
 	}
-	save(t, s, Batch{Hard: &wire.HardState{Term: 2, Vote: 9}, Entries: entries(1, 1, 9)})
+	save(t, s, Batch{HardState: &wire.HardState{Term: 2, Vote: 9}, Entries: entries(1, 1, 9)})
 	save(t, s, Batch{Entries: entries(2, 5, 6)}) // replaces 5 to 9
 	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 1, Index: 3, Data: []byte("s")}})
 	s.Close()
 	s = open(t, dir)
-	if s.Fresh || s.ID != id || s.Hard.GetVote() != 9 || s.Snapshot.GetIndex() != 3 {
+	if s.Fresh || s.ID != id || s.HardState.GetVote() != 9 || s.Snapshot.GetIndex() != 3 {
 		t.Fatalf("%+v", s)
 	}
 	if len(s.Entries) != 3 || s.Entries[0].Index != 4 || s.Entries[2].Index != 6 || s.Entries[2].Term != 2 {
@@ -65,7 +65,7 @@
 	}
 	s = open(t, dir)
 	s.Entries = nil
-	save(t, s, Batch{Whole: true, Snapshot: &wire.RaftSnapshot{Term: 3, Index: 5, Data: []byte("t")}})
+	save(t, s, Batch{ReplacesLog: true, Snapshot: &wire.RaftSnapshot{Term: 3, Index: 5, Data: []byte("t")}})
 	s.Close()
 	s = open(t, dir)
 	defer s.Close()
@@ -178,7 +178,7 @@
 	}
 	one, two := entries(1, 1, 1)[0], entries(1, 2, 2)[0]
 	first := write(t, map[string][]byte{
-		string(keyFormat): nil, string(keyID): {0, 0, 0, 0, 0, 0, 0, 7}, string(keyHard): marshal(&wire.HardState{Term: 3, Vote: 7}),
+		string(keyFormat): nil, string(keyID): {0, 0, 0, 0, 0, 0, 0, 7}, string(keyHardState): marshal(&wire.HardState{Term: 3, Vote: 7}),
 		string(entryKey(1)): marshal(one), string(entryKey(2)): marshal(two),
 	})
 	if s, err := Inspect(first); err != nil || s.ID != 7 || len(s.Entries) != 2 {
@@ -186,16 +186,16 @@
 	}
 	for range 2 { // brought up, and as it is from then on
 		s := open(t, first)
-		if s.ID != 7 || s.Fresh || s.Damaged != nil || s.Hard.GetVote() != 7 || len(s.Entries) != 2 || s.plain {
+		if s.ID != 7 || s.Fresh || s.Damaged != nil || s.HardState.GetVote() != 7 || len(s.Entries) != 2 || s.unsealed {
 			t.Errorf("%+v", s)
 		}
 		s.Close()
 	}
 	newer := write(t, map[string][]byte{string(keyFormat): {0, 0, 0, 9}})
-	if _, err := Open(newer, rand.New(rand.NewPCG(1, 1))); !errors.Is(err, ErrNewer) {
+	if _, err := Open(newer, rand.New(rand.NewPCG(1, 1))); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("a newer format: %v", err)
 	}
-	if _, err := Inspect(newer); !errors.Is(err, ErrNewer) {
+	if _, err := Inspect(newer); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("a newer format, inspected: %v", err)
 	}
 	moved := write(t, map[string][]byte{string(entryKey(1)): seal(entryKey(2), marshal(one))})
@@ -211,7 +211,7 @@
 func TestTheTailIsKept(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	const many = 3 * removalBatch
+	const many = 3 * maxObsoleteDeletes
 	save(t, s, Batch{Entries: entries(1, 1, many)})
 	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 1, Index: many - 10}, First: many - 30})
 	reopen := func(first, tail, behind int) {
@@ -230,18 +230,18 @@
 		}
 		return n
 	}
-	if n := stored(); n != many-removalBatch {
+	if n := stored(); n != many-maxObsoleteDeletes {
 		t.Errorf("%d entries are left after one Save of %d", n, many)
 	}
-	reopen(removalBatch+1, many-10-removalBatch, 10) // what is not yet removed is as good as ever
+	reopen(maxObsoleteDeletes+1, many-10-maxObsoleteDeletes, 10) // what is not yet removed is as good as ever
 	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 1, Index: many - 5}, First: many - 30})
-	save(t, s, Batch{Hard: &wire.HardState{Term: 2}})
-	save(t, s, Batch{Hard: &wire.HardState{Term: 3}})
+	save(t, s, Batch{HardState: &wire.HardState{Term: 2}})
+	save(t, s, Batch{HardState: &wire.HardState{Term: 3}})
 	if n := stored(); n != 31 {
 		t.Errorf("%d entries are left in the end", n)
 	}
 	reopen(many-30, 26, 5)
-	save(t, s, Batch{Whole: true, Snapshot: &wire.RaftSnapshot{Term: 3, Index: many + 100}})
+	save(t, s, Batch{ReplacesLog: true, Snapshot: &wire.RaftSnapshot{Term: 3, Index: many + 100}})
 	reopen(0, 0, 0)
 	save(t, s, Batch{Entries: entries(3, many+101, many+102)})
 	reopen(0, 0, 2)
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -111,7 +111,7 @@
 	n.inbound = proxy.NewInbound(set.Bounds.Drain, set.Heartbeat, log)
 	n.agent = agent.New(agent.Options{
 		Settings: n.set.Load, Pool: n.pool, Seed: rng.Uint64(), Log: log,
-		Servers: n.inbound.Servers, ServersChanged: n.inbound.Changed(), Leaving: n.emptying.Load,
+		Servers: n.inbound.Servers, ServersChanged: n.inbound.Changed(), Draining: n.emptying.Load,
 	})
 	n.gossip, n.hub, n.follower = n.agent.Gossip, n.agent.Hub, n.agent.Follower
 	n.outbound = &proxy.Outbound{
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -26,7 +26,7 @@
 			began := time.Now()
 			if version != members {
 				members = version
-				n.cluster.Members(n.gossip.Members(), func(node string) bool { return n.gossip.Gone(node) > 0 })
+				n.cluster.Members(n.gossip.Members(), func(node string) bool { return n.gossip.DeadFor(node) > 0 })
 			}
 			n.update()
 			// An update of a service with thousands of servers costs milliseconds, one of the members of a large mesh too:
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -27,7 +27,7 @@
 
 	Servers        func() []localserver.Heartbeat // of this machine, as they should be listed
 	ServersChanged <-chan struct{}                // tells when Servers may return something else
-	Leaving        func() bool                    // the machine's servers take nothing new, as the node is about to end
+	Draining        func() bool                    // the machine's servers take nothing new, as the node is about to end
 }
 
 // Agent is one node's part.
@@ -39,8 +39,8 @@
 
 	options Options
 	log     *slog.Logger
-	place   relay.Place // the follower's own
-	began   time.Time
+	parentCache   relay.ParentCache // the follower's own
+	startedAt   time.Time
 	ready   atomic.Bool // what is known here is as new as what was acknowledged before the start
 	workers sync.WaitGroup
 
@@ -51,7 +51,7 @@
 // New returns an agent that has heard of nothing yet.
 func New(o Options) *Agent {
 	set := o.Settings()
-	a := &Agent{options: o, log: o.Log, Pool: o.Pool, began: time.Now(), place: relay.Place{Self: set.Node, Zone: set.Zone}}
+	a := &Agent{options: o, log: o.Log, Pool: o.Pool, startedAt: time.Now(), parentCache: relay.ParentCache{Self: set.Node, Zone: set.Zone}}
 	self := &wire.Member{Name: set.Node, Address: set.Internal(), Zone: set.Zone, Generation: uint64(time.Now().UnixMilli())}
 	a.Gossip = gossip.New(self, o.Seed, o.Pool, a.seeds, o.Log)
 	a.Hub = relay.NewHub(func() time.Duration { return a.Follower.Age() })
@@ -74,8 +74,8 @@
 	a.workers.Wait()
 }
 
-// Began is when the agent was made.
-func (a *Agent) Began() time.Time { return a.began }
+// StartedAt is when the agent was made.
+func (a *Agent) StartedAt() time.Time { return a.startedAt }
 
 // Ready reports whether what is known here is as new as what was acknowledged before the start.
 func (a *Agent) Ready() bool { return a.ready.Load() }
@@ -85,7 +85,7 @@
 
 // parents are whom the node may follow: its place in the tree, the quorum, and at the start the seeds.
 func (a *Agent) parents() []string {
-	list := a.place.Parents(a.Gossip.Version(), a.Gossip.Members)
+	list := a.parentCache.Parents(a.Gossip.Version(), a.Gossip.Members)
 	if len(list) == 0 {
 		return a.seeds()
 	}
--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	callWait   = time.Second
-	nextAfter  = 120 * time.Millisecond // without an answer from one quorum member the next is asked as well
-	roundPause = 100 * time.Millisecond // after a round of questions that has found no leader
-	maxAsked   = 6
+	callTimeout   = time.Second
+	hedgeDelay  = 120 * time.Millisecond // without an answer from one quorum member the next is asked as well
+	leaderRetryPause = 100 * time.Millisecond // after a round of questions that has found no leader
+	maxLeaderCalls   = 6
 )
 
-// quorum returns the addresses of quorum members, the leader's first, and those last to which there is no connection.
-func (a *Agent) quorum() []string {
+// quorumAddresses returns the addresses of quorum members, the leader's first, and those last to which there is no connection.
+func (a *Agent) quorumAddresses() []string {
 	var list, others []string
 	a.leaderMu.Lock()
 	if a.leader != "" {
@@ -29,15 +29,15 @@
 		}
 	}
 	others = append(others, a.seeds()...)
-	var away []string
+	var unconnected []string
 	for _, address := range others {
 		if a.Pool.Up(address) {
 			list = append(list, address)
 		} else {
-			away = append(away, address)
+			unconnected = append(unconnected, address)
 		}
 	}
-	return append(list, away...)
+	return append(list, unconnected...)
 }
 
 func (a *Agent) setLeader(address string) {
@@ -46,10 +46,10 @@
 	a.leaderMu.Unlock()
 }
 
-// atLeader makes a call to the leader, looking for it where it has moved. f returns whether it is done, and otherwise
+// callLeader makes a call to the leader, looking for it where it has moved. f returns whether it is done, and otherwise
 // whom it was told to ask. One who says nothing for a while is not waited for before the next is asked: after a loss of
 // all power some machines are there long before others.
-func atLeader[T any](ctx context.Context, a *Agent, f func(ctx context.Context, address string) (answer T, done bool, leader string)) (answer T, ok bool) {
+func callLeader[T any](ctx context.Context, a *Agent, f func(ctx context.Context, address string) (answer T, done bool, leader string)) (answer T, ok bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type reply struct {
@@ -57,10 +57,10 @@
 		answer          T
 		done            bool
 	}
-	todo, asked, open := a.quorum(), map[string]bool{}, 0
-	replies := make(chan reply, maxAsked)
+	todo, asked, open := a.quorumAddresses(), map[string]bool{}, 0
+	replies := make(chan reply, maxLeaderCalls)
 	next := func() {
-		for len(todo) > 0 && len(asked) < maxAsked {
+		for len(todo) > 0 && len(asked) < maxLeaderCalls {
 			address := todo[0]
 			if todo = todo[1:]; asked[address] {
 				continue
@@ -68,7 +68,7 @@
 			asked[address] = true
 			open++
 			a.workers.Go(func() {
-				call, cancel := context.WithTimeout(ctx, callWait)
+				call, cancel := context.WithTimeout(ctx, callTimeout)
 				defer cancel()
 				r := reply{address: address}
 				r.answer, r.done, r.leader = f(call, address)
@@ -79,7 +79,7 @@
 	}
 	next()
 	for open > 0 {
-		timer := time.NewTimer(nextAfter)
+		timer := time.NewTimer(hedgeDelay)
 		select {
 		case r := <-replies:
 			open--
@@ -106,7 +106,7 @@
 
 // LatestIndex asks the leader how far the updates have come.
 func (a *Agent) LatestIndex(ctx context.Context) (index uint64, ok bool) {
-	return atLeader(ctx, a, func(ctx context.Context, address string) (uint64, bool, string) {
+	return callLeader(ctx, a, func(ctx context.Context, address string) (uint64, bool, string) {
 		answer := new(wire.LatestResponse)
 		if err := a.Pool.Call(ctx, address, "latest", &wire.Empty{}, answer); err != nil {
 			return 0, false, ""
--- a/internal/distribution/agent/leader_test.go
+++ b/internal/distribution/agent/leader_test.go
@@ -16,7 +16,7 @@
 		Seeds: []string{"127.7.0.1:2", "127.7.0.2:2", "127.7.0.3:2"}}
 	a = New(Options{
 		Settings: func() *nodefile.Settings { return set }, Pool: rpc.NewPool(ctx), Seed: 1, Log: slog.New(slog.DiscardHandler),
-		Servers: func() []localserver.Heartbeat { return nil }, Leaving: func() bool { return false },
+		Servers: func() []localserver.Heartbeat { return nil }, Draining: func() bool { return false },
 	})
 	return a, set.SeedNodes()
 }
@@ -27,9 +27,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	a, seeds := newAgent(ctx)
-	asked := make(chan string, maxAsked)
+	asked := make(chan string, maxLeaderCalls)
 	silence := make(chan struct{})
-	answer, ok := atLeader(ctx, a, func(ctx context.Context, address string) (string, bool, string) {
+	answer, ok := callLeader(ctx, a, func(ctx context.Context, address string) (string, bool, string) {
 		asked <- address
 		switch address {
 		case seeds[0]:
@@ -48,7 +48,7 @@
 	if a.leader != seeds[2] {
 		t.Errorf("the next call would go to %q", a.leader)
 	}
-	if _, ok := atLeader(ctx, a, func(context.Context, string) (struct{}, bool, string) { return struct{}{}, false, "" }); ok || a.leader != "" {
+	if _, ok := callLeader(ctx, a, func(context.Context, string) (struct{}, bool, string) { return struct{}{}, false, "" }); ok || a.leader != "" {
 		t.Errorf("nobody is the leader: %v, %q", ok, a.leader)
 	}
 }
--- a/internal/distribution/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	readinessPause = 50 * time.Millisecond // between looks at the age of the state
-	longWait       = 6 * time.Second       // without an answer, after which the leader is asked less often
-	longPause      = time.Second
+	readinessInterval = 50 * time.Millisecond // between looks at the age of the state
+	slowQueryAfter       = 6 * time.Second       // without an answer, after which the leader is asked less often
+	slowQueryPause      = time.Second
 )
 
 // awaitReadiness waits until what is known here may be served by: see relay.Readiness.
@@ -19,14 +19,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers := make(chan uint64, 1)
-	a.workers.Go(func() { a.askLatest(ctx, answers) })
-	tick := time.NewTicker(readinessPause)
+	a.workers.Go(func() { a.queryLatest(ctx, answers) })
+	tick := time.NewTicker(readinessInterval)
 	defer tick.Stop()
 	var readiness relay.Readiness
 	for ctx.Err() == nil {
 		changed := a.Hub.Changed()
 		age := a.Follower.Age()
-		if proof := readiness.Check(time.Since(a.began), age, a.Hub.Index()); proof != relay.NoProof {
+		if proof := readiness.Check(time.Since(a.startedAt), age, a.Hub.Index()); proof != relay.NoProof {
 			a.ready.Store(true)
 			a.log.Info("sidecar.ready", "index", a.Hub.Index(), "confirmed", proof != relay.Unconfirmed, "proof", string(proof),
 				"age_ms", min(age, time.Hour).Milliseconds())
@@ -42,8 +42,8 @@
 	}
 }
 
-// askLatest asks the leader how far the updates have come, until it has an answer.
-func (a *Agent) askLatest(ctx context.Context, answers chan<- uint64) {
+// queryLatest asks the leader how far the updates have come, until it has an answer.
+func (a *Agent) queryLatest(ctx context.Context, answers chan<- uint64) {
 	for ctx.Err() == nil {
 		round, cancel := context.WithCancel(ctx)
 		if first := a.Hub.Changed(); a.Hub.Index() == 0 {
@@ -63,9 +63,9 @@
 			answers <- latest
 			return
 		}
-		wait := roundPause
-		if time.Since(a.began) > longWait {
-			wait = longPause
+		wait := leaderRetryPause
+		if time.Since(a.startedAt) > slowQueryAfter {
+			wait = slowQueryPause
 		}
 		timerpool.Sleep(round, wait)
 		cancel()
--- a/internal/distribution/relay/age_test.go
+++ b/internal/distribution/relay/age_test.go
@@ -24,9 +24,9 @@
 		ms := time.Millisecond
 		f := &wire.Feed{}
 		SetAge(f, c.sent*ms+parentOffset, c.contact*ms+parentOffset, c.received*ms+parentOffset)
-		subscription := Subscription{AskedAt: c.asked*ms + childOffset}
+		subscription := Subscription{RequestedAt: c.asked*ms + childOffset}
 		got := subscription.ContactAt(c.taken*ms+childOffset, f) - childOffset
-		drift := ((c.contact - c.received) * ms).Abs() / (driftShare - 1)
+		drift := ((c.contact - c.received) * ms).Abs() / (maxClockDriftDivisor - 1)
 		if early := c.contact*ms - got; early < 0 || early > (c.received-c.asked)*ms+drift {
 			t.Errorf("%+v: a contact at %v is taken for one at %v", c, c.contact*ms, got)
 		}
@@ -51,7 +51,7 @@
 		f := &wire.Feed{}
 		sent := c.lasted - c.feed
 		SetAge(f, sent, sent-c.age, c.request)
-		if got := (Subscription{}).Outdated(c.lasted, f); got != c.want {
+		if got := (Subscription{}).NeedsRenewal(c.lasted, f); got != c.want {
 			t.Errorf("%s: renewed %v", c.name, got)
 		}
 	}
@@ -73,10 +73,10 @@
 func TestDriftDoesNotHideAge(t *testing.T) {
 	for _, contact := range []time.Duration{-20 * time.Second, time.Second, renewAfter} { // since the subscription
 		for _, fast := range []time.Duration{-1, 1} {
-			measured := contact + fast*contact/(2*driftShare) // by the parent
+			measured := contact + fast*contact/(2*maxClockDriftDivisor) // by the parent
 			f := &wire.Feed{}
 			SetAge(f, measured, measured, 0)
-			want := contact - fast*contact/(2*driftShare) // by the child
+			want := contact - fast*contact/(2*maxClockDriftDivisor) // by the child
 			if got := (Subscription{}).ContactAt(contact, f); got > want+time.Microsecond {
 				t.Errorf("a contact at %v is taken for one at %v", want, got)
 			}
--- a/internal/distribution/relay/failure_search_test.go
+++ b/internal/distribution/relay/failure_search_test.go
@@ -124,7 +124,7 @@
 				alone = -1
 			}
 			switch {
-			case silentSince >= 0 && now-silentSince >= Silence:
+			case silentSince >= 0 && now-silentSince >= FeedTimeout:
 				selector.Ended(now, Failed)
 				parent = ""
 			case parent != "" && silentSince < 0 && selector.ShouldMove(now, names):
@@ -153,7 +153,7 @@
 		return // there may have been none
 	}
 	const slack = 200 * time.Millisecond // steps of this simulation, and the pause behind a round
-	if bound := time.Duration(down) * (Silence + slack); to-from > bound {
+	if bound := time.Duration(down) * (FeedTimeout + slack); to-from > bound {
 		t.Errorf("seed %d: from %v on, a node has no parent that is up for %v; %d of %d were down", seed, from, to-from, down, len(parents))
 	}
 }
--- a/internal/distribution/relay/follow.go
+++ b/internal/distribution/relay/follow.go
@@ -30,7 +30,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.contactAt.IsZero() {
-		return never
+		return ageUnknown
 	}
 	return time.Since(f.contactAt)
 }
@@ -53,10 +53,10 @@
 			timerpool.Sleep(ctx, wait)
 			continue
 		}
-		why, err := f.follow(ctx, &selector, addr, began)
-		selector.Ended(time.Since(began), why)
+		reason, err := f.follow(ctx, &selector, addr, began)
+		selector.Ended(time.Since(began), reason)
 		if ctx.Err() == nil {
-			f.Log.Debug("relay.parent_left", "address", addr, "reason", string(why), "err", err)
+			f.Log.Debug("relay.parent_left", "address", addr, "reason", string(reason), "err", err)
 		}
 	}
 }
@@ -66,46 +66,46 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// The stream has no deadline of its own: silence ends it. A whole state on a slow link is no silence while it comes.
-	watchdog := time.AfterFunc(Silence, cancel)
+	watchdog := time.AfterFunc(FeedTimeout, cancel)
 	defer watchdog.Stop()
-	subscription := Subscription{AskedAt: time.Since(began)}
+	subscription := Subscription{RequestedAt: time.Since(began)}
 	s, err := f.Pool.Open(ctx, addr, "subscribe", &wire.SubscribeRequest{Have: f.Hub.Index(), Node: f.Node, Format: Format})
 	if err != nil {
 		return Failed, err
 	}
 	defer s.Close()
-	s.OnFrame(func() { watchdog.Reset(Silence) })
+	s.OnFrame(func() { watchdog.Reset(FeedTimeout) })
 	for {
 		feed := new(wire.Feed)
 		if err := s.Recv(feed); err != nil {
 			return Failed, err
 		}
-		if err := readable(feed); err != nil {
-			f.Log.Error(unreadableEvent(err), "address", addr, "err", err)
+		if err := decodeFeed(feed); err != nil {
+			f.Log.Error(decodeErrorEvent(err), "address", addr, "err", err)
 			return Failed, err
 		}
 		now := time.Since(began)
 		contactAt := subscription.ContactAt(now, feed)
-		if why := selector.Check(now, now-contactAt); why != Continue {
-			return why, nil
+		if reason := selector.Check(now, now-contactAt); reason != Continue {
+			return reason, nil
 		}
 		_, ok := f.Hub.Receive(feed, func() { f.confirmed(began.Add(contactAt)) })
-		if !ok || selector.ShouldMove(now, f.Parents()) || subscription.Outdated(now, feed) {
+		if !ok || selector.ShouldMove(now, f.Parents()) || subscription.NeedsRenewal(now, feed) {
 			return Renew, nil
 		}
 	}
 }
 
-// unreadableEvent names the log event of a feed that can't be read.
-func unreadableEvent(err error) string {
+// decodeErrorEvent names the log event of a feed that can't be read.
+func decodeErrorEvent(err error) string {
 	if errors.Is(err, ErrFormat) {
 		return "relay.format_unknown"
 	}
 	return "relay.decode_failed"
 }
 
-// readable unpacks a feed of this node's format.
-func readable(feed *wire.Feed) error {
+// decodeFeed unpacks a feed of this node's format.
+func decodeFeed(feed *wire.Feed) error {
 	if err := CheckFormat("the parent", feed.Format); err != nil {
 		return err
 	}
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -26,14 +26,14 @@
 	mu       sync.Mutex
 	view     *catalog.View
 	changed  chan struct{}          // closed and replaced at each change
-	renewed  chan struct{}          // closed and replaced when a feed without changes brings a newer contact with the quorum
-	cached   map[uint64]*difference // to the latest index, by where they begin
+	confirmed  chan struct{}          // closed and replaced when a feed without changes brings a newer contact with the quorum
+	cached   map[uint64]*delta // to the latest index, by where they begin
 	depth    uint32
 	children int
 }
 
-// difference is what leads to the latest index, made once for all children that stand at another.
-type difference struct {
+// delta is what leads to the latest index, made once for all children that stand at another.
+type delta struct {
 	changes *wire.Changes
 	once    sync.Once
 	encoded []byte // a Feed with nothing but the changes
@@ -42,7 +42,7 @@
 
 // NewHub returns a hub that has been told nothing.
 func NewHub(age func() time.Duration) *Hub {
-	return &Hub{Age: age, view: catalog.NewView(), changed: make(chan struct{}), renewed: make(chan struct{}), cached: map[uint64]*difference{}}
+	return &Hub{Age: age, view: catalog.NewView(), changed: make(chan struct{}), confirmed: make(chan struct{}), cached: map[uint64]*delta{}}
 }
 
 // notify tells those who wait of a change; called with mu held.
@@ -56,7 +56,7 @@
 func (h *Hub) signals() (changed, renewed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.changed, h.renewed
+	return h.changed, h.confirmed
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -128,8 +128,8 @@
 	case h.view.Index() != before:
 		h.notify()
 	case current:
-		close(h.renewed)
-		h.renewed = make(chan struct{})
+		close(h.confirmed)
+		h.confirmed = make(chan struct{})
 	}
 	return current, ok
 }
@@ -150,7 +150,7 @@
 	defer h.mu.Unlock()
 	f := h.heartbeat()
 	SetAge(f, now, contactAt, subscribedAt)
-	if d := h.difference(have); d != nil {
+	if d := h.delta(have); d != nil {
 		f.Changes = d.changes
 	}
 	return f, h.changed
@@ -161,8 +161,8 @@
 	return &wire.Feed{Latest: h.view.Index(), Depth: h.depth, Format: Format}
 }
 
-// difference returns what leads from an index to the latest; nil: nothing. Called with mu held.
-func (h *Hub) difference(have uint64) *difference {
+// delta returns what leads from an index to the latest; nil: nothing. Called with mu held.
+func (h *Hub) delta(have uint64) *delta {
 	if d := h.cached[have]; d != nil {
 		return d
 	}
@@ -170,7 +170,7 @@
 	if changes == nil {
 		return nil
 	}
-	d := &difference{changes: changes}
+	d := &delta{changes: changes}
 	if len(h.cached) < maxCached {
 		h.cached[have] = d
 	}
@@ -182,7 +182,7 @@
 func (h *Hub) encodedFeed(have uint64, now, subscribedAt time.Duration) (data []byte, latest uint64, err error) {
 	contactAt := now - h.Age()
 	h.mu.Lock()
-	f, d := h.heartbeat(), h.difference(have)
+	f, d := h.heartbeat(), h.delta(have)
 	h.mu.Unlock()
 	SetAge(f, now, contactAt, subscribedAt)
 	if data, err = proto.Marshal(f); err != nil || d == nil {
@@ -190,13 +190,13 @@
 	}
 	changes, err := d.encode()
 	if len(changes) > maxCachedBytes {
-		h.drop(have, d)
+		h.uncache(have, d)
 	}
 	return append(data, changes...), f.Latest, err // messages that follow each other are merged
 }
 
 // encode returns a difference as the bytes of a feed.
-func (d *difference) encode() ([]byte, error) {
+func (d *delta) encode() ([]byte, error) {
 	d.once.Do(func() {
 		var feed *wire.Feed
 		if feed, d.err = pack(d.changes); d.err == nil {
@@ -206,8 +206,8 @@
 	return d.encoded, d.err
 }
 
-// drop keeps a large difference no longer than its receivers do.
-func (h *Hub) drop(have uint64, d *difference) {
+// uncache keeps a large difference no longer than its receivers do.
+func (h *Hub) uncache(have uint64, d *delta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.cached[have] == d {
@@ -218,8 +218,8 @@
 // ErrFull is the end of a subscription to a node that feeds enough children.
 var ErrFull = errors.New("relay: no room for another child")
 
-// enter takes a child in, unless there are too many.
-func (h *Hub) enter() bool {
+// addChild takes a child in, unless there are too many.
+func (h *Hub) addChild() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.children >= MaxChildren {
@@ -229,7 +229,7 @@
 	return true
 }
 
-func (h *Hub) exit() {
+func (h *Hub) removeChild() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.children--
@@ -237,19 +237,19 @@
 
 // Serve feeds one child until it leaves.
 func (h *Hub) Serve(s *rpc.Stream) error {
-	ask := new(wire.SubscribeRequest)
-	if err := s.Recv(ask); err != nil {
+	request := new(wire.SubscribeRequest)
+	if err := s.Recv(request); err != nil {
 		return err
 	}
 	subscribedAt := time.Now()
-	if err := CheckFormat(ask.Node, ask.Format); err != nil {
+	if err := CheckFormat(request.Node, request.Format); err != nil {
 		return err
 	}
-	if !h.enter() {
+	if !h.addChild() {
 		return ErrFull
 	}
-	defer h.exit()
-	return h.feedChild(s, ask.Have, subscribedAt)
+	defer h.removeChild()
+	return h.feedChild(s, request.Have, subscribedAt)
 }
 
 // feedChild sends feeds as Pacing says, until the child leaves.
@@ -269,18 +269,18 @@
 		have = max(have, latest)
 		pacing.Sent(time.Since(subscribedAt))
 		timer.Reset(pacing.Due(h.Depth()) - time.Since(subscribedAt))
-		for waiting := true; waiting; {
+		for idle := true; idle; {
 			select {
 			case <-changed:
 				changed = nil
-				pacing.PassOn()
+				pacing.MarkPending()
 				timer.Reset(pacing.Due(h.Depth()) - time.Since(subscribedAt))
 			case <-renewed:
 				renewed = nil
-				pacing.PassOn()
+				pacing.MarkPending()
 				timer.Reset(pacing.Due(h.Depth()) - time.Since(subscribedAt))
 			case <-timer.C:
-				waiting = false
+				idle = false
 			case <-s.Context().Done():
 				return s.Context().Err()
 			}
--- a/internal/distribution/relay/pacing.go
+++ b/internal/distribution/relay/pacing.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// feedEvery is the least time between two feeds to a child, so that updates that come faster share one. The first
+	// minFeedInterval is the least time between two feeds to a child, so that updates that come faster share one. The first
 	// after a pause goes at once.
-	feedEvery = 25 * time.Millisecond
+	minFeedInterval = 25 * time.Millisecond
 
 	// relayHeartbeat is the time after which a relay sends a heartbeat although none has come from its own parent: a little
 	// more than Heartbeat, so that what goes down the tree is in step with the quorum member at its top.
@@ -19,20 +19,20 @@
 // It is a pure state machine. Times are durations since a moment of the driver's choice.
 type Pacing struct {
 	sentAt  time.Duration
-	waiting bool // there is something to pass on
+	pending bool // there is something to pass on
 }
 
 // Sent takes the moment of a feed: all that was to be passed on is in it.
-func (p *Pacing) Sent(now time.Duration) { p.sentAt, p.waiting = now, false }
+func (p *Pacing) Sent(now time.Duration) { p.sentAt, p.pending = now, false }
 
-// PassOn notes that there is something to pass on.
-func (p *Pacing) PassOn() { p.waiting = true }
+// MarkPending notes that there is something to pass on.
+func (p *Pacing) MarkPending() { p.pending = true }
 
 // Due returns when the next feed is to be sent. depth is this node's place below the quorum, whose members are at 0.
 func (p *Pacing) Due(depth uint32) time.Duration {
 	switch {
-	case p.waiting:
-		return p.sentAt + feedEvery
+	case p.pending:
+		return p.sentAt + minFeedInterval
 	case depth > 0:
 		return p.sentAt + relayHeartbeat
 	}
--- a/internal/distribution/relay/pacing_test.go
+++ b/internal/distribution/relay/pacing_test.go
@@ -52,7 +52,7 @@
 				at := path[0].hub.Index()
 				path[0].hub.Apply(&wire.Changes{From: at, To: at + 1, Resources: []*wire.Resource{
 					{Index: at + 1, Value: &wire.Resource_RemovedServer{RemovedServer: "a"}}}})
-				path[0].pacing.PassOn()
+				path[0].pacing.MarkPending()
 			}
 			for i, p := range path[:levels] {
 				child := path[i+1]
@@ -86,7 +86,7 @@
 			t.Fatalf("seed %d: changes are missing at level %d", seed, level)
 		}
 		if current || p.hub.Index() != before {
-			p.pacing.PassOn()
+			p.pacing.MarkPending()
 		}
 	}
 }
--- a/internal/distribution/relay/readiness_test.go
+++ b/internal/distribution/relay/readiness_test.go
@@ -15,14 +15,14 @@
 		index   uint64
 		want    Proof
 	}{
-		{"the leader's index is reached", 7, time.Second, never, 7, LeaderProof},
+		{"the leader's index is reached", 7, time.Second, ageUnknown, 7, LeaderProof},
 		{"it is not reached", 7, time.Second, 2 * time.Second, 6, NoProof},
 		{"a contact since the start", 0, time.Second, 900 * time.Millisecond, 6, AgeProof},
 		{"a contact at the start", 0, time.Second, time.Second, 6, NoProof},
 		{"no proof, just started", 0, time.Second, 10 * time.Second, 6, NoProof},
 		{"no proof for a while, a recent state", 0, unprovenWait, 10 * time.Second, 6, Unconfirmed},
 		{"no proof for a while, an old state", 0, unprovenWait, maxUnprovenAge + time.Second, 6, NoProof},
-		{"no proof for long, no state", 0, time.Hour, never, 0, NoProof},
+		{"no proof for long, no state", 0, time.Hour, ageUnknown, 0, NoProof},
 	} {
 		var f Readiness
 		if c.latest > 0 {
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -27,7 +27,7 @@
 	Fanout    = 6                      // children of one node
 	Heartbeat = 400 * time.Millisecond // between signs of life to a child
 	Stale     = 1500 * time.Millisecond
-	Silence   = 1200 * time.Millisecond // after which a parent is given up
+	FeedTimeout   = 1200 * time.Millisecond // after which a parent is given up
 
 	// MaxChildren is how many a node feeds at most. Until the tree stands, nodes turn to the quorum: of a few hundred that
 	// start at once each member feeds its share; of thousands, the first, which feed the others.
@@ -48,15 +48,15 @@
 	return fmt.Errorf("%w: %s has feeds of format %d, this node of format %d", ErrFormat, who, format, Format)
 }
 
-// order of the nodes of a zone, alike everywhere.
-func order(name string) uint64 {
+// treeOrder of the nodes of a zone, alike everywhere.
+func treeOrder(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// Place keeps what Parents says, as long as the members stay.
-type Place struct {
+// ParentCache keeps what Parents says, as long as the members stay.
+type ParentCache struct {
 	Self, Zone string
 
 	version uint64
@@ -64,15 +64,15 @@
 }
 
 // Parents returns what Parents does for a version of the members.
-func (p *Place) Parents(version uint64, members func() []*wire.Member) []string {
+func (p *ParentCache) Parents(version uint64, members func() []*wire.Member) []string {
 	if p.version != version || p.parents == nil {
 		p.version, p.parents = version, Parents(p.Self, p.Zone, members())
 	}
 	return p.parents
 }
 
-// reluctance orders quorum members as parents in a zone: those that others can't reach come last.
-func reluctance(m *wire.Member, zone string) int {
+// parentRank orders quorum members as parents in a zone: those that others can't reach come last.
+func parentRank(m *wire.Member, zone string) int {
 	switch {
 	case m.State != wire.Member_ALIVE:
 		return 2
@@ -92,28 +92,28 @@
 	byOrder := func(a, b place) int {
 		return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.m.Name, b.m.Name))
 	}
-	var mates, quorum []place
-	own := order(self)
+	var zoneNodes, quorum []place
+	own := treeOrder(self)
 	for _, m := range members {
 		switch {
 		case m.QuorumMember:
 			// Each zone begins with another quorum member, where none stands in it.
-			quorum = append(quorum, place{order(m.Name) ^ own, m})
+			quorum = append(quorum, place{treeOrder(m.Name) ^ own, m})
 		case m.Zone == zone && (m.State == wire.Member_ALIVE || m.Name == self):
-			mates = append(mates, place{order(m.Name), m})
+			zoneNodes = append(zoneNodes, place{treeOrder(m.Name), m})
 		}
 	}
-	slices.SortFunc(mates, byOrder)
+	slices.SortFunc(zoneNodes, byOrder)
 	slices.SortFunc(quorum, byOrder)
 	slices.SortStableFunc(quorum, func(a, b place) int {
-		return cmp.Compare(reluctance(a.m, zone), reluctance(b.m, zone))
+		return cmp.Compare(parentRank(a.m, zone), parentRank(b.m, zone))
 	})
-	var out []string
-	if i := slices.IndexFunc(mates, func(p place) bool { return p.m.Name == self }); i > 0 {
-		out = append(out, mates[(i-1)/Fanout].m.Address)
+	var addresses []string
+	if i := slices.IndexFunc(zoneNodes, func(p place) bool { return p.m.Name == self }); i > 0 {
+		addresses = append(addresses, zoneNodes[(i-1)/Fanout].m.Address)
 	}
 	for _, p := range quorum {
-		out = append(out, p.m.Address)
+		addresses = append(addresses, p.m.Address)
 	}
-	return out
+	return addresses
 }
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -107,15 +107,15 @@
 func TestAHubFeedsSoManyChildren(t *testing.T) {
 	h := NewHub(nil)
 	for range MaxChildren {
-		if !h.enter() {
+		if !h.addChild() {
 			t.Fatal("no room for a child below the bound")
 		}
 	}
-	if h.enter() {
+	if h.addChild() {
 		t.Error("one more than the bound is fed")
 	}
-	h.exit()
-	if !h.enter() {
+	h.removeChild()
+	if !h.addChild() {
 		t.Error("the place of one that has left is not given again")
 	}
 }
--- a/internal/distribution/relay/search_test.go
+++ b/internal/distribution/relay/search_test.go
@@ -274,7 +274,7 @@
 		clock := func() func(time.Duration) time.Duration {
 			offset, drift := draw(time.Hour), rng.Float64()*2-1
 			return func(at time.Duration) time.Duration {
-				return offset + at + time.Duration(drift*float64(at)/(2*driftShare))
+				return offset + at + time.Duration(drift*float64(at)/(2*maxClockDriftDivisor))
 			}
 		}
 		parent, child := clock(), clock()
@@ -285,7 +285,7 @@
 		taken := sent + draw(5*time.Second)
 		f := &wire.Feed{}
 		SetAge(f, parent(sent), parent(contact), parent(received))
-		if got := (Subscription{AskedAt: child(asked)}).ContactAt(child(taken), f); got > child(contact)+time.Microsecond {
+		if got := (Subscription{RequestedAt: child(asked)}).ContactAt(child(taken), f); got > child(contact)+time.Microsecond {
 			t.Fatalf("seed %d: a contact at %v of the child's clock is taken for one at %v", seed, child(contact), got)
 		}
 	}
--- a/internal/distribution/relay/selector.go
+++ b/internal/distribution/relay/selector.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	settledFor = 5 * time.Second // a parent that lasted as long was a good one
-	substitute = 3 * time.Second // so long a node stays below one that is not its place
-	roundPause = 100 * time.Millisecond
+	stableAfter = 5 * time.Second // a parent that lasted as long was a good one
+	fallbackFor = 3 * time.Second // so long a node stays below one that is not its place
+	retryPause = 100 * time.Millisecond
 )
 
 // EndReason says why a subscription has ended.
@@ -15,7 +15,7 @@
 const (
 	Continue   EndReason = ""                           // it has not ended
 	Renew      EndReason = "renew"                      // it is to be renewed at once, or the node's place is elsewhere
-	OutOfTouch EndReason = "the parent is out of touch" // what the parent sends is too old
+	ParentStale EndReason = "the parent is out of touch" // what the parent sends is too old
 	Failed     EndReason = "failed"                     // no connection, silence, a refusal, or a feed that can't be read
 )
 
@@ -23,12 +23,12 @@
 // time and an event, and says what to do. Times are durations since a moment of
 // the driver's choice. Its zero value has no parent.
 type Selector struct {
-	turn  int           // counts the candidates that were tried
-	among int           // of how many
-	addr  string        // of the parent
-	best  bool          // it was the first of the candidates
-	began time.Duration // of the subscription
-	until time.Duration // of the pause after all candidates have failed
+	attempts  int           // counts the candidates that were tried
+	candidates int           // of how many
+	parent  string        // of the parent
+	preferred  bool          // it was the first of the candidates
+	subscribedAt time.Duration // of the subscription
+	pausedUntil time.Duration // of the pause after all candidates have failed
 }
 
 // Next returns the parent to subscribe to, out of the candidates, the best first, or how long to
@@ -36,45 +36,45 @@
 // that has failed.
 func (s *Selector) Next(now time.Duration, parents []string) (addr string, wait time.Duration) {
 	if len(parents) == 0 {
-		return "", roundPause
+		return "", retryPause
 	}
-	if now < s.until {
-		return "", s.until - now
+	if now < s.pausedUntil {
+		return "", s.pausedUntil - now
 	}
-	s.among = len(parents)
-	at := s.turn % s.among
-	s.addr, s.best, s.began = parents[at], at == 0, now
-	return s.addr, 0
+	s.candidates = len(parents)
+	at := s.attempts % s.candidates
+	s.parent, s.preferred, s.subscribedAt = parents[at], at == 0, now
+	return s.parent, 0
 }
 
 // Check says whether a parent should be left for the age of what it has sent.
 func (s *Selector) Check(now, age time.Duration) EndReason {
-	if age > Stale && now-s.began > Heartbeat {
-		return OutOfTouch
+	if age > Stale && now-s.subscribedAt > Heartbeat {
+		return ParentStale
 	}
 	return Continue
 }
 
 // ShouldMove reports whether the node's place is elsewhere by now.
 func (s *Selector) ShouldMove(now time.Duration, parents []string) bool {
-	if !s.best {
-		return now-s.began > substitute
+	if !s.preferred {
+		return now-s.subscribedAt > fallbackFor
 	}
-	return len(parents) > 0 && parents[0] != s.addr
+	return len(parents) > 0 && parents[0] != s.parent
 }
 
 // Ended takes the end of a subscription.
-func (s *Selector) Ended(now time.Duration, why EndReason) {
+func (s *Selector) Ended(now time.Duration, reason EndReason) {
 	switch {
-	case why == Renew, now-s.began > settledFor && !s.best:
-		s.turn = 0
-	case now-s.began > settledFor:
+	case reason == Renew, now-s.subscribedAt > stableAfter && !s.preferred:
+		s.attempts = 0
+	case now-s.subscribedAt > stableAfter:
 		// The best one has failed: while its connection looks sound, another try would take as long again to show it.
-		s.turn = 1
+		s.attempts = 1
 	default:
-		if s.turn++; s.turn%s.among == 0 {
-			s.until = now + roundPause
+		if s.attempts++; s.attempts%s.candidates == 0 {
+			s.pausedUntil = now + retryPause
 		}
 	}
-	s.addr = ""
+	s.parent = ""
 }
--- a/internal/simulation/lab/core.go
+++ b/internal/simulation/lab/core.go
@@ -76,7 +76,7 @@
 	c.changes, c.reads, c.inbox, c.busy, c.leads = map[uint64]*change{}, map[uint64]func(bool){}, nil, false, false
 	c.contactAt = s.now - raft.MaxContactAge
 	c.hub = relay.NewHub(func() time.Duration { return s.now - c.contactAt })
-	c.hub.Apply(c.catalog.Whole())
+	c.hub.Apply(c.catalog.FullChanges())
 	c.peerView.start(s, &c.machine)
 	c.loop(c.incarnation)
 }
@@ -163,7 +163,7 @@
 		if o.Snapshot != nil {
 			c.s.must(c.catalog.Restore(o.Snapshot.Data))
 			c.applied = o.Snapshot.Index
-			c.hub.Apply(c.catalog.Whole())
+			c.hub.Apply(c.catalog.FullChanges())
 			c.feed()
 		}
 		if n := len(o.Entries); n > 0 {
@@ -238,7 +238,7 @@
 	if c.raft.ShouldTransferLeadership() && c.raft.TransferLeadership(c.s.now) {
 		return
 	}
-	gone := c.catalog.On(func(node string) bool { return c.group.Lost(c.s.now, node, c.s.now-c.ledSince) })
+	gone := c.catalog.MembersOn(func(node string) bool { return c.group.Lost(c.s.now, node, c.s.now-c.ledSince) })
 	if len(gone) > 0 && len(c.changes) == 0 {
 		c.propose(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}}, func(error) {})
 	}
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -31,7 +31,7 @@
 type node struct {
 	machine
 	peerView
-	place     relay.Place
+	place     relay.ParentCache
 	selector  relay.Selector
 	parent    *child // as the parent has it
 	heardAt   time.Duration
@@ -44,7 +44,7 @@
 	server    *server
 	began     time.Duration
 	cluster   entry.ClusterStateBuilder
-	listed    catalog.Local
+	listed    catalog.NodeServers
 	members   uint64 // the version of them that the table has been told
 	proposes  bool
 	ready     bool   // it takes clients: its state is as new as what had been acknowledged when it started
@@ -55,9 +55,9 @@
 	s := n.s
 	s.lives++
 	n.incarnation, n.up, n.powered, n.began = s.lives, true, true, s.now
-	n.place = relay.Place{Self: n.name, Zone: n.zone}
+	n.place = relay.ParentCache{Self: n.name, Zone: n.zone}
 	n.selector, n.parent, n.freshAt, n.proposes = relay.Selector{}, nil, -time.Hour, false
-	n.cluster, n.listed, n.members = entry.ClusterStateBuilder{}, catalog.Local{Node: n.name}, 0
+	n.cluster, n.listed, n.members = entry.ClusterStateBuilder{}, catalog.NodeServers{Node: n.name}, 0
 	n.hub = relay.NewHub(func() time.Duration { return s.now - n.freshAt })
 	n.table = entry.NewTable(entry.Options{Node: n.name, Zone: n.zone, Ratio: s.w.Retry.Ratio, Window: sec(s.w.Retry.WindowS), Seed: s.rng.Uint64()})
 	n.admission = localserver.New[*ticket](ms(s.w.DrainMs), ms(s.w.BeatMs))
@@ -146,10 +146,10 @@
 		n.s.after(wait, func() { n.follow(incarnation) })
 		return
 	}
-	c := &child{node: n, incarnation: incarnation, have: n.hub.Index(), subscription: relay.Subscription{AskedAt: n.s.now}}
+	c := &child{node: n, incarnation: incarnation, have: n.hub.Index(), subscription: relay.Subscription{RequestedAt: n.s.now}}
 	n.parent, n.heardAt = c, n.s.now
 	to := n.s.views[addr]
-	n.s.call(&n.machine, to.m, rpcBytes, relay.Silence, func(answer func(int, func())) {
+	n.s.call(&n.machine, to.m, rpcBytes, relay.FeedTimeout, func(answer func(int, func())) {
 		if to.fed() >= relay.MaxChildren {
 			answer(rpcBytes, func() { n.abandon(c, relay.Failed) })
 			return
@@ -167,11 +167,11 @@
 	if n.parent != c {
 		return
 	}
-	if n.s.now-n.heardAt >= relay.Silence {
+	if n.s.now-n.heardAt >= relay.FeedTimeout {
 		n.abandon(c, relay.Failed)
 		return
 	}
-	n.s.at(n.heardAt+relay.Silence, func() { n.watch(c) })
+	n.s.at(n.heardAt+relay.FeedTimeout, func() { n.watch(c) })
 }
 
 // abandon leaves a parent, and looks for another.
@@ -208,7 +208,7 @@
 	if current || after > before {
 		n.feed()
 	}
-	if !ok || n.selector.ShouldMove(n.s.now, n.parents()) || c.subscription.Outdated(n.s.now, f) {
+	if !ok || n.selector.ShouldMove(n.s.now, n.parents()) || c.subscription.NeedsRenewal(n.s.now, f) {
 		n.abandon(c, relay.Renew)
 	}
 }
--- a/internal/simulation/lab/peerview.go
+++ b/internal/simulation/lab/peerview.go
@@ -14,7 +14,7 @@
 type peerView struct {
 	s        *sim
 	m        *machine
-	group    *membership.Group
+	group    *membership.Memberlist
 	hub      *relay.Hub
 	pacing   relay.Pacing
 	children []*child
@@ -52,12 +52,12 @@
 	for _, a := range v.group.Tick(v.s.now, v.s.seeds) {
 		v.send(a)
 	}
-	v.s.at(max(v.group.Next(), v.s.now+10*time.Millisecond), func() { v.probe(incarnation) })
+	v.s.at(max(v.group.NextTick(), v.s.now+10*time.Millisecond), func() { v.probe(incarnation) })
 }
 
-func (v *peerView) send(a membership.Action) {
-	v.exchange(a.Address, a.Probe, a.Wait(), func(answer *wire.ProbeResponse) {
-		for _, more := range v.group.Probed(v.s.now, a, answer) {
+func (v *peerView) send(a membership.Probe) {
+	v.exchange(a.Address, a.Request, a.Timeout(), func(answer *wire.ProbeResponse) {
+		for _, more := range v.group.HandleProbeResult(v.s.now, a, answer) {
 			v.send(more)
 		}
 	})
@@ -77,7 +77,7 @@
 		to.group.Merge(v.s.now, p.From)
 		to.group.Merge(v.s.now, p.Updates...)
 		reply := func(reached bool) {
-			probed := to.group.Answer(p)
+			probed := to.group.HandleProbe(p)
 			probed.Reached = reached
 			size := proto.Size(probed)
 			v.s.m.probeBytes += int64(size + rpcBytes)
--- a/internal/simulation/lab/request.go
+++ b/internal/simulation/lab/request.go
@@ -25,7 +25,7 @@
 func (n *node) refresh() bool {
 	members := n.group.Version()
 	if members != n.members {
-		n.cluster.Members(n.group.Members(), func(name string) bool { return n.group.Gone(n.s.now, name) > 0 })
+		n.cluster.Members(n.group.Members(), func(name string) bool { return n.group.DeadFor(n.s.now, name) > 0 })
 	}
 	if n.hub.Index() != n.cluster.Index() || members != n.members {
 		n.members = members
--- a/internal/simulation/scale/hollow.go
+++ b/internal/simulation/scale/hollow.go
@@ -141,7 +141,7 @@
 	n := &hollowNode{machine: machine, server: beat, changed: make(chan struct{}, 1), end: end, ended: make(chan struct{})}
 	n.agent = agent.New(agent.Options{
 		Settings: func() *nodefile.Settings { return set }, Pool: pool, Seed: rand.Uint64(), Log: log,
-		Servers: n.servers, ServersChanged: n.changed, Leaving: func() bool { return false },
+		Servers: n.servers, ServersChanged: n.changed, Draining: func() bool { return false },
 	})
 	server := rpc.NewServer(log)
 	n.agent.Register(server)
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -66,7 +66,7 @@
 // nodeState is one node's state, as its program holds it.
 type nodeState struct {
 	hub      *relay.Hub
-	group    *membership.Group
+	group    *membership.Memberlist
 	cluster  entry.ClusterStateBuilder
 	outbound *proxy.Outbound
 }
@@ -163,7 +163,7 @@
 		return err
 	}
 	n.group.Merge(now, answer.Updates...)
-	n.cluster.Members(n.group.Members(), func(node string) bool { return n.group.Gone(now, node) > 0 })
+	n.cluster.Members(n.group.Members(), func(node string) bool { return n.group.DeadFor(now, node) > 0 })
 	n.outbound.Update(n.cluster.ClusterState())
 	return nil
 }
@@ -226,7 +226,7 @@
 // firstFeeds are what a node gets first: the configuration, and then the list as a difference. Both together are the
 // whole state that a node gets in one feed.
 func (o *StateOptions) firstFeeds(source *catalog.Catalog, size *StateSize) (feeds [][]byte, err error) {
-	whole := source.Whole()
+	whole := source.FullChanges()
 	data, err := proto.Marshal(&wire.Feed{Changes: whole})
 	if err != nil {
 		return nil, err
@@ -268,7 +268,7 @@
 	}
 	size.MembersHeapMB = megabytes(liveHeap() - before)
 	began := time.Now()
-	answer, err := proto.Marshal(n.group.Answer(&wire.ProbeRequest{FullView: true}))
+	answer, err := proto.Marshal(n.group.HandleProbe(&wire.ProbeRequest{FullView: true}))
 	if err != nil {
 		return err
 	}
