--- a/cmd/ivydeck-control/main.go
+++ b/cmd/ivydeck-control/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	program.Main("ivydeck-control", "The control plane of the ivydeck mesh.", nodefile.Core, server.Run)
+	program.Main("ivydeck-control", "The control plane of the ivydeck mesh.", nodefile.QuorumMachine, server.Run)
 }
--- a/cmd/ivydeck-data/main.go
+++ b/cmd/ivydeck-data/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	program.Main("ivydeck-data", "The data plane of the ivydeck mesh.", nodefile.Sidecar, sidecar.Run)
+	program.Main("ivydeck-data", "The data plane of the ivydeck mesh.", nodefile.SidecarMachine, sidecar.Run)
 }
--- a/cmd/ivydeckctl/config.go
+++ b/cmd/ivydeckctl/config.go
@@ -46,16 +46,16 @@
 }
 
 type readCmd struct {
-	coreFlags
+	quorumFlags
 	Output string `help:"json or table." enum:"json,table" default:"table"`
 }
 
 func (c *readCmd) Run(ctx context.Context) error {
-	core, err := c.core()
+	quorum, err := c.client()
 	if err != nil {
 		return err
 	}
-	_, config, err := core.Read(ctx)
+	_, config, err := quorum.Read(ctx)
 	if err != nil {
 		return err
 	}
@@ -77,13 +77,13 @@
 		for _, w := range r.Backends {
 			to = append(to, fmt.Sprintf("%s:%g", w.Backend, w.Weight))
 		}
-		fmt.Printf("%-32s %-15s %8d %8g %8g  %s\n", r.Host+r.Prefix, r.Kind, r.Priority, r.AimMs, r.TimeoutMs, strings.Trim(strings.Join(to, " "), " "))
+		fmt.Printf("%-32s %-15s %8d %8g %8g  %s\n", r.Host+r.Prefix, r.Kind, r.Priority, r.TargetLatencyMs, r.TimeoutMs, strings.Trim(strings.Join(to, " "), " "))
 	}
 	return nil
 }
 
 type applyCmd struct {
-	coreFlags
+	quorumFlags
 	File string `arg:"" type:"existingfile"`
 	Base int64  `help:"Revision that it builds on; the one in force where it is not given." default:"-1"`
 }
@@ -93,13 +93,13 @@
 	if err != nil {
 		return err
 	}
-	core, err := c.core()
+	quorum, err := c.client()
 	if err != nil {
 		return err
 	}
 	base := uint64(c.Base)
 	if c.Base < 0 {
-		_, current, err := core.Read(ctx)
+		_, current, err := quorum.Read(ctx)
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 			base = current.Revision
 		}
 	}
-	if err := core.Apply(ctx, base, body); err != nil {
+	if err := quorum.Apply(ctx, base, body); err != nil {
 		return err
 	}
 	fmt.Printf("revision %d is in force\n", config.Revision)
--- a/cmd/ivydeckctl/member.go
+++ b/cmd/ivydeckctl/member.go
@@ -7,16 +7,16 @@
 
 // memberRemoveCmd removes a quorum member that is gone for good.
 type memberRemoveCmd struct {
-	coreFlags
+	quorumFlags
 	Identity string `arg:"" help:"Its identity, as members prints it."`
 }
 
 func (c *memberRemoveCmd) Run(ctx context.Context) error {
-	core, err := c.core()
+	quorum, err := c.client()
 	if err != nil {
 		return err
 	}
-	if err := core.RemoveMember(ctx, c.Identity); err != nil {
+	if err := quorum.RemoveMember(ctx, c.Identity); err != nil {
 		return err
 	}
 	fmt.Printf("%s is no member any longer\n", c.Identity)
--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -14,16 +14,16 @@
 )
 
 type statusCmd struct {
-	coreFlags
+	quorumFlags
 	Output string `help:"json or table." enum:"json,table" default:"table"`
 }
 
 func (c *statusCmd) Run(ctx context.Context) error {
-	core, err := c.core()
+	quorum, err := c.client()
 	if err != nil {
 		return err
 	}
-	all, errs := core.Status(ctx)
+	all, errs := quorum.Status(ctx)
 	if c.Output == "json" {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
@@ -45,18 +45,18 @@
 }
 
 // leader returns what the leader says.
-func (f *coreFlags) leader(ctx context.Context) (server.Status, error) {
-	core, err := f.core()
+func (f *quorumFlags) leader(ctx context.Context) (server.Status, error) {
+	quorum, err := f.client()
 	if err != nil {
 		return server.Status{}, err
 	}
-	all, errs := core.Status(ctx)
+	all, errs := quorum.Status(ctx)
 	for _, s := range all {
 		if s.IsLeader {
 			return s, nil
 		}
 	}
-	return server.Status{}, errors.Join(append(errs, errors.New("none of these machines leads"))...)
+	return server.Status{}, errors.Join(append(errs, errors.New("none of these machines is the leader"))...)
 }
 
 // table prints rows under a head, or the same as JSON.
@@ -73,7 +73,7 @@
 }
 
 type membersCmd struct {
-	coreFlags
+	quorumFlags
 	Output string `help:"json or table." enum:"json,table" default:"table"`
 }
 
@@ -90,7 +90,7 @@
 }
 
 type serversCmd struct {
-	coreFlags
+	quorumFlags
 	Service string `help:"Of this service alone."`
 	Output  string `help:"json or table." enum:"json,table" default:"table"`
 }
@@ -109,17 +109,17 @@
 }
 
 type traceCmd struct {
-	coreFlags
+	quorumFlags
 	Attempt string `arg:"" help:"Its Attempt-Id."`
 	Output  string `help:"json or table." enum:"json,table" default:"table"`
 }
 
 func (c *traceCmd) Run(ctx context.Context) error {
-	core, err := c.core()
+	quorum, err := c.client()
 	if err != nil {
 		return err
 	}
-	t, err := core.Trace(ctx, c.Attempt)
+	t, err := quorum.Trace(ctx, c.Attempt)
 	if err != nil {
 		return err
 	}
--- a/cmd/ivydeckctl/store.go
+++ b/cmd/ivydeckctl/store.go
@@ -51,16 +51,16 @@
 }
 
 type backupCmd struct {
-	coreFlags
+	quorumFlags
 	File string `arg:"" help:"It must not exist yet."`
 }
 
 func (c *backupCmd) Run(ctx context.Context) error {
-	core, err := c.core()
+	quorum, err := c.client()
 	if err != nil {
 		return err
 	}
-	b, err := core.Backup(ctx)
+	b, err := quorum.Backup(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/ivydeckctl/top.go
+++ b/cmd/ivydeckctl/top.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"slices"
 	"strings"
@@ -16,15 +17,15 @@
 )
 
 type topCmd struct {
-	coreFlags
-	Every time.Duration `help:"Between two looks." default:"2s"`
-	Times int           `help:"Looks; 0: until interrupted." default:"0"`
+	quorumFlags
+	Every time.Duration `help:"Between two reports." default:"2s"`
+	Times int           `help:"Reports; 0: until interrupted." default:"0"`
 	Rows  int           `help:"Nodes, and servers, that are shown at most: the worst." default:"15"`
-	JSON  bool          `help:"Each look as a line of JSON, with counts in the place of rates."`
+	JSON  bool          `help:"Each report as a line of JSON, with counts in the place of rates."`
 }
 
 func (c *topCmd) Run(ctx context.Context) error {
-	core, err := c.core()
+	quorum, err := c.client()
 	if err != nil {
 		return err
 	}
@@ -38,7 +39,7 @@
 				return nil
 			}
 		}
-		now, err := core.Look(ctx)
+		now, err := quorum.Nodes(ctx)
 		switch {
 		case ctx.Err() != nil:
 			return nil
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// rates are a node's answers in a second, since the look before or its start.
+// rates are a node's answers a second, since the report before or the node's start.
 type rates struct {
 	server.NodeReport
 	served, refused, failed float64
@@ -80,82 +81,115 @@
 	return r
 }
 
+// show prints the totals, each service, the worst nodes and the servers that need attention.
 func (c *topCmd) show(out io.Writer, before, now server.NodeReports, passed time.Duration) {
-	var nodes []rates
+	nodes := make([]rates, 0, len(now.Nodes))
 	var served, refused, failed float64
-	type sum struct {
-		r, least, left            float64
-		running, waiting, slots   uint32
-		servers, out, drain, seen int
-	}
-	services := map[string]*sum{}
-	service := func(name string) *sum {
-		if services[name] == nil {
-			services[name] = &sum{least: 1}
-		}
-		return services[name]
-	}
-	type ill struct {
-		node string
-		server.ServerReport
-	}
-	var servers []ill
 	for _, n := range now.Nodes {
 		r := since(before, n, passed)
 		nodes = append(nodes, r)
 		served, refused, failed = served+r.served, refused+r.refused, failed+r.failed
+	}
+	fmt.Fprintf(out, "%s  %d nodes (%d silent): %.1f served, %.1f refused, %.1f failed a second\n",
+		time.Now().Format(time.TimeOnly), now.Queried, now.Unresponsive, served, refused, failed)
+	showServices(out, now.Nodes)
+	c.showNodes(out, nodes)
+	c.showServers(out, now.Nodes)
+}
+
+// serviceTotals sums up what all nodes report of a service.
+type serviceTotals struct {
+	normalizedLatency          float64 // sum over the nodes that report it
+	minProbability             float64 // of the admission of a call graph, at any node and priority
+	retryBudgetLeft            float64
+	running, queued, slots     uint32
+	servers, ejected, draining int
+	reports                    int // nodes that report the service
+}
+
+// totalsOf sums up the reports by service.
+func totalsOf(nodes []server.NodeReport) map[string]*serviceTotals {
+	all := map[string]*serviceTotals{}
+	of := func(service string) *serviceTotals {
+		if all[service] == nil {
+			all[service] = &serviceTotals{minProbability: 1}
+		}
+		return all[service]
+	}
+	for _, n := range nodes {
 		for _, s := range n.Services {
-			v := service(s.Service)
-			v.r, v.left, v.seen = v.r+s.NormalizedLatency, v.left+s.RetryBudgetLeft, v.seen+1
-			for _, chance := range s.AdmissionProbabilities {
-				v.least = min(v.least, chance)
+			t := of(s.Service)
+			t.reports++
+			t.normalizedLatency += s.NormalizedLatency
+			t.retryBudgetLeft += s.RetryBudgetLeft
+			for _, probability := range s.AdmissionProbabilities {
+				t.minProbability = min(t.minProbability, probability)
 			}
 		}
 		for _, s := range n.Servers {
-			v := service(s.Service)
-			v.running, v.waiting, v.slots, v.servers = v.running+s.Running, v.waiting+s.Queued, v.slots+s.Slots, v.servers+1
+			t := of(s.Service)
+			t.servers++
+			t.running, t.queued, t.slots = t.running+s.Running, t.queued+s.Queued, t.slots+s.Slots
 			if len(s.EjectedZones) > 0 {
-				v.out++
+				t.ejected++
 			}
 			if s.Draining {
-				v.drain++
+				t.draining++
 			}
-			servers = append(servers, ill{n.Node, s})
 		}
 	}
-	fmt.Fprintf(out, "%s  %d nodes (%d silent): %.1f served, %.1f refused, %.1f failed a second\n",
-		time.Now().Format(time.TimeOnly), now.Queried, now.Unresponsive, served, refused, failed)
+	return all
+}
+
+func showServices(out io.Writer, nodes []server.NodeReport) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	defer w.Flush()
 	fmt.Fprintln(w, "service\tservers\tout\tdraining\trunning\twaiting\tslots\tmean r\tleast chance\trepeats left")
-	names := make([]string, 0, len(services))
-	for name := range services {
-		names = append(names, name)
+	totals := totalsOf(nodes)
+	for _, name := range slices.Sorted(maps.Keys(totals)) {
+		t := totals[name]
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.0f\n", name, t.servers, t.ejected, t.draining, t.running, t.queued, t.slots,
+			t.normalizedLatency/float64(max(1, t.reports)), t.minProbability, t.retryBudgetLeft)
 	}
-	slices.Sort(names)
-	for _, name := range names {
-		v := services[name]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.0f\n", name, v.servers, v.out, v.drain, v.running, v.waiting, v.slots,
-			v.r/float64(max(1, v.seen)), v.least, v.left)
-	}
-	w.Flush()
+}
+
+// showNodes prints the nodes with the most failures, rejections and pending requests.
+func (c *topCmd) showNodes(out io.Writer, nodes []rates) {
 	slices.SortStableFunc(nodes, func(a, b rates) int {
 		return cmp.Or(cmp.Compare(b.failed, a.failed), cmp.Compare(b.refused, a.refused), cmp.Compare(b.Pending, a.Pending))
 	})
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	defer w.Flush()
 	fmt.Fprintln(w, "node\tzone\tserved/s\trefused/s\tfailed/s\tpending\tupdate\tupdate age ms")
 	for _, r := range nodes[:min(len(nodes), c.Rows)] {
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\t%d\t%d\t%d\n", r.Node, r.Zone, r.served, r.refused, r.failed, r.Pending, r.UpdateIndex, r.UpdateAgeMs)
 	}
-	w.Flush()
-	servers = slices.DeleteFunc(servers, func(s ill) bool { return len(s.EjectedZones) == 0 && s.Queued == 0 && !s.Draining })
-	slices.SortStableFunc(servers, func(a, b ill) int {
-		return cmp.Or(cmp.Compare(len(b.EjectedZones), len(a.EjectedZones)), cmp.Compare(b.Queued, a.Queued))
-	})
-	if len(servers) == 0 {
+}
+
+// showServers prints the servers that are ejected, draining or have a queue, if there are any.
+func (c *topCmd) showServers(out io.Writer, nodes []server.NodeReport) {
+	type row struct {
+		node string
+		server.ServerReport
+	}
+	var rows []row
+	for _, n := range nodes {
+		for _, s := range n.Servers {
+			if len(s.EjectedZones) > 0 || s.Queued > 0 || s.Draining {
+				rows = append(rows, row{n.Node, s})
+			}
+		}
+	}
+	if len(rows) == 0 {
 		return
 	}
+	slices.SortStableFunc(rows, func(a, b row) int {
+		return cmp.Or(cmp.Compare(len(b.EjectedZones), len(a.EjectedZones)), cmp.Compare(b.Queued, a.Queued))
+	})
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	defer w.Flush()
 	fmt.Fprintln(w, "server\tof\tnode\trunning\twaiting\tslots\tout for\tdraining")
-	for _, s := range servers[:min(len(servers), c.Rows)] {
+	for _, s := range rows[:min(len(rows), c.Rows)] {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%v\n", s.Server, s.Service, s.node, s.Running, s.Queued, s.Slots, strings.Join(s.EjectedZones, " "), s.Draining)
 	}
-	w.Flush()
 }
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -170,7 +170,7 @@
 // handleProbe answers a probe, of this node or through it of another.
 func (g *Gossip) handleProbe(ctx context.Context, p *wire.ProbeRequest) (*wire.ProbeResponse, error) {
 	if p.From != nil {
-		if caller, ok := rpc.Caller(ctx); ok && (caller.Name != p.From.Name || (caller.Role == identity.Core) != p.From.QuorumMember) {
+		if caller, ok := rpc.Caller(ctx); ok && (caller.Name != p.From.Name || (caller.Role == identity.QuorumMember) != p.From.QuorumMember) {
 			return nil, fmt.Errorf("the certificate is of %s, not of %s", caller, p.From.Name)
 		}
 		g.merge([]*wire.Member{p.From})
--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -44,7 +44,7 @@
 
 	rawBackends   []byte             // as they were parsed
 	raw           [][]byte           // of each route, as it was parsed; nil: it was not
-	places        cowmap.Map[*Route] // by Key.bytes
+	index         cowmap.Map[*Route] // by Key.bytes
 	longestPrefix int                // of any route, or more
 }
 
@@ -116,7 +116,7 @@
 	if !(r.TimeoutMs > 0) {
 		fault(": timeout_ms is %g", r.TimeoutMs)
 	}
-	if r.AimMs < 0 || r.Priority < 0 || r.MaxAttempts < 0 {
+	if r.TargetLatencyMs < 0 || r.Priority < 0 || r.MaxAttempts < 0 {
 		fault(": a negative number")
 	}
 	if r.Backend != "" {
@@ -150,18 +150,18 @@
 	}
 }
 
-// index orders the routes for Find, beginning with the index of a configuration that may share most of them.
-func (c *Config) index(base *Config) {
+// buildIndex orders the routes for Find, beginning with the index of a configuration that may share most of them.
+func (c *Config) buildIndex(base *Config) {
 	if base == nil {
 		base = &Config{}
 	}
 	c.longestPrefix = base.longestPrefix
 	added, removed := Diff(base, c)
-	c.places = base.places
+	c.index = base.index
 	if len(added) == 0 && len(removed) == 0 {
 		return
 	}
-	edit := base.places.Edit()
+	edit := base.index.Edit()
 	for _, r := range removed {
 		edit.Delete(r.Key().bytes())
 	}
@@ -169,7 +169,7 @@
 		edit.Set(r.Key().bytes(), r)
 		c.longestPrefix = max(c.longestPrefix, len(r.Prefix))
 	}
-	c.places = edit.Map()
+	c.index = edit.Map()
 }
 
 // Find returns the route for a Host header and a path, or nil.
@@ -194,7 +194,7 @@
 // At returns the route of a place, or nil. The host is in lower case.
 func (c *Config) At(host, prefix string) *Route {
 	var room [128]byte
-	r, _ := c.places.GetBytes(appendKey(room[:0], host, prefix))
+	r, _ := c.index.GetBytes(appendKey(room[:0], host, prefix))
 	return r
 }
 
--- a/internal/config/meshconfig/parse.go
+++ b/internal/config/meshconfig/parse.go
@@ -34,7 +34,7 @@
 		return nil, errors.New("configuration: more follows behind its end")
 	}
 	c := p.config
-	c.index(base)
+	c.buildIndex(base)
 	if err := p.check(); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -172,7 +172,7 @@
 	// A value's bytes say where it ends: those of a known route are that route.
 	if p.base != nil && p.next < len(p.base.raw) && bytes.HasPrefix(p.body[begin:], p.base.raw[p.next]) {
 		end := begin + len(p.base.raw[p.next])
-		return p.use(p.next), p.body[begin:end], p.seek(end)
+		return p.reuse(p.next), p.body[begin:end], p.seek(end)
 	}
 	if err := p.dec.Skip(); err != nil {
 		return nil, nil, err
@@ -181,15 +181,15 @@
 	if p.base == nil {
 		return nil, raw, nil
 	}
-	if at, found := p.lookUp(raw); found {
-		return p.use(at), raw, nil
+	if at, found := p.findUnchanged(raw); found {
+		return p.reuse(at), raw, nil
 	}
 	p.next++ // most likely this one was changed where it stands
 	return nil, raw, nil
 }
 
-// use returns a route of the base, unless it has been used before: it is there twice then, which the check will say.
-func (p *parser) use(at int) *Route {
+// reuse returns a route of the base, unless it has been used before: it is there twice then, which the check will say.
+func (p *parser) reuse(at int) *Route {
 	p.next = at + 1
 	if p.used[at] {
 		return nil
@@ -202,7 +202,7 @@
 // any.
 func (p *parser) check() error {
 	c := p.config
-	if p.base != nil && slices.Equal(p.base.Backends, c.Backends) && c.places.Len() == len(c.Routes) {
+	if p.base != nil && slices.Equal(p.base.Backends, c.Backends) && c.index.Len() == len(c.Routes) {
 		return c.check(p.fresh, false)
 	}
 	all := make([]int, len(c.Routes))
@@ -212,8 +212,8 @@
 	return c.check(all, true)
 }
 
-// lookUp finds a route of the base by its bytes.
-func (p *parser) lookUp(raw []byte) (at int, found bool) {
+// findUnchanged finds a route of the base by its bytes.
+func (p *parser) findUnchanged(raw []byte) (at int, found bool) {
 	if p.byHash == nil {
 		p.seed, p.byHash = maphash.MakeSeed(), make(map[uint64]int, len(p.base.raw))
 		for i, r := range p.base.raw {
--- a/internal/config/meshconfig/patch.go
+++ b/internal/config/meshconfig/patch.go
@@ -31,7 +31,7 @@
 	if len(p.Backends) > 0 || len(p.RemovedBackends) > 0 {
 		now.Backends = c.patchedBackends(p)
 	}
-	now.index(c)
+	now.buildIndex(c)
 	return now
 }
 
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -81,8 +81,8 @@
 			if !reflect.DeepEqual(got.Routes, want.Routes) || !reflect.DeepEqual(got.Backends, want.Backends) || got.Limits != want.Limits || got.Revision != want.Revision {
 				t.Fatalf("seed %d, round %d: %+v, want %+v", seed, round, got, want)
 			}
-			if got.places.Len() != len(got.Routes) {
-				t.Fatalf("seed %d, round %d: %d places for %d routes", seed, round, got.places.Len(), len(got.Routes))
+			if got.index.Len() != len(got.Routes) {
+				t.Fatalf("seed %d, round %d: %d places for %d routes", seed, round, got.index.Len(), len(got.Routes))
 			}
 			for _, r := range got.Routes {
 				if got.Find(r.Host, r.Prefix+"x/y") != r {
@@ -142,7 +142,7 @@
 			before := patched
 			patched = before.Apply(p)
 			now = next
-			if len(patched.Routes) != len(now.Routes) || len(patched.Backends) != len(now.Backends) || patched.places.Len() != len(now.Routes) {
+			if len(patched.Routes) != len(now.Routes) || len(patched.Backends) != len(now.Backends) || patched.index.Len() != len(now.Routes) {
 				t.Fatalf("seed %d, round %d: %d routes and %d services, want %d and %d", seed, round, len(patched.Routes), len(patched.Backends), len(now.Routes), len(now.Backends))
 			}
 			for _, r := range now.Routes {
@@ -160,7 +160,7 @@
 	c := &Config{Revision: uint64(version + 1), Backends: []Backend{{Name: "s"}}}
 	for i := range routes {
 		r := &Route{Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host%d.example", i%50), Prefix: fmt.Sprintf("/some/path%d/", i), Kind: Repeatable,
-			TimeoutMs: 1000, AimMs: 200, Priority: i % 3, Backend: "s", MaxAttempts: 2}
+			TimeoutMs: 1000, TargetLatencyMs: 200, Priority: i % 3, Backend: "s", MaxAttempts: 2}
 		if i == version%routes {
 			r.TimeoutMs = float64(1001 + version)
 		}
--- a/internal/config/meshconfig/route.go
+++ b/internal/config/meshconfig/route.go
@@ -24,16 +24,16 @@
 // Route sends requests of one host below one path to services. It is not changed once it is part of a Config, so that
 // configurations share the routes that they have in common.
 type Route struct {
-	Name        string     `msgpack:"name"`
-	Host        string     `msgpack:"hostname"`
-	Prefix      string     `msgpack:"path_prefix"`
-	Kind        Kind       `msgpack:"route_type"`
-	TimeoutMs   float64    `msgpack:"timeout_ms"`
-	AimMs       float64    `msgpack:"target_latency_ms"`
-	Priority    int        `msgpack:"priority"` // 0 is the highest
-	Backend     string     `msgpack:"backend"`  // empty: the weighted ones
-	Backends    []Weighted `msgpack:"weighted_backends"`
-	MaxAttempts int        `msgpack:"max_attempts"`
+	Name            string     `msgpack:"name"`
+	Host            string     `msgpack:"hostname"`
+	Prefix          string     `msgpack:"path_prefix"`
+	Kind            Kind       `msgpack:"route_type"`
+	TimeoutMs       float64    `msgpack:"timeout_ms"`
+	TargetLatencyMs float64    `msgpack:"target_latency_ms"`
+	Priority        int        `msgpack:"priority"` // 0 is the highest
+	Backend         string     `msgpack:"backend"`  // empty: the weighted ones
+	Backends        []Weighted `msgpack:"weighted_backends"`
+	MaxAttempts     int        `msgpack:"max_attempts"`
 
 	total float64
 }
@@ -43,8 +43,10 @@
 	return time.Duration(r.TimeoutMs * float64(time.Millisecond))
 }
 
-// Aim is the time within which an answer earns its full worth.
-func (r *Route) Aim() time.Duration { return time.Duration(r.AimMs * float64(time.Millisecond)) }
+// TargetLatency is the time within which an answer earns its full worth.
+func (r *Route) TargetLatency() time.Duration {
+	return time.Duration(r.TargetLatencyMs * float64(time.Millisecond))
+}
 
 // Service picks the service for one request; x lies in [0, 1).
 func (r *Route) Service(x float64) string {
--- a/internal/controlplane/catalog/resource.go
+++ b/internal/controlplane/catalog/resource.go
@@ -61,7 +61,7 @@
 
 func routeResource(index uint64, r *meshconfig.Route) *wire.Resource {
 	route := &wire.Route{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: string(r.Kind), TimeoutMs: r.TimeoutMs, TargetLatencyMs: r.AimMs,
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: string(r.Kind), TimeoutMs: r.TimeoutMs, TargetLatencyMs: r.TargetLatencyMs,
 		Priority: int64(r.Priority), Backend: r.Backend, MaxAttempts: int64(r.MaxAttempts),
 	}
 	for _, w := range r.Backends {
@@ -72,7 +72,7 @@
 
 func routeOf(r *wire.Route) *meshconfig.Route {
 	route := &meshconfig.Route{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: meshconfig.Kind(r.Kind), TimeoutMs: r.TimeoutMs, AimMs: r.TargetLatencyMs,
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: meshconfig.Kind(r.Kind), TimeoutMs: r.TimeoutMs, TargetLatencyMs: r.TargetLatencyMs,
 		Priority: int(r.Priority), Backend: r.Backend, MaxAttempts: int(r.MaxAttempts),
 	}
 	for _, w := range r.Backends {
--- a/internal/controlplane/server/ack_gate.go
+++ b/internal/controlplane/server/ack_gate.go
@@ -14,12 +14,12 @@
 
 // minVoters is that number, with so many voters in the newest membership.
 func (g *ackGate) minVoters(set *nodefile.Settings, voters int) int {
-	wanted := raft.WantedVoters(set.Tolerated, len(set.Seeds))
+	wanted := raft.WantedVoters(set.ToleratedLosses, len(set.Seeds))
 	if !set.Bootstrap || voters >= wanted {
 		g.grown = true
 	}
 	if !g.grown {
 		return wanted
 	}
-	return raft.MinAckVoters(set.Tolerated, len(set.Seeds))
+	return raft.MinAckVoters(set.ToleratedLosses, len(set.Seeds))
 }
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -32,7 +32,7 @@
 func (srv *Server) requireOperator(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS != nil {
-			if peer := identity.Peer(*r.TLS); peer.Role != identity.Operator {
+			if peer := identity.PeerName(*r.TLS); peer.Role != identity.Operator {
 				srv.rejectedCalls.Add(1)
 				srv.log.Warn("operator.rejected", "peer", peer.String(), "from", r.RemoteAddr, "path", r.URL.Path)
 				reply(w, http.StatusForbidden, peer.String()+" may not call this: a certificate of an operator is needed")
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -79,7 +79,7 @@
 		ip := fmt.Sprintf("%s.%d", subnet, i+1)
 		q.settings = append(q.settings, &nodefile.Settings{
 			Node: fmt.Sprint("member-", i), IP: ip, Zone: "z", Control: fmt.Sprintf("%s:%d", ip, ports[1]), Ports: [2]int{ports[0], ports[0]},
-			Seeds: []string{seed}, Bootstrap: i == 0, Quorum: true, DataDir: t.TempDir(), Heartbeat: time.Second,
+			Seeds: []string{seed}, Bootstrap: i == 0, QuorumMember: true, DataDir: t.TempDir(), HeartbeatInterval: time.Second,
 		})
 	}
 	return q
--- a/internal/controlplane/server/leader.go
+++ b/internal/controlplane/server/leader.go
@@ -47,7 +47,7 @@
 // wantedVoters is the number of voters for the tolerated losses.
 func (srv *Server) wantedVoters() int {
 	settings := srv.settings.Load()
-	return raft.WantedVoters(settings.Tolerated, len(settings.Seeds))
+	return raft.WantedVoters(settings.ToleratedLosses, len(settings.Seeds))
 }
 
 // minAckVoters is the number of voters below which nothing is acknowledged now.
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -176,12 +176,12 @@
 // newRPCServer registers the methods that other processes call. Their names are frozen: see the proto files.
 func (srv *Server) newRPCServer() *rpc.Server {
 	s := rpc.NewServer(srv.log)
-	s.Identity, s.Refused = srv.pool.Identity, &srv.rejectedCalls
+	s.Identity, s.Rejected = srv.pool.Identity, &srv.rejectedCalls
 	srv.gossip.Register(s)
-	s.Handle("raft", srv.raftStream, identity.Core)
-	s.Handle("snapshot", srv.snapshotStream, identity.Core)
-	s.Handle("join", rpc.Unary(srv.membership.handleJoin), identity.Core)
-	s.Handle("leave", rpc.Unary(srv.membership.handleLeave), identity.Core)
+	s.Handle("raft", srv.raftStream, identity.QuorumMember)
+	s.Handle("snapshot", srv.snapshotStream, identity.QuorumMember)
+	s.Handle("join", rpc.Unary(srv.membership.handleJoin), identity.QuorumMember)
+	s.Handle("leave", rpc.Unary(srv.membership.handleLeave), identity.QuorumMember)
 	s.Handle("propose", rpc.Unary(srv.handlePropose))
 	s.Handle("latest", rpc.Unary(srv.handleLatest))
 	s.Handle("subscribe", srv.hub.Serve)
--- a/internal/dataplane/entry/entry_test.go
+++ b/internal/dataplane/entry/entry_test.go
@@ -18,7 +18,7 @@
 func table(t *testing.T, servers int) *Table {
 	t.Helper()
 	route := func(name string, kind meshconfig.Kind) *meshconfig.Route {
-		return &meshconfig.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, AimMs: 200, Priority: 1, Backend: "s", MaxAttempts: 3}
+		return &meshconfig.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, TargetLatencyMs: 200, Priority: 1, Backend: "s", MaxAttempts: 3}
 	}
 	body, err := msgpack.Marshal(&meshconfig.Config{Revision: 1, Backends: []meshconfig.Backend{{Name: "s"}},
 		Routes: []*meshconfig.Route{route("safe", meshconfig.Repeatable), route("once", meshconfig.Once)}})
--- a/internal/dataplane/entry/request.go
+++ b/internal/dataplane/entry/request.go
@@ -87,7 +87,7 @@
 
 // Leave books the end of an admitted request.
 func (r *Request) Leave(now time.Duration) {
-	aim := r.Route.Aim()
+	aim := r.Route.TargetLatency()
 	if r.Inner { // its time is part of its graph's
 		aim = 0
 	}
@@ -191,7 +191,7 @@
 		return 0
 	}
 	after := hedgeX * usual
-	if aim := r.Route.Aim(); after+usual > aim {
+	if aim := r.Route.TargetLatency(); after+usual > aim {
 		after = max(time.Duration(hedgeLeastX*float64(usual)), aim-usual)
 	}
 	return max(hedgeLeast, after)
@@ -211,7 +211,7 @@
 // patience is how long a request waits for a server. A call of a graph has no more
 // of it: its graph is lost with it, but while it waits it holds a slot of its caller.
 func (r *Request) patience() time.Duration {
-	return max(minPatience, r.Route.Aim()/patiencePart)
+	return max(minPatience, r.Route.TargetLatency()/patiencePart)
 }
 
 // Done takes what came of a try. It returns the final answer, or none; pass: the server's own answer is the final
@@ -289,7 +289,7 @@
 // than a third of its time would not heed it.
 func (t *Table) comeBack(now time.Duration, s *service, e *Entrant) time.Duration {
 	odds := s.gate.Odds(now, e.Route.Priority, t.behind(now, e.Route)...)
-	return s.gate.RetryAfter(e.Route.Aim(), (e.Until-now)/heeded, odds)
+	return s.gate.RetryAfter(e.Route.TargetLatency(), (e.Until-now)/heeded, odds)
 }
 
 // mayRepeat reports whether the request may reach one more server, and pays for it.
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -76,7 +76,7 @@
 	}
 	timer := timerpool.Get(wait)
 	defer timerpool.Put(timer)
-	woken := call.Woken()      // nil: the first has ended
+	woken := call.Ready()      // nil: the first has ended
 	var second chan try        // nil: there is none
 	var off context.CancelFunc // calls the second off
 	for final == nil && (woken != nil || second != nil) {
@@ -205,7 +205,7 @@
 			return call, t
 		}
 	}
-	if errors.Is(err, rpc.ErrUnsent) { // only the beginning of a call can prove that
+	if errors.Is(err, rpc.ErrNotSent) { // only the beginning of a call can prove that
 		t.out, t.result = unsent(false, "%v", err), decide.Unconnected
 		return nil, t
 	}
@@ -215,7 +215,7 @@
 // end waits for what becomes of a call.
 func (o *Outbound) end(ctx context.Context, c *Call, call *rpc.Stream, t try) try {
 	out := new(wire.ForwardResponse)
-	if err := call.Answer(out); err != nil {
+	if err := call.Response(out); err != nil {
 		return o.lost(ctx, c, t, err)
 	}
 	t.out, t.result = out, entry.Result(out)
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -197,7 +197,7 @@
 func atEnd(ctx context.Context, f func()) (stop func() bool) {
 	if s, ok := ctx.(*rpc.Stream); ok {
 		s.OnEnd(f)
-		return s.Clear
+		return s.ClearOnEnd
 	}
 	return context.AfterFunc(ctx, f)
 }
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -108,7 +108,7 @@
 	}
 	n.set.Store(set)
 	n.shares.Known = set.Bootstrap
-	n.inbound = proxy.NewInbound(set.Bounds.Drain, set.Heartbeat, log)
+	n.inbound = proxy.NewInbound(set.Bounds.Drain, set.HeartbeatInterval, log)
 	n.agent = agent.New(agent.Options{
 		Settings: n.set.Load, Pool: n.pool, Seed: rng.Uint64(), Log: log,
 		Servers: n.inbound.Servers, ServersChanged: n.inbound.Changed(), Draining: n.emptying.Load,
@@ -120,8 +120,8 @@
 	}
 	n.outbound.Start(rng.Uint64())
 	n.inbound.Pressure = n.outbound.Pressure
-	if set.Trace > 0 || set.LogPart > 0 {
-		n.traces = trace.NewRing(set.Trace)
+	if set.TraceCapacity > 0 || set.AccessLogShare > 0 {
+		n.traces = trace.NewRing(set.TraceCapacity)
 		// Each side counts from its own begin; records keep to the node's.
 		n.outbound.Trace, n.inbound.Trace = n.record(n.outbound.Since(n.began)), n.record(n.inbound.Since(n.began))
 	}
@@ -137,11 +137,11 @@
 // rpcServer answers other nodes.
 func (n *Node) rpcServer() *rpc.Server {
 	server := rpc.NewServer(n.log)
-	server.Identity, server.Refused = n.pool.Identity, &n.refused
+	server.Identity, server.Rejected = n.pool.Identity, &n.refused
 	n.agent.Register(server)
 	server.Handle("forward", rpc.Unary(n.inbound.Forward))
-	server.Handle("trace", rpc.Unary(n.trace), identity.Core)
-	server.Handle("look", rpc.Unary(n.look), identity.Core)
+	server.Handle("trace", rpc.Unary(n.trace), identity.QuorumMember)
+	server.Handle("look", rpc.Unary(n.look), identity.QuorumMember)
 	return server
 }
 
--- a/internal/dataplane/sidecar/mesh_test.go
+++ b/internal/dataplane/sidecar/mesh_test.go
@@ -71,8 +71,8 @@
 		filepath.Join(m.dir, fmt.Sprint(n)), m.ports[1], m.ports[1], m.ports[1])
 	if m.ca != nil {
 		role := identity.Node
-		if class == nodefile.Core {
-			role = identity.Core
+		if class == nodefile.QuorumMachine {
+			role = identity.QuorumMember
 		}
 		f := m.issue(role, fmt.Sprint("n", n))
 		text += fmt.Sprintf("tls.cert=%s\ntls.key=%s\ntls.bundle=%s\ntls.operator=true\n", f.Cert, f.Key, f.Bundle)
@@ -167,7 +167,7 @@
 		}
 	}()
 	for n := 1; n <= 3; n++ {
-		stops[n] = m.start(server.Run, m.settings(n, nodefile.Core, true))
+		stops[n] = m.start(server.Run, m.settings(n, nodefile.QuorumMachine, true))
 	}
 	core := m.operator(identity.Operator)
 	ctx := context.Background()
@@ -195,7 +195,7 @@
 		io.WriteString(w, r.URL.Path)
 	}))
 	defer app.Close()
-	side := m.settings(9, nodefile.Sidecar, true)
+	side := m.settings(9, nodefile.SidecarMachine, true)
 	stops[9] = m.start(Run, side)
 	get := func(path string) int {
 		req, _ := http.NewRequest("GET", "http://"+side.Outbound+path, nil)
@@ -236,9 +236,9 @@
 	for n := range core.Addresses { // calls may be answered by any of them
 		one := *core
 		one.Addresses = core.Addresses[n : n+1]
-		m.until("a quorum member that knows of the node", func() bool { all, err := one.Look(ctx); return err == nil && all.Queried > 0 })
+		m.until("a quorum member that knows of the node", func() bool { all, err := one.Nodes(ctx); return err == nil && all.Queried > 0 })
 	}
-	if all, err := core.Look(ctx); err != nil || all.Queried != 1 || all.Unresponsive != 0 || len(all.Nodes) != 1 || all.Nodes[0].Served == 0 ||
+	if all, err := core.Nodes(ctx); err != nil || all.Queried != 1 || all.Unresponsive != 0 || len(all.Nodes) != 1 || all.Nodes[0].Served == 0 ||
 		len(all.Nodes[0].Services) != 1 || len(all.Nodes[0].Servers) != 1 || all.Nodes[0].Servers[0].Server != "i-1" {
 		t.Errorf("the nodes see %+v, %v", all, err)
 	}
@@ -268,7 +268,7 @@
 		}
 	}
 	stops[2]()
-	lost := m.settings(2, nodefile.Core, false)
+	lost := m.settings(2, nodefile.QuorumMachine, false)
 	lost.DataDir = filepath.Join(m.dir, "empty")
 	stops[2] = m.start(server.Run, lost)
 	read := func() []byte {
@@ -316,7 +316,7 @@
 		delete(stops, n)
 	}
 	for n := 1; n <= 3; n++ {
-		set := m.settings(n, nodefile.Core, false)
+		set := m.settings(n, nodefile.QuorumMachine, false)
 		set.DataDir = filepath.Join(m.dir, fmt.Sprint("restored", n))
 		if n == 1 {
 			if err := kept.Restore(set.DataDir, set.Internal(), set.Control, rand.New(rand.NewPCG(1, 1))); err != nil {
@@ -338,7 +338,7 @@
 	defer m.running.Wait()
 	core := &operator.Client{}
 	for n := 1; n <= 3; n++ {
-		defer m.start(server.Run, m.settings(n, nodefile.Core, true))()
+		defer m.start(server.Run, m.settings(n, nodefile.QuorumMachine, true))()
 		core.Addresses = append(core.Addresses, fmt.Sprintf("127.7.0.%d:%d", n, m.ports[1]))
 	}
 	ctx := context.Background()
--- a/internal/dataplane/sidecar/trace.go
+++ b/internal/dataplane/sidecar/trace.go
@@ -14,7 +14,7 @@
 	return func(r trace.Record) {
 		r.Began += since
 		n.traces.Add(r)
-		if trace.Drawn(r.Attempt, n.set.Load().LogPart) {
+		if trace.Drawn(r.Attempt, n.set.Load().AccessLogShare) {
 			n.log.Info("request", "attempt", r.Attempt, "entry", r.Entry, "route", r.Route, "service", r.Service, "server", r.Server,
 				"status", r.Status, "why", r.Why, "tries", r.Tries, "took", r.Took)
 		}
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -60,13 +60,13 @@
 // adopt takes on what is listed of this node's server by the process before, until the server has called.
 func (n *Node) adopt(changes *wire.Changes) {
 	set := n.set.Load()
-	if time.Since(n.began) >= 2*set.Heartbeat {
+	if time.Since(n.began) >= 2*set.HeartbeatInterval {
 		return
 	}
 	for _, r := range changes.GetResources() {
 		s := r.GetServer()
 		if s != nil && s.Node == set.Node && s.Service == set.Backend && !s.Draining {
-			n.inbound.Adopt(proxy.Heartbeat{ID: s.Member, Service: s.Service, Address: set.App, Zone: s.Zone, Slots: int(s.Slots)}, time.Now())
+			n.inbound.Adopt(proxy.Heartbeat{ID: s.Member, Service: s.Service, Address: set.AppAddress, Zone: s.Zone, Slots: int(s.Slots)}, time.Now())
 		}
 	}
 }
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -48,7 +48,7 @@
 func (a *Agent) registryDifference(registered []*wire.Server) []*wire.Command {
 	set := a.options.Settings()
 	m := localserver.Machine{Node: set.Node, Address: set.Internal(), Zone: set.Zone, Leaving: a.options.Draining()}
-	return localserver.Difference(m, a.options.Servers(), registered, time.Since(a.startedAt) < 2*set.Heartbeat)
+	return localserver.Difference(m, a.options.Servers(), registered, time.Since(a.startedAt) < 2*set.HeartbeatInterval)
 }
 
 func (a *Agent) propose(ctx context.Context, cmd *wire.Command) bool {
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -8,17 +8,17 @@
 		{Name: "ivydeck_rpc_bytes", Help: "On connections to other processes, since the start.", Labels: []string{"direction"},
 			Read: func() []Reading {
 				t := rpc.ReadTraffic()
-				return inAndOut(t.BytesIn, t.BytesOut)
+				return inAndOut(t.BytesReceived, t.BytesSent)
 			}},
 		{Name: "ivydeck_rpc_frames", Help: "The same in frames.", Labels: []string{"direction"},
 			Read: func() []Reading {
 				t := rpc.ReadTraffic()
-				return inAndOut(t.FramesIn, t.FramesOut)
+				return inAndOut(t.FramesReceived, t.FramesSent)
 			}},
 		{Name: "ivydeck_rpc_method_bytes", Help: "Of the messages of a method, since the start.", Labels: []string{"method", "direction"},
-			Read: byMethod(func(m rpc.MethodTraffic) (in, out uint64) { return m.BytesIn, m.BytesOut })},
+			Read: byMethod(func(m rpc.MethodTraffic) (in, out uint64) { return m.BytesReceived, m.BytesSent })},
 		{Name: "ivydeck_rpc_method_messages", Help: "The same in messages.", Labels: []string{"method", "direction"},
-			Read: byMethod(func(m rpc.MethodTraffic) (in, out uint64) { return m.MessagesIn, m.MessagesOut })},
+			Read: byMethod(func(m rpc.MethodTraffic) (in, out uint64) { return m.MessagesReceived, m.MessagesSent })},
 	}
 }
 
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	maxTries   = 8
-	tryTimeout = 3 * time.Second
+	maxAttempts   = 8
+	attemptTimeout = 3 * time.Second
 	firstPause = 200 * time.Millisecond // doubled up to maxPause
 	maxPause   = 2 * time.Second
 
@@ -33,7 +33,7 @@
 var (
 	ErrStale   = errors.New("another version is in place")
 	ErrInvalid = errors.New("the configuration is invalid")
-	ErrUnclear = errors.New("it may be in force or not")
+	ErrOutcomeUnknown = errors.New("it may be in force or not")
 )
 
 // Client calls the quorum members.
@@ -49,8 +49,8 @@
 	return c
 }
 
-// place is where a machine answers for a path.
-func (c *Client) place(address, path string) string {
+// url is where a machine answers for a path.
+func (c *Client) url(address, path string) string {
 	if c.Secure {
 		return "https://" + address + path
 	}
@@ -62,8 +62,8 @@
 func (c *Client) call(ctx context.Context, method, path string, body []byte, header http.Header) (int, []byte, error) {
 	var last error
 	pause := firstPause
-	for i := range maxTries {
-		status, answer, err := c.once(ctx, method, c.place(c.Addresses[i%len(c.Addresses)], path), body, header)
+	for i := range maxAttempts {
+		status, answer, err := c.attempt(ctx, method, c.url(c.Addresses[i%len(c.Addresses)], path), body, header)
 		if err == nil && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
 			return status, answer, nil
 		}
@@ -77,11 +77,11 @@
 			return 0, nil, ctx.Err()
 		}
 	}
-	return 0, nil, fmt.Errorf("no clear answer in %d tries: %w", maxTries, last)
+	return 0, nil, fmt.Errorf("no clear answer in %d tries: %w", maxAttempts, last)
 }
 
-func (c *Client) once(ctx context.Context, method, at string, body []byte, header http.Header) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (c *Client) attempt(ctx context.Context, method, at string, body []byte, header http.Header) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, at, bytes.NewReader(body))
 	if err != nil {
@@ -115,13 +115,13 @@
 }
 
 // Apply sends a configuration that builds on a revision; 0 for the first. It returns nil where that very configuration is
-// accepted, now or before, ErrStale or ErrInvalid where it is refused for good, and ErrUnclear where it may be in force or
+// accepted, now or before, ErrStale or ErrInvalid where it is refused for good, and ErrOutcomeUnknown where it may be in force or
 // not: it may be sent again unchanged.
 func (c *Client) Apply(ctx context.Context, base uint64, body []byte) error {
 	header := http.Header{"Base-Revision": {strconv.FormatUint(base, 10)}, "Content-Type": {"application/msgpack"}}
 	status, answer, err := c.call(ctx, http.MethodPost, "/config/replace", body, header)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnclear, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch status {
 	case http.StatusOK:
@@ -146,8 +146,8 @@
 	return backup.Decode(body)
 }
 
-// Look asks a quorum member for what all nodes see.
-func (c *Client) Look(ctx context.Context) (l server.NodeReports, err error) {
+// Nodes asks a quorum member for what all nodes see.
+func (c *Client) Nodes(ctx context.Context) (l server.NodeReports, err error) {
 	return l, c.fetch(ctx, "/look", &l)
 }
 
@@ -171,7 +171,7 @@
 // Status asks each machine for what it says of itself; what failed is in errs.
 func (c *Client) Status(ctx context.Context) (all []server.Status, errs []error) {
 	for _, a := range c.Addresses {
-		status, body, err := c.once(ctx, http.MethodGet, c.place(a, "/status"), nil, nil)
+		status, body, err := c.attempt(ctx, http.MethodGet, c.url(a, "/status"), nil, nil)
 		var s server.Status
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("answers %d: %s", status, bytes.TrimSpace(body))
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -89,7 +89,7 @@
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := c.Apply(ended, 3, body); !errors.Is(err, ErrUnclear) {
+	if err := c.Apply(ended, 3, body); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("given up before an answer: %v", err)
 	}
 }
--- a/internal/pkg/bytedelta/bytedelta.go
+++ b/internal/pkg/bytedelta/bytedelta.go
@@ -12,7 +12,7 @@
 const (
 	blockSize = 32 // ranges that moved are found by blocks of the base
 	minCopy   = 12 // a copy costs a few bytes itself
-	lookAhead = 16 // so many bytes may be replaced before what follows is looked for elsewhere
+	searchAhead = 16 // so many bytes may be replaced before what follows is looked for elsewhere
 
 	hashFactor = 0x9E3779B97F4A7C15
 )
@@ -73,7 +73,7 @@
 
 // inLine returns how many bytes are the same on both sides, behind some that are replaced.
 func (e *encoder) inLine(at, inBase int) (replaced, n int) {
-	for replaced = range lookAhead {
+	for replaced = range searchAhead {
 		if at+replaced >= len(e.target) || inBase+replaced >= len(e.base) {
 			break
 		}
--- a/internal/program/identity.go
+++ b/internal/program/identity.go
@@ -18,8 +18,8 @@
 		return nil, err
 	}
 	want := identity.Name{Role: identity.Node, Name: set.Node}
-	if set.Class == nodefile.Core {
-		want.Role = identity.Core
+	if set.Class == nodefile.QuorumMachine {
+		want.Role = identity.QuorumMember
 	}
 	if name := source.Name(); name != want {
 		return nil, fmt.Errorf("identity: %s is of %s, and this machine is %s", set.Cert, name, want)
@@ -28,8 +28,8 @@
 }
 
 // Secure is the identity where something is to ask for one.
-func Secure(source *identity.Source, ask bool) *identity.Source {
-	if ask {
+func Secure(source *identity.Source, required bool) *identity.Source {
+	if required {
 		return source
 	}
 	return nil
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -85,7 +85,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	w := &watcher{path: args.Settings, class: class, hup: hup, log: log, seen: stamp(args.Settings)}
+	w := &watcher{path: args.Settings, class: class, hup: hup, log: log, lastStamp: stamp(args.Settings)}
 	if err := run(ctx, set, func() *nodefile.Settings { return w.next(ctx) }, log); err != nil {
 		return fail(name, err)
 	}
@@ -132,7 +132,7 @@
 	class nodefile.Class
 	hup   <-chan os.Signal
 	log   *slog.Logger
-	seen  string
+	lastStamp  string
 }
 
 // stamp tells one state of a file from another.
@@ -158,11 +158,11 @@
 			return nil
 		case <-w.hup:
 		case <-tick.C:
-			if now := stamp(w.path); now == w.seen {
+			if now := stamp(w.path); now == w.lastStamp {
 				continue
 			}
 		}
-		w.seen = stamp(w.path)
+		w.lastStamp = stamp(w.path)
 		set, err := load(w.path, w.class)
 		if err != nil {
 			w.log.Error("settings.reload_failed", "err", err)
--- a/internal/simulation/demo/demo.go
+++ b/internal/simulation/demo/demo.go
@@ -211,7 +211,7 @@
 func (m *mesh) ready(ctx context.Context, core *operator.Client) error {
 	began := time.Now()
 	route := func(name string, kind meshconfig.Kind, priority int) *meshconfig.Route {
-		return &meshconfig.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, AimMs: 200,
+		return &meshconfig.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, TargetLatencyMs: 200,
 			Priority: priority, Backend: "shop", MaxAttempts: 3}
 	}
 	body, err := msgpack.Marshal(&meshconfig.Config{Revision: 1, Backends: []meshconfig.Backend{{Name: "shop"}}, Routes: []*meshconfig.Route{
--- a/internal/simulation/lab/scenario.go
+++ b/internal/simulation/lab/scenario.go
@@ -356,7 +356,7 @@
 			kind = meshconfig.Once
 		}
 		c.Routes = append(c.Routes, &meshconfig.Route{Name: r.Name, Host: host, Prefix: "/" + r.Name + "/", Kind: kind,
-			TimeoutMs: r.TimeoutMs, AimMs: r.AimMs, Priority: r.Priority, Backend: r.Service, MaxAttempts: r.MaxAttempts})
+			TimeoutMs: r.TimeoutMs, TargetLatencyMs: r.AimMs, Priority: r.Priority, Backend: r.Service, MaxAttempts: r.MaxAttempts})
 	}
 	for _, r := range w.Routes {
 		add(r)
--- a/internal/simulation/scale/changes.go
+++ b/internal/simulation/scale/changes.go
@@ -18,7 +18,7 @@
 func (r *run) changeRoute(ctx context.Context) (s sent, ack time.Duration, err error) {
 	base := r.config.Revision
 	r.config.Revision++
-	r.config.Routes[int(r.config.Revision)%len(r.config.Routes)].AimMs = 100 + float64(r.config.Revision%1000)
+	r.config.Routes[int(r.config.Revision)%len(r.config.Routes)].TargetLatencyMs = 100 + float64(r.config.Revision%1000)
 	s.at = time.Now()
 	if err := r.apply(ctx, base); err != nil {
 		return s, 0, err
--- a/internal/simulation/scale/hollow.go
+++ b/internal/simulation/scale/hollow.go
@@ -113,8 +113,8 @@
 // settings are those of a hollow node's machine.
 func (j *job) settings(machine int) *nodefile.Settings {
 	set := &nodefile.Settings{
-		Node: nodeName(machine), Class: nodefile.Sidecar, IP: address(j.Network, machine), Zone: zoneName(j.zoneOf(machine), j.Zones, j.Regions),
-		Ports: [2]int{j.Ports.Nodes, j.Ports.Nodes}, Heartbeat: heartbeat, Backend: serviceName(machine % j.Services), Bootstrap: true,
+		Node: nodeName(machine), Class: nodefile.SidecarMachine, IP: address(j.Network, machine), Zone: zoneName(j.zoneOf(machine), j.Zones, j.Regions),
+		Ports: [2]int{j.Ports.Nodes, j.Ports.Nodes}, HeartbeatInterval: heartbeat, Backend: serviceName(machine % j.Services), Bootstrap: true,
 	}
 	for member := range quorumSize {
 		set.Seeds = append(set.Seeds, fmt.Sprintf("%s:%d", address(j.Network, member), j.Ports.Control))
--- a/internal/simulation/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -146,7 +146,7 @@
 		service := serviceName(c.machine(hop) % c.Services)
 		m.Backends = append(m.Backends, meshconfig.Backend{Name: service})
 		m.Routes = append(m.Routes, &meshconfig.Route{Name: fmt.Sprintf("hop-%d", hop), Host: routeHost, Prefix: fmt.Sprintf("/hop-%d/", hop), Kind: meshconfig.Once,
-			TimeoutMs: float64(hopTimeout.Milliseconds()), AimMs: 1000, Backend: service, MaxAttempts: 1})
+			TimeoutMs: float64(hopTimeout.Milliseconds()), TargetLatencyMs: 1000, Backend: service, MaxAttempts: 1})
 	}
 	return m
 }
--- a/internal/simulation/scale/process.go
+++ b/internal/simulation/scale/process.go
@@ -261,13 +261,13 @@
 	case `ivydeck_members{state="alive"}`:
 		s.members = int(value)
 	case `ivydeck_rpc_bytes{direction="in"}`:
-		s.traffic.BytesIn = uint64(value)
+		s.traffic.BytesReceived = uint64(value)
 	case `ivydeck_rpc_bytes{direction="out"}`:
-		s.traffic.BytesOut = uint64(value)
+		s.traffic.BytesSent = uint64(value)
 	case `ivydeck_rpc_frames{direction="in"}`:
-		s.traffic.FramesIn = uint64(value)
+		s.traffic.FramesReceived = uint64(value)
 	case `ivydeck_rpc_frames{direction="out"}`:
-		s.traffic.FramesOut = uint64(value)
+		s.traffic.FramesSent = uint64(value)
 	}
 	var direction, method string
 	bytes := strings.HasPrefix(name, "ivydeck_rpc_method_bytes")
@@ -280,13 +280,13 @@
 	m := s.traffic.Methods[method]
 	switch {
 	case bytes && direction == "in":
-		m.BytesIn = uint64(value)
+		m.BytesReceived = uint64(value)
 	case bytes:
-		m.BytesOut = uint64(value)
+		m.BytesSent = uint64(value)
 	case direction == "in":
-		m.MessagesIn = uint64(value)
+		m.MessagesReceived = uint64(value)
 	default:
-		m.MessagesOut = uint64(value)
+		m.MessagesSent = uint64(value)
 	}
 	s.traffic.Methods[method] = m
 }
--- a/internal/simulation/scale/report.go
+++ b/internal/simulation/scale/report.go
@@ -97,10 +97,10 @@
 func (u *Use) addMethods(before, after rpc.Traffic, seconds float64) {
 	for name, now := range after.Methods {
 		was, rate := before.Methods[name], u.Methods[name]
-		rate.BytesOut += float64(now.BytesOut-was.BytesOut) / seconds
-		rate.BytesIn += float64(now.BytesIn-was.BytesIn) / seconds
-		rate.MessagesOut += float64(now.MessagesOut-was.MessagesOut) / seconds
-		rate.MessagesIn += float64(now.MessagesIn-was.MessagesIn) / seconds
+		rate.BytesOut += float64(now.BytesSent-was.BytesSent) / seconds
+		rate.BytesIn += float64(now.BytesReceived-was.BytesReceived) / seconds
+		rate.MessagesOut += float64(now.MessagesSent-was.MessagesSent) / seconds
+		rate.MessagesIn += float64(now.MessagesReceived-was.MessagesReceived) / seconds
 		u.Methods[name] = rate
 	}
 }
@@ -111,10 +111,10 @@
 	if seconds <= 0 {
 		return
 	}
-	u.BytesOut += float64(after.traffic.BytesOut-before.traffic.BytesOut) / seconds
-	u.BytesIn += float64(after.traffic.BytesIn-before.traffic.BytesIn) / seconds
-	u.MessagesOut += float64(after.traffic.FramesOut-before.traffic.FramesOut) / seconds
-	u.MessagesIn += float64(after.traffic.FramesIn-before.traffic.FramesIn) / seconds
+	u.BytesOut += float64(after.traffic.BytesSent-before.traffic.BytesSent) / seconds
+	u.BytesIn += float64(after.traffic.BytesReceived-before.traffic.BytesReceived) / seconds
+	u.MessagesOut += float64(after.traffic.FramesSent-before.traffic.FramesSent) / seconds
+	u.MessagesIn += float64(after.traffic.FramesReceived-before.traffic.FramesReceived) / seconds
 	u.Processor += 100 * (after.processor - before.processor) / seconds
 	resident := megabytes(after.resident - c.base)
 	u.ResidentMB += resident
--- a/internal/simulation/scale/scale_test.go
+++ b/internal/simulation/scale/scale_test.go
@@ -22,9 +22,9 @@
 func TestMain(m *testing.M) {
 	switch filepath.Base(os.Args[0]) {
 	case "ivydeck-control":
-		program.Main("ivydeck-control", "", nodefile.Core, server.Run)
+		program.Main("ivydeck-control", "", nodefile.QuorumMachine, server.Run)
 	case "ivydeck-data":
-		program.Main("ivydeck-data", "", nodefile.Sidecar, sidecar.Run)
+		program.Main("ivydeck-data", "", nodefile.SidecarMachine, sidecar.Run)
 	case "meshlab":
 		if err := RunHollow(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -311,7 +311,7 @@
 func (o *StateOptions) routeCommand(source *catalog.Catalog, i int) *wire.Command {
 	config := (&run{layout: &layout{Options: Options{Services: o.Services, Routes: o.Routes}}}).firstConfig()
 	config.Revision = source.Revision() + 1
-	config.Routes[i%len(config.Routes)].AimMs = float64(300 + i)
+	config.Routes[i%len(config.Routes)].TargetLatencyMs = float64(300 + i)
 	body, err := msgpack.Marshal(config)
 	if err != nil {
 		return nil
--- a/internal/transport/identity/ca.go
+++ b/internal/transport/identity/ca.go
@@ -26,8 +26,8 @@
 	caBundle = "bundle.pem"
 )
 
-// early is how long before its making a certificate is valid: clocks differ between machines.
-const early = 5 * time.Minute
+// clockSkew is how long before its making a certificate is valid: clocks differ between machines.
+const clockSkew = 5 * time.Minute
 
 const (
 	certBlock = "CERTIFICATE"
@@ -40,7 +40,7 @@
 type Authority struct{ dir string }
 
 // NewAuthority makes an authority in a folder that has none.
-func NewAuthority(dir string, life time.Duration) (*Authority, error) {
+func NewAuthority(dir string, validity time.Duration) (*Authority, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("identity: %w", err)
 	}
@@ -48,7 +48,7 @@
 	if _, err := os.Stat(a.path(caKey)); !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("identity: %s holds an authority already", dir)
 	}
-	return a, a.renew(life, nil)
+	return a, a.renew(validity, nil)
 }
 
 // OpenAuthority finds the authority in a folder.
@@ -66,8 +66,8 @@
 func (a *Authority) Bundle() string { return a.path(caBundle) }
 
 // renew makes a key and a certificate, and a bundle with the older ones behind it.
-func (a *Authority) renew(life time.Duration, older []byte) error {
-	if life <= 0 {
+func (a *Authority) renew(validity time.Duration, older []byte) error {
+	if validity <= 0 {
 		return errors.New("identity: an authority needs a time to live")
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -77,7 +77,7 @@
 	now := time.Now()
 	tmpl := &x509.Certificate{
 		SerialNumber: serial(), Subject: pkix.Name{CommonName: "ivydeck authority " + now.UTC().Format(time.DateTime)},
-		NotBefore: now.Add(-early), NotAfter: now.Add(life), KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(validity), KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
 		IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, key.Public(), key)
@@ -97,12 +97,12 @@
 // Rotate puts another authority in the place of this one. The bundle has both until
 // Retire: once every process has it, certificates are issued anew, and then the old
 // one can go.
-func (a *Authority) Rotate(life time.Duration) error {
+func (a *Authority) Rotate(validity time.Duration) error {
 	old, err := os.ReadFile(a.path(caCert))
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
-	return a.renew(life, old)
+	return a.renew(validity, old)
 }
 
 // Retire takes all but the present authority out of the bundle.
@@ -146,13 +146,13 @@
 
 // Issue makes a key and a certificate for a name, and writes them to files of that
 // name in a folder.
-func (a *Authority) Issue(name Name, life time.Duration, dir string) (Files, error) {
+func (a *Authority) Issue(name Name, validity time.Duration, dir string) (Files, error) {
 	cert, signer, err := a.load()
 	if err != nil {
 		return Files{}, err
 	}
-	if life <= 0 || time.Now().Add(life).After(cert.NotAfter) {
-		return Files{}, fmt.Errorf("identity: a life of %v is none, or beyond the authority's, which ends at %s", life, cert.NotAfter.Format(time.RFC3339))
+	if validity <= 0 || time.Now().Add(validity).After(cert.NotAfter) {
+		return Files{}, fmt.Errorf("identity: a life of %v is none, or beyond the authority's, which ends at %s", validity, cert.NotAfter.Format(time.RFC3339))
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -161,7 +161,7 @@
 	now := time.Now()
 	tmpl := &x509.Certificate{
 		SerialNumber: serial(), Subject: pkix.Name{CommonName: name.String()}, URIs: []*url.URL{name.URI()},
-		NotBefore: now.Add(-early), NotAfter: now.Add(life), KeyUsage: x509.KeyUsageDigitalSignature,
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(validity), KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	if name.Role == Operator {
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -22,16 +22,16 @@
 
 // The roles. A certificate has exactly one.
 const (
-	Core     Role = "core"     // a quorum member
+	QuorumMember     Role = "core"     // a quorum member
 	Node     Role = "node"     // a sidecar machine
 	Operator Role = "operator" // who may change the configuration and read backups
 )
 
-var roles = []Role{Core, Node, Operator}
+var roles = []Role{QuorumMember, Node, Operator}
 
 const (
 	scheme    = "ivydeck" // of the URI in a certificate: ivydeck://ROLE/NAME
-	lookEvery = time.Second
+	checkInterval = time.Second
 )
 
 // Name is who a certificate is for.
@@ -78,8 +78,8 @@
 	Bundle string // the authorities that it trusts
 }
 
-// held is what the files had when they were last read.
-type held struct {
+// current is what the files had when they were last read.
+type credentials struct {
 	cert  *tls.Certificate
 	name  Name
 	roots *x509.CertPool
@@ -91,9 +91,9 @@
 	log   *slog.Logger
 
 	mu     sync.Mutex
-	held   held
-	seen   string    // the state of the files that was read last, readable or not
-	lookAt time.Time // the files are not looked at before
+	current   credentials
+	lastStamp   string    // the state of the files that was read last, readable or not
+	nextCheckAt time.Time // the files are not looked at before
 }
 
 // Open reads an identity. The error says which file is at fault.
@@ -102,27 +102,27 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Source{files: files, log: log, held: h, seen: stamp(files), lookAt: time.Now().Add(lookEvery)}, nil
+	return &Source{files: files, log: log, current: h, lastStamp: stamp(files), nextCheckAt: time.Now().Add(checkInterval)}, nil
 }
 
-func read(files Files) (held, error) {
+func read(files Files) (credentials, error) {
 	cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	if err != nil {
-		return held{}, fmt.Errorf("identity: %s with %s: %w", files.Cert, files.Key, err)
+		return credentials{}, fmt.Errorf("identity: %s with %s: %w", files.Cert, files.Key, err)
 	}
 	name, err := Of(cert.Leaf)
 	if err != nil {
-		return held{}, fmt.Errorf("%s: %w", files.Cert, err)
+		return credentials{}, fmt.Errorf("%s: %w", files.Cert, err)
 	}
 	bundle, err := os.ReadFile(files.Bundle)
 	if err != nil {
-		return held{}, fmt.Errorf("identity: %w", err)
+		return credentials{}, fmt.Errorf("identity: %w", err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(bundle) {
-		return held{}, fmt.Errorf("identity: %s holds no certificate", files.Bundle)
+		return credentials{}, fmt.Errorf("identity: %s holds no certificate", files.Bundle)
 	}
-	return held{&cert, name, roots}, nil
+	return credentials{&cert, name, roots}, nil
 }
 
 // stamp tells one state of the files from another.
@@ -138,38 +138,38 @@
 	return b.String()
 }
 
-// now returns what the files hold. Files that can't be used, such as a certificate
+// credentials returns what the files hold. Files that can't be used, such as a certificate
 // whose key has not been written yet, are logged, and what was read before stays.
-func (s *Source) now() held {
+func (s *Source) credentials() credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.After(s.lookAt) {
-		s.lookAt = now.Add(lookEvery)
-		if seen := stamp(s.files); seen != s.seen {
-			s.seen = seen
+	if now := time.Now(); now.After(s.nextCheckAt) {
+		s.nextCheckAt = now.Add(checkInterval)
+		if newStamp := stamp(s.files); newStamp != s.lastStamp {
+			s.lastStamp = newStamp
 			if h, err := read(s.files); err != nil {
 				s.log.Error("identity.reload_failed", "err", err)
 			} else {
-				s.held = h
+				s.current = h
 				s.log.Info("identity.reloaded", "name", h.name.String(), "not_after", h.cert.Leaf.NotAfter)
 			}
 		}
 	}
-	return s.held
+	return s.current
 }
 
 // Name is whose identity it is.
-func (s *Source) Name() Name { return s.now().name }
+func (s *Source) Name() Name { return s.credentials().name }
 
-// Until is when the certificate ends.
-func (s *Source) Until() time.Time { return s.now().cert.Leaf.NotAfter }
+// NotAfter is when the certificate ends.
+func (s *Source) NotAfter() time.Time { return s.credentials().cert.Leaf.NotAfter }
 
-// Left is the time that is left of the certificate; without a source it is -1 s.
-func (s *Source) Left() time.Duration {
+// Remaining is the time that is left of the certificate; without a source it is -1 s.
+func (s *Source) Remaining() time.Duration {
 	if s == nil {
 		return -time.Second
 	}
-	return time.Until(s.Until())
+	return time.Until(s.NotAfter())
 }
 
 // config is what both sides have in common. Sessions are not resumed: each
@@ -185,7 +185,7 @@
 func (s *Source) Server() *tls.Config {
 	c := s.config(x509.ExtKeyUsageClientAuth)
 	c.ClientAuth = tls.RequireAnyClientCert // verified by the bundle, which may change
-	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.now().cert, nil }
+	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.credentials().cert, nil }
 	return c
 }
 
@@ -193,7 +193,7 @@
 func (s *Source) Client() *tls.Config {
 	c := s.config(x509.ExtKeyUsageServerAuth)
 	c.InsecureSkipVerify = true // of host names, which say nothing here: VerifyConnection does what counts
-	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.now().cert, nil }
+	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.credentials().cert, nil }
 	return c
 }
 
@@ -201,20 +201,20 @@
 	if len(cs.PeerCertificates) == 0 {
 		return errors.New("identity: the peer has no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range cs.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	leaf := cs.PeerCertificates[0]
-	if _, err := leaf.Verify(x509.VerifyOptions{Roots: s.now().roots, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
+	if _, err := leaf.Verify(x509.VerifyOptions{Roots: s.credentials().roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
 		return fmt.Errorf("identity: the peer's certificate: %w", err)
 	}
 	_, err := Of(leaf)
 	return err
 }
 
-// Peer is whose certificate the other side of a verified connection has shown.
-func Peer(cs tls.ConnectionState) Name {
+// PeerName is whose certificate the other side of a verified connection has shown.
+func PeerName(cs tls.ConnectionState) Name {
 	if len(cs.PeerCertificates) == 0 {
 		return Name{}
 	}
--- a/internal/transport/identity/identity_test.go
+++ b/internal/transport/identity/identity_test.go
@@ -49,14 +49,14 @@
 	go func() {
 		defer close(done)
 		if errs[0] = s.Handshake(); errs[0] == nil {
-			met[0] = Peer(s.ConnectionState())
+			met[0] = PeerName(s.ConnectionState())
 			s.Write([]byte{1})
 		} else {
 			a.Close()
 		}
 	}()
 	if errs[1] = c.Handshake(); errs[1] == nil {
-		met[1] = Peer(c.ConnectionState())
+		met[1] = PeerName(c.ConnectionState())
 		_, errs[1] = c.Read(make([]byte, 1)) // a refusal of the client's certificate comes behind its handshake
 	}
 	b.Close()
@@ -66,16 +66,16 @@
 
 func TestWhoIsTrusted(t *testing.T) {
 	a, other := authority(t), authority(t)
-	core := open(t, issue(t, a, Core, "c1", time.Hour/2))
+	core := open(t, issue(t, a, QuorumMember, "c1", time.Hour/2))
 	node := open(t, issue(t, a, Node, "n1", time.Hour/2))
 	met, errs := meet(core.Server(), node.Client())
-	if errs[0] != nil || errs[1] != nil || met[0] != (Name{Node, "n1"}) || met[1] != (Name{Core, "c1"}) {
+	if errs[0] != nil || errs[1] != nil || met[0] != (Name{Node, "n1"}) || met[1] != (Name{QuorumMember, "c1"}) {
 		t.Fatalf("%v, %v", met, errs)
 	}
 	stranger := issue(t, other, Node, "n1", time.Hour/2)
 	stranger.Bundle = a.Bundle()
 	expired := issue(t, a, Node, "n1", time.Millisecond)
-	for end := open(t, expired).Until(); !time.Now().After(end); { // at once, as an X.509 time has whole seconds
+	for end := open(t, expired).NotAfter(); !time.Now().After(end); { // at once, as an X.509 time has whole seconds
 		runtime.Gosched()
 	}
 	operator := open(t, issue(t, a, Operator, "ann", time.Hour/2))
@@ -101,11 +101,11 @@
 // changes nothing.
 func TestFilesMayChange(t *testing.T) {
 	a := authority(t)
-	files := issue(t, a, Core, "c1", time.Hour/2)
+	files := issue(t, a, QuorumMember, "c1", time.Hour/2)
 	server, client := open(t, files), open(t, issue(t, a, Node, "n1", time.Hour/2))
 	again := func(s *Source) {
 		s.mu.Lock()
-		s.lookAt = time.Time{}
+		s.nextCheckAt = time.Time{}
 		s.mu.Unlock()
 	}
 	check := func(what string, want bool) {
@@ -123,7 +123,7 @@
 	if err := a.Rotate(time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := a.Issue(Name{Core, "c1"}, time.Hour/2, filepath.Dir(files.Cert))
+	fresh, err := a.Issue(Name{QuorumMember, "c1"}, time.Hour/2, filepath.Dir(files.Cert))
 	if err != nil || fresh.Cert != files.Cert {
 		t.Fatalf("%v, %v", fresh, err)
 	}
@@ -138,12 +138,12 @@
 
 func TestNamesAndAuthoritiesAreChecked(t *testing.T) {
 	a := authority(t)
-	for _, n := range []Name{{"king", "x"}, {Core, ""}, {Core, "a/b"}} {
+	for _, n := range []Name{{"king", "x"}, {QuorumMember, ""}, {QuorumMember, "a/b"}} {
 		if _, err := a.Issue(n, time.Minute, t.TempDir()); err == nil {
 			t.Errorf("%q was issued", n)
 		}
 	}
-	if _, err := a.Issue(Name{Core, "x"}, 2*time.Hour, t.TempDir()); err == nil || !strings.Contains(err.Error(), "beyond the authority's") {
+	if _, err := a.Issue(Name{QuorumMember, "x"}, 2*time.Hour, t.TempDir()); err == nil || !strings.Contains(err.Error(), "beyond the authority's") {
 		t.Errorf("a certificate outlives its authority: %v", err)
 	}
 	if _, err := NewAuthority(filepath.Dir(a.Bundle()), time.Hour); err == nil {
@@ -152,7 +152,7 @@
 	if _, err := OpenAuthority(t.TempDir()); err == nil {
 		t.Error("an authority was found in an empty folder")
 	}
-	f := issue(t, a, Core, "x", time.Minute)
+	f := issue(t, a, QuorumMember, "x", time.Minute)
 	f.Bundle = f.Key
 	if _, err := Open(f, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("a bundle without certificates was taken")
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -34,30 +34,30 @@
 	window     = 256 << 10
 	maxMessage = 72 << 20 // bytes of a whole message
 	maxStreams = 4096     // open on one connection
-	maxHeld    = 128 << 20
-	maxKept    = 8 << 10 // bytes of a buffer that stays with a connection: most are quiet for most of the time
-	pingEvery  = 600 * time.Millisecond
-	idlePing   = 9 * time.Second         // the same without a stream: whoever opens one looks before
-	askedFor   = time.Second             // a ping is given so long at least
-	silentFor  = 1800 * time.Millisecond // a peer that says nothing for so long is given up
-	freshFor   = 250 * time.Millisecond  // a sign of life counts for so long
-	signWait   = 250 * time.Millisecond  // for one that was asked for
-	writeWait  = 3 * time.Second
+	maxPartialBytes    = 128 << 20
+	maxRetainedBuffer    = 8 << 10 // bytes of a buffer that stays with a connection: most are quiet for most of the time
+	pingInterval  = 600 * time.Millisecond
+	idlePingInterval   = 9 * time.Second         // the same without a stream: whoever opens one looks before
+	minPingWait   = time.Second             // a ping is given so long at least
+	peerTimeout  = 1800 * time.Millisecond // a peer that says nothing for so long is given up
+	livenessWindow   = 250 * time.Millisecond  // a sign of life counts for so long
+	pongTimeout   = 250 * time.Millisecond  // for one that was asked for
+	writeTimeout  = 3 * time.Second
 )
 
-// ErrUnsent says that the message did not reach the peer whole, so that nothing
+// ErrNotSent says that the message did not reach the peer whole, so that nothing
 // can have come of it.
-var ErrUnsent = errors.New("not sent")
+var ErrNotSent = errors.New("not sent")
 
-// errWholeFrame is a failed write after which the peer may have the frame whole all the same.
-var errWholeFrame = errors.New("the frame may have arrived whole")
+// errFrameMaybeComplete is a failed write after which the peer may have the frame whole all the same.
+var errFrameMaybeComplete = errors.New("the frame may have arrived whole")
 
 // ErrTooLarge says that a message, or all messages in the making together,
 // are over the bound.
 var ErrTooLarge = errors.New("message too large")
 
-// held counts the bytes of messages that are being put together in this process.
-var held atomic.Int64
+// partialBytes counts the bytes of messages that are being put together in this process.
+var partialBytes atomic.Int64
 
 // conn is one connection, of either side.
 type conn struct {
@@ -66,19 +66,19 @@
 	server  *Server       // set on the accepting side
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
-	heard   atomic.Int64 // when something last came, unix ms of the local steady clock
-	asked   atomic.Int64 // when the first ping since then was sent, the same
-	waiting atomic.Int32 // goroutines in live
+	lastReceived   atomic.Int64 // when something last came, unix ms of the local steady clock
+	lastPing   atomic.Int64 // when the first ping since then was sent, the same
+	livenessWaiters atomic.Int32 // goroutines in live
 	pinging atomic.Bool  // a ping is being sent
 	writeMu sync.Mutex
-	out     []byte     // reused; guarded by writeMu
-	data    wire.Frame // the same: of messages under way
+	writeBuffer     []byte     // reused; guarded by writeMu
+	dataFrame    wire.Frame // the same: of messages under way
 
 	mu      sync.Mutex
 	streams map[uint32]*Stream
-	next    uint32
+	nextStream    uint32
 	closed  bool
-	sign    chan struct{} // closed and replaced with the next frame, where someone waits
+	nextFrame    chan struct{} // closed and replaced with the next frame, where someone waits
 }
 
 var start = time.Now()
@@ -86,23 +86,23 @@
 func steadyMs() int64 { return time.Since(start).Milliseconds() }
 
 func newConn(parent context.Context, nc net.Conn, server *Server) *conn {
-	c := &conn{nc: nc, server: server, streams: map[uint32]*Stream{}, next: 1, sign: make(chan struct{})}
+	c := &conn{nc: nc, server: server, streams: map[uint32]*Stream{}, nextStream: 1, nextFrame: make(chan struct{})}
 	c.ctx, c.cancel = context.WithCancelCause(parent)
-	c.heard.Store(steadyMs())
+	c.lastReceived.Store(steadyMs())
 	raw := nc
 	if secure, ok := nc.(*tls.Conn); ok {
-		raw, c.peer = secure.NetConn(), identity.Peer(secure.ConnectionState())
+		raw, c.peer = secure.NetConn(), identity.PeerName(secure.ConnectionState())
 		if server == nil {
 			// A side that connects does not learn from the handshake whether the other has taken its certificate: no
 			// sign of life has come before the first frame.
-			c.heard.Store(steadyMs() - freshFor.Milliseconds())
+			c.lastReceived.Store(steadyMs() - livenessWindow.Milliseconds())
 		}
 	}
 	// Pings find a silent peer; the kernel's probes would only see less of it. It gives up bytes that nobody
 	// takes in at the same time, rather than after minutes.
 	if tc, ok := raw.(*net.TCPConn); ok {
 		tc.SetKeepAlive(false)
-		sock.UserTimeout(tc, silentFor)
+		sock.UserTimeout(tc, peerTimeout)
 	}
 	return c
 }
@@ -111,45 +111,45 @@
 func (c *conn) write(f *wire.Frame) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	return c.put(f)
+	return c.writeLocked(f)
 }
 
-// part is a piece of a message under way.
-type part struct {
+// partial is a piece of a message under way.
+type dataChunk struct {
 	stream    uint32
 	method    string // with the first
-	waitMs    uint32 // the same
+	timeoutMs    uint32 // the same
 	data      []byte
 	last, fin bool
 }
 
-// writePart sends one piece, as write does.
-func (c *conn) writePart(p part) error {
+// writeChunk sends one piece, as write does.
+func (c *conn) writeChunk(p dataChunk) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	f := &c.data
-	f.Stream, f.Method, f.TimeoutMs, f.Data, f.Last, f.Fin = p.stream, p.method, p.waitMs, p.data, p.last, p.fin
-	err := c.put(f)
+	f := &c.dataFrame
+	f.Stream, f.Method, f.TimeoutMs, f.Data, f.Last, f.Fin = p.stream, p.method, p.timeoutMs, p.data, p.last, p.fin
+	err := c.writeLocked(f)
 	f.Data = nil
 	return err
 }
 
-// put is write with writeMu held.
-func (c *conn) put(f *wire.Frame) error {
+// writeLocked is write with writeMu held.
+func (c *conn) writeLocked(f *wire.Frame) error {
 	if c.ctx.Err() != nil {
 		return context.Cause(c.ctx)
 	}
-	buf, err := proto.MarshalOptions{}.MarshalAppend(append(c.out[:0], 0, 0, 0, 0), f)
+	buf, err := proto.MarshalOptions{}.MarshalAppend(append(c.writeBuffer[:0], 0, 0, 0, 0), f)
 	if err != nil {
 		return fmt.Errorf("encoding a frame: %w", err)
 	}
 	binary.BigEndian.PutUint32(buf, uint32(len(buf)-4))
-	if c.out = buf; cap(buf) > maxKept {
-		c.out = nil
+	if c.writeBuffer = buf; cap(buf) > maxRetainedBuffer {
+		c.writeBuffer = nil
 	}
-	framesOut.Add(1)
-	wireBytesOut.Add(uint64(len(buf)))
-	c.nc.SetWriteDeadline(time.Now().Add(writeWait))
+	framesSent.Add(1)
+	wireBytesSent.Add(uint64(len(buf)))
+	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := c.nc.Write(buf)
 	if err == nil {
 		return nil
@@ -157,7 +157,7 @@
 	err = fmt.Errorf("writing to %s: %w", c.nc.RemoteAddr(), err)
 	c.fail(err)
 	if n >= len(buf) {
-		return fmt.Errorf("%w: %w", errWholeFrame, err)
+		return fmt.Errorf("%w: %w", errFrameMaybeComplete, err)
 	}
 	return err
 }
@@ -195,7 +195,7 @@
 		if n > maxFrame {
 			return fmt.Errorf("a frame of %d bytes from %s, at most %d are allowed", n, c.nc.RemoteAddr(), maxFrame)
 		}
-		if cap(buf) < int(n) || cap(buf) > maxKept {
+		if cap(buf) < int(n) || cap(buf) > maxRetainedBuffer {
 			buf = make([]byte, n, max(n, 512))
 		}
 		buf = buf[:n]
@@ -205,13 +205,13 @@
 		if err := proto.Unmarshal(buf, &f); err != nil {
 			return fmt.Errorf("a frame from %s: %w", c.nc.RemoteAddr(), err)
 		}
-		framesIn.Add(1)
-		wireBytesIn.Add(uint64(n) + 4)
-		c.heard.Store(steadyMs())
-		if c.waiting.Load() > 0 {
+		framesReceived.Add(1)
+		wireBytesReceived.Add(uint64(n) + 4)
+		c.lastReceived.Store(steadyMs())
+		if c.livenessWaiters.Load() > 0 {
 			c.mu.Lock()
-			close(c.sign)
-			c.sign = make(chan struct{})
+			close(c.nextFrame)
+			c.nextFrame = make(chan struct{})
 			c.mu.Unlock()
 		}
 		if err := c.handle(&f); err != nil {
@@ -237,7 +237,7 @@
 		s = newStream(c, f.Stream, nil, nil)
 		s.meter = c.server.meterOf(f.Method)
 		if f.TimeoutMs > 0 {
-			s.until = time.Now().Add(time.Duration(f.TimeoutMs) * time.Millisecond)
+			s.deadline = time.Now().Add(time.Duration(f.TimeoutMs) * time.Millisecond)
 		}
 		c.streams[f.Stream] = s
 		c.server.running.Add(1)
@@ -256,7 +256,7 @@
 		s.end(context.Canceled)
 		c.drop(s)
 	case wire.Frame_DATA:
-		return s.take(f)
+		return s.receiveData(f)
 	}
 	return nil
 }
--- a/internal/transport/rpc/fuzz_test.go
+++ b/internal/transport/rpc/fuzz_test.go
@@ -48,7 +48,7 @@
 		defer cancel()
 		s.workers = workerpool.New(ctx)
 		here, there := net.Pipe()
-		before := held.Load()
+		before := partialBytes.Load()
 		c := newConn(context.Background(), there, s)
 		ended := make(chan struct{})
 		go func() {
@@ -69,7 +69,7 @@
 		here.Close()
 		<-ended
 		s.running.Wait()
-		if after := held.Load(); after != before {
+		if after := partialBytes.Load(); after != before {
 			t.Errorf("%d bytes are held for a connection that has ended", after-before)
 		}
 	})
--- a/internal/transport/rpc/identity_test.go
+++ b/internal/transport/rpc/identity_test.go
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	server := NewServer(log)
-	server.Identity = source(ours, identity.Core, "")
+	server.Identity = source(ours, identity.QuorumMember, "")
 	var reached atomic.Int32
 	echo := Unary(func(ctx context.Context, p *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 		reached.Add(1)
@@ -59,7 +59,7 @@
 		return &wire.ForwardResponse{Reason: string(caller.Role)}, nil
 	})
 	server.Handle("all", echo)
-	server.Handle("core", echo, identity.Core)
+	server.Handle("core", echo, identity.QuorumMember)
 	ended := make(chan struct{})
 	go func() { defer close(ended); server.Serve(ctx, l) }()
 	defer func() { cancel(); <-ended }()
@@ -69,16 +69,16 @@
 		taken        bool
 	}{
 		{"a node", "all", source(ours, identity.Node, ""), true},
-		{"a quorum member", "core", source(ours, identity.Core, ""), true},
+		{"a quorum member", "core", source(ours, identity.QuorumMember, ""), true},
 		{"a node for what quorum members may", "core", source(ours, identity.Node, ""), false},
 		{"an operator", "all", source(ours, identity.Operator, ""), false},
-		{"a stranger that trusts us", "all", source(other, identity.Core, ours.Bundle()), false},
+		{"a stranger that trusts us", "all", source(other, identity.QuorumMember, ours.Bundle()), false},
 		{"one that does not trust us", "all", source(ours, identity.Node, other.Bundle()), false},
 		{"one without an identity", "all", nil, false},
 	} {
 		pool := NewPool(ctx)
 		pool.Identity = c.who
-		before, refused := reached.Load(), server.Refused.Load()
+		before, refused := reached.Load(), server.Rejected.Load()
 		until := time.Now().Add(10 * time.Second)
 		out := new(wire.ForwardResponse)
 		peer, err := pool.Live(ctx, until, l.Addr().String())
@@ -88,17 +88,17 @@
 		if c.taken != (err == nil) || c.taken != (reached.Load() > before) {
 			t.Errorf("%s: %v, reached %v", c.what, err, reached.Load() > before)
 		}
-		if err != nil && c.who != nil && !errors.Is(err, ErrUnsent) && !IsPeer(err) {
+		if err != nil && c.who != nil && !errors.Is(err, ErrNotSent) && !IsPeerError(err) {
 			t.Errorf("%s: %v leaves open whether the call was taken", c.what, err)
 		}
 		if c.taken && out.Reason == "" {
 			t.Errorf("%s: the handler does not know its caller", c.what)
 		}
 		counted := !c.taken && c.what != "one that does not trust us"
-		for counted && server.Refused.Load() == refused && time.Now().Before(until) {
+		for counted && server.Rejected.Load() == refused && time.Now().Before(until) {
 			runtime.Gosched() // the caller has its error before the server has counted it
 		}
-		if counted && server.Refused.Load() == refused {
+		if counted && server.Rejected.Load() == refused {
 			t.Errorf("%s: not counted", c.what)
 		}
 	}
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -23,12 +23,12 @@
 	ctx context.Context
 	mu  sync.Mutex
 	// by address; entries of addresses that are not used go with Sweep
-	conns map[string]*dialed
+	conns map[string]*dialResult
 	watch watcher
 }
 
-// dialed is a connection, or the attempt to make one.
-type dialed struct {
+// dialResult is a connection, or the attempt to make one.
+type dialResult struct {
 	ready  chan struct{} // closed once c or err is set
 	c      *conn
 	err    error
@@ -38,7 +38,7 @@
 
 // NewPool returns a pool whose connections end with the context.
 func NewPool(ctx context.Context) *Pool {
-	return &Pool{ctx: ctx, conns: map[string]*dialed{}}
+	return &Pool{ctx: ctx, conns: map[string]*dialResult{}}
 }
 
 // get returns the connection to an address, and makes it where there is none.
@@ -49,13 +49,13 @@
 	if d != nil {
 		select {
 		case <-d.ready:
-			stale = d.err != nil && time.Since(d.failed) >= dialPause || d.err == nil && d.c.ctx.Err() != nil
+			stale = d.err != nil && time.Since(d.failed) >= dialRetryPause || d.err == nil && d.c.ctx.Err() != nil
 		default:
 		}
 	}
 	if stale {
 		p.sweep()
-		d = &dialed{ready: make(chan struct{})}
+		d = &dialResult{ready: make(chan struct{})}
 		p.conns[addr] = d
 		go p.dial(d, addr)
 	}
@@ -86,18 +86,18 @@
 	}
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
 // dialTCP makes one try of a connection.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialOnce, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: dialAttemptTimeout, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-func (p *Pool) dial(d *dialed, addr string) {
+func (p *Pool) dial(d *dialResult, addr string) {
 	defer close(d.ready)
 	connect := p.Dial
 	if connect == nil {
@@ -105,7 +105,7 @@
 	}
 	began := time.Now()
 	nc, err := connect(p.ctx, addr)
-	for timedOut(err) && time.Since(began) < dialWait && p.ctx.Err() == nil { // the machine may be there by now
+	for isTimeout(err) && time.Since(began) < dialTimeout && p.ctx.Err() == nil { // the machine may be there by now
 		nc, err = connect(p.ctx, addr)
 	}
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 	if p.Identity != nil {
 		secure := tls.Client(nc, p.Identity.Client())
-		if err := shake(p.ctx, secure); err != nil {
+		if err := handshake(p.ctx, secure); err != nil {
 			nc.Close()
 			d.err, d.failed = fmt.Errorf("dialing %s: %w", addr, err), time.Now()
 			return
@@ -132,21 +132,21 @@
 type Peer struct{ c *conn }
 
 // Live returns the connection to a node that has given a sign of life within the
-// last moments, or an error that is ErrUnsent: what may not be sent twice is better
+// last moments, or an error that is ErrNotSent: what may not be sent twice is better
 // not sent at all to a machine that has just lost its power. It waits until a time
 // at the latest.
-func (p *Pool) Live(ctx context.Context, until time.Time, addr string) (Peer, error) {
-	if c := p.up(addr); c != nil && c.fresh() {
+func (p *Pool) Live(ctx context.Context, deadline time.Time, addr string) (Peer, error) {
+	if c := p.up(addr); c != nil && c.recentlyLive() {
 		return Peer{c}, nil
 	}
-	ctx, cancel := context.WithDeadline(ctx, until)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	c, err := p.get(ctx, addr)
 	if err != nil {
-		return Peer{}, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return Peer{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if !c.live(ctx) {
-		return Peer{}, fmt.Errorf("%w: no sign of life from %s", ErrUnsent, addr)
+	if !c.awaitLive(ctx) {
+		return Peer{}, fmt.Errorf("%w: no sign of life from %s", ErrNotSent, addr)
 	}
 	return Peer{c}, nil
 }
@@ -160,7 +160,7 @@
 }
 
 // up reports whether the connection stands.
-func (d *dialed) up() bool {
+func (d *dialResult) up() bool {
 	select {
 	case <-d.ready:
 		return d.err == nil && d.c.ctx.Err() == nil
@@ -183,24 +183,24 @@
 
 // Call sends one message and waits for the one that answers it, until a time at
 // the latest: context.DeadlineExceeded is an answer that has not come. An error
-// that is ErrUnsent means that the peer has not had the message.
-func (p Peer) Call(ctx context.Context, until time.Time, method string, req, resp proto.Message) error {
-	s, err := p.Begin(ctx, until, method, req)
+// that is ErrNotSent means that the peer has not had the message.
+func (p Peer) Call(ctx context.Context, deadline time.Time, method string, req, resp proto.Message) error {
+	s, err := p.Begin(ctx, deadline, method, req)
 	if err != nil {
 		return err
 	}
-	return s.Answer(resp)
+	return s.Response(resp)
 }
 
 // Begin is the first half of Call. Answer is the other half, and comes at once where
 // Woken has told. One of Answer and Close has to follow.
-func (p Peer) Begin(ctx context.Context, until time.Time, method string, req proto.Message) (*Stream, error) {
+func (p Peer) Begin(ctx context.Context, deadline time.Time, method string, req proto.Message) (*Stream, error) {
 	// The caller's context is the stream's: what ends the stream before it wakes Recv by itself.
-	return p.c.open(ctx, nil, until, method, req, true)
+	return p.c.open(ctx, nil, deadline, method, req, true)
 }
 
-// Answer waits for the only message of a stream from Begin, and ends it.
-func (s *Stream) Answer(resp proto.Message) error {
+// Response waits for the only message of a stream from Begin, and ends it.
+func (s *Stream) Response(resp proto.Message) error {
 	defer s.Close()
 	if err := s.Recv(resp); err != nil {
 		return fmt.Errorf("calling %s: %w", s.c.nc.RemoteAddr(), err)
@@ -208,9 +208,9 @@
 	return nil
 }
 
-// Woken tells once when Recv would return at once, but for the end of the stream's
+// Ready tells once when Recv would return at once, but for the end of the stream's
 // time and context; before the first Recv only.
-func (s *Stream) Woken() <-chan struct{} {
+func (s *Stream) Ready() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wake == nil {
@@ -222,16 +222,16 @@
 	return s.wake
 }
 
-// Open begins a stream with its first message. An error that is ErrUnsent
+// Open begins a stream with its first message. An error that is ErrNotSent
 // means that the peer has not had the message.
 func (p *Pool) Open(ctx context.Context, addr, method string, req proto.Message) (*Stream, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	until, _ := ctx.Deadline()
-	s, err := c.open(ctx, cancel, until, method, req, false)
+	deadline, _ := ctx.Deadline()
+	s, err := c.open(ctx, cancel, deadline, method, req, false)
 	if err != nil {
 		cancel()
 	}
@@ -240,21 +240,21 @@
 
 // open begins a stream whose context is given, and which ends it by cancel at the
 // latest. A zero until is no time; fin: req is the only message.
-func (c *conn) open(ctx context.Context, cancel context.CancelFunc, until time.Time, method string, req proto.Message, fin bool) (*Stream, error) {
+func (c *conn) open(ctx context.Context, cancel context.CancelFunc, deadline time.Time, method string, req proto.Message, fin bool) (*Stream, error) {
 	c.mu.Lock()
 	if c.closed || len(c.streams) >= maxStreams {
 		c.mu.Unlock()
-		return nil, fmt.Errorf("%w: %s takes no stream", ErrUnsent, c.nc.RemoteAddr())
+		return nil, fmt.Errorf("%w: %s takes no stream", ErrNotSent, c.nc.RemoteAddr())
 	}
 	s := newStream(c, c.freeStream(), ctx, cancel)
-	s.until, s.meter = until, meterOf(method)
+	s.deadline, s.meter = deadline, meterOf(method)
 	c.streams[s.id] = s
 	c.mu.Unlock()
-	var waitMs uint32
-	if !until.IsZero() {
-		waitMs = uint32(max(1, time.Until(until).Milliseconds()))
+	var timeoutMs uint32
+	if !deadline.IsZero() {
+		timeoutMs = uint32(max(1, time.Until(deadline).Milliseconds()))
 	}
-	if err := s.send(req, method, waitMs, fin); err != nil {
+	if err := s.send(req, method, timeoutMs, fin); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -264,11 +264,11 @@
 // freeStream returns the next stream's number. After four thousand million streams numbers begin anew, and some of the
 // first may still be in use: an answer must not reach another's stream. Called with mu held, with room for a stream.
 func (c *conn) freeStream() uint32 {
-	for c.next == 0 || c.streams[c.next] != nil {
-		c.next++
+	for c.nextStream == 0 || c.streams[c.nextStream] != nil {
+		c.nextStream++
 	}
-	id := c.next
-	c.next++
+	id := c.nextStream
+	c.nextStream++
 	return id
 }
 
@@ -277,8 +277,8 @@
 func (p *Pool) Call(ctx context.Context, addr, method string, req, resp proto.Message) error {
 	c, err := p.get(ctx, addr)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnsent, err)
+		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	until, _ := ctx.Deadline()
-	return Peer{c}.Call(ctx, until, method, req, resp)
+	deadline, _ := ctx.Deadline()
+	return Peer{c}.Call(ctx, deadline, method, req, resp)
 }
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	dialWait   = 800 * time.Millisecond
-	dialOnce   = 250 * time.Millisecond // of it for one try: the kernel repeats a lost SYN after a second
-	dialPause  = 150 * time.Millisecond // no new try sooner after one that failed
+	dialTimeout   = 800 * time.Millisecond
+	dialAttemptTimeout   = 250 * time.Millisecond // of it for one try: the kernel repeats a lost SYN after a second
+	dialRetryPause  = 150 * time.Millisecond // no new try sooner after one that failed
 	maxConns   = 1024                   // accepted at a time
 	closeGrace = time.Second
 )
@@ -34,7 +34,7 @@
 // Server accepts connections from other nodes.
 type Server struct {
 	Identity *identity.Source // nil: callers are taken for whom they say they are
-	Refused  *atomic.Int64    // counts connections and calls that were refused for want of a proper identity
+	Rejected  *atomic.Int64    // counts connections and calls that were refused for want of a proper identity
 
 	handlers map[string]method
 	log      *slog.Logger
@@ -45,7 +45,7 @@
 
 // NewServer returns a server without methods.
 func NewServer(log *slog.Logger) *Server {
-	return &Server{Refused: new(atomic.Int64), handlers: map[string]method{}, log: log}
+	return &Server{Rejected: new(atomic.Int64), handlers: map[string]method{}, log: log}
 }
 
 // method is what a name stands for, and who may call it.
@@ -58,7 +58,7 @@
 // without any, each quorum member and node. All methods are named before Serve.
 func (s *Server) Handle(name string, h Handler, roles ...identity.Role) {
 	if len(roles) == 0 {
-		roles = []identity.Role{identity.Core, identity.Node}
+		roles = []identity.Role{identity.QuorumMember, identity.Node}
 	}
 	s.handlers[name] = method{h, roles}
 }
@@ -104,7 +104,7 @@
 	case !known:
 		err = fmt.Errorf("no method %q", name)
 	case s.Identity != nil && !slices.Contains(m.roles, peer.Role):
-		s.Refused.Add(1)
+		s.Rejected.Add(1)
 		s.log.Warn("rpc.rejected", "peer", peer.String(), "from", st.c.nc.RemoteAddr().String(), "method", name)
 		err = fmt.Errorf("%s may not call %s", peer, name)
 	default:
@@ -129,14 +129,14 @@
 	}()
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	places := make(chan struct{}, maxConns)
+	slots := make(chan struct{}, maxConns)
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
-			if timedOut(err) {
+			if isTimeout(err) {
 				continue
 			}
 			if errors.Is(err, net.ErrClosed) {
@@ -150,13 +150,13 @@
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			nc.Close()
 			continue
 		}
 		conns.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			s.accept(ctx, nc)
 		})
 	}
@@ -166,8 +166,8 @@
 func (s *Server) accept(ctx context.Context, nc net.Conn) {
 	if s.Identity != nil {
 		secure := tls.Server(nc, s.Identity.Server())
-		if err := shake(ctx, secure); err != nil {
-			s.Refused.Add(1)
+		if err := handshake(ctx, secure); err != nil {
+			s.Rejected.Add(1)
 			s.log.Warn("rpc.rejected", "from", nc.RemoteAddr().String(), "err", err)
 			nc.Close()
 			return
@@ -180,9 +180,9 @@
 	c.fail(c.read())
 }
 
-// shake makes a connection a secure one, within the time of a dial.
-func shake(ctx context.Context, c *tls.Conn) error {
-	ctx, cancel := context.WithTimeout(ctx, dialWait)
+// handshake makes a connection a secure one, within the time of a dial.
+func handshake(ctx context.Context, c *tls.Conn) error {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return c.HandshakeContext(ctx)
 }
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -71,23 +71,23 @@
 	if err := pool.Call(ctx, addr, "echo", &wire.ForwardRequest{Body: make([]byte, 3*window)}, new(wire.ForwardResponse)); err != nil {
 		t.Fatal(err)
 	}
-	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeer(err) {
+	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeerError(err) {
 		t.Errorf("a method that nobody has: %v", err)
 	}
 	after := ReadTraffic()
 	echo, was := after.Methods["echo"], before.Methods["echo"]
-	if echo.MessagesOut-was.MessagesOut != 2 || echo.MessagesIn-was.MessagesIn != 2 {
+	if echo.MessagesSent-was.MessagesSent != 2 || echo.MessagesReceived-was.MessagesReceived != 2 {
 		t.Errorf("a call and its answer are %+v, after %+v", echo, was)
 	}
-	for name, bytes := range map[string]uint64{"out": echo.BytesOut - was.BytesOut, "in": echo.BytesIn - was.BytesIn} {
+	for name, bytes := range map[string]uint64{"out": echo.BytesSent - was.BytesSent, "in": echo.BytesReceived - was.BytesReceived} {
 		if bytes < 6*window || bytes > 6*window+1000 {
 			t.Errorf("%d bytes %s, of a message of %d each way", bytes, name, 3*window)
 		}
 	}
-	if whole := after.BytesIn - before.BytesIn; whole < 6*window || whole > 7*window || after.FramesIn == before.FramesIn {
+	if whole := after.BytesReceived - before.BytesReceived; whole < 6*window || whole > 7*window || after.FramesReceived == before.FramesReceived {
 		t.Errorf("%d bytes on the connection", whole)
 	}
-	if after.Methods[unknownMethod].MessagesIn == before.Methods[unknownMethod].MessagesIn || dials != 1 {
+	if after.Methods[unknownMethod].MessagesReceived == before.Methods[unknownMethod].MessagesReceived || dials != 1 {
 		t.Errorf("a method that nobody has is not counted as such; %d dials", dials)
 	}
 }
@@ -102,7 +102,7 @@
 			t.Errorf("%d bytes: %d came back, %v", size, len(out.Body), err)
 		}
 	}
-	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeer(err) {
+	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeerError(err) {
 		t.Errorf("an unknown method: %v", err)
 	}
 	short, stop := context.WithCancel(ctx)
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	free.Close()
-	if err := pool.Call(ctx, free.Addr().String(), "echo", &wire.ForwardRequest{}, new(wire.ForwardResponse)); !errors.Is(err, ErrUnsent) {
+	if err := pool.Call(ctx, free.Addr().String(), "echo", &wire.ForwardRequest{}, new(wire.ForwardResponse)); !errors.Is(err, ErrNotSent) {
 		t.Errorf("nobody there: %v, want ErrUnsent", err)
 	}
 }
@@ -195,8 +195,8 @@
 		least, most time.Duration // from the cut to the end
 	}{{true, 0, 17, time.Second, 2500 * time.Millisecond}, {false, 0, 1, 9 * time.Second, 11 * time.Second}, {false, 8900 * time.Millisecond, 1, time.Second, 2500 * time.Millisecond}} {
 		pings, heard := 0, time.Duration(0)
-		for now := pingEvery; now < 10*time.Second; now += pingEvery {
-			ping, dead := pulse(c.busy, now-heard, 0)
+		for now := pingInterval; now < 10*time.Second; now += pingInterval {
+			ping, dead := pingDecision(c.busy, now-heard, 0)
 			if dead {
 				t.Fatalf("%+v: a peer that answers is given up", c)
 			}
@@ -208,12 +208,12 @@
 			t.Errorf("%+v: %d pings in ten seconds", c, pings)
 		}
 		asked, end := time.Duration(-1), time.Duration(0)
-		for now := pingEvery; end == 0 && now < time.Minute; now += pingEvery {
+		for now := pingInterval; end == 0 && now < time.Minute; now += pingInterval {
 			open := time.Duration(0)
 			if asked >= 0 {
 				open = now - asked
 			}
-			switch ping, dead := pulse(c.busy, c.before+now, open); {
+			switch ping, dead := pingDecision(c.busy, c.before+now, open); {
 			case dead:
 				end = now
 			case ping && asked < 0:
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -26,21 +26,21 @@
 	meter  *meter             // of the method
 
 	// The stream ends by then; zero: by its context alone. A peer that gives up sooner says so.
-	until time.Time
+	deadline time.Time
 
 	mu       sync.Mutex
 	wake     chan struct{} // has room for one: something changed; made where someone waits for it
 	credit   int           // bytes that may still be sent
-	part     []byte        // of the message in the making
+	partial     []byte        // of the message in the making
 	messages [][]byte
-	one      [1][]byte // room for messages: most streams have but one
+	firstMessage      [1][]byte // room for messages: most streams have but one
 	fin      bool
 	err      error
 
 	creditWake chan struct{} // as wake, for credit; made where someone waits for it
 	onFrame    func()        // called with each frame of a message that comes
 
-	over  error         // why the stream has ended as a context
+	endErr  error         // why the stream has ended as a context
 	done  chan struct{} // closed then; made where someone asks for it
 	onEnd func()        // called then
 }
@@ -51,7 +51,7 @@
 	if ctx == nil {
 		s.ctx = s
 	}
-	s.messages = s.one[:0]
+	s.messages = s.firstMessage[:0]
 	return s
 }
 
@@ -59,7 +59,7 @@
 func (s *Stream) Context() context.Context { return s.ctx }
 
 // Deadline is when the peer's patience ends.
-func (s *Stream) Deadline() (time.Time, bool) { return s.until, !s.until.IsZero() }
+func (s *Stream) Deadline() (time.Time, bool) { return s.deadline, !s.deadline.IsZero() }
 
 // Done is closed once the peer has called the stream off, the connection has
 // ended, or the handler has returned.
@@ -68,7 +68,7 @@
 	defer s.mu.Unlock()
 	if s.done == nil {
 		s.done = make(chan struct{})
-		if s.over != nil {
+		if s.endErr != nil {
 			close(s.done)
 		}
 	}
@@ -79,10 +79,10 @@
 func (s *Stream) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over != nil && !errors.Is(s.over, context.DeadlineExceeded) {
+	if s.endErr != nil && !errors.Is(s.endErr, context.DeadlineExceeded) {
 		return context.Canceled
 	}
-	return s.over
+	return s.endErr
 }
 
 // callerKey finds a handler's stream in contexts made of its own.
@@ -100,7 +100,7 @@
 // time, which must not wait.
 func (s *Stream) OnEnd(f func()) {
 	s.mu.Lock()
-	over := s.over != nil
+	over := s.endErr != nil
 	if !over {
 		s.onEnd = f
 	}
@@ -118,8 +118,8 @@
 	s.onFrame = f
 }
 
-// Clear takes OnEnd's function back. It reports false where that has been called.
-func (s *Stream) Clear() bool {
+// ClearOnEnd takes OnEnd's function back. It reports false where that has been called.
+func (s *Stream) ClearOnEnd() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	has := s.onEnd != nil
@@ -130,11 +130,11 @@
 // finish ends the stream as a context.
 func (s *Stream) finish(err error) {
 	s.mu.Lock()
-	if s.over != nil {
+	if s.endErr != nil {
 		s.mu.Unlock()
 		return
 	}
-	s.over = err
+	s.endErr = err
 	if s.done != nil {
 		close(s.done)
 	}
@@ -169,8 +169,8 @@
 		s.err = err
 	}
 	s.fin = true
-	held.Add(-int64(len(s.part)))
-	s.part = nil
+	partialBytes.Add(-int64(len(s.partial)))
+	s.partial = nil
 	wake, creditWake := s.wake, s.creditWake
 	s.mu.Unlock()
 	signal(wake)
@@ -183,8 +183,8 @@
 	}
 }
 
-// take books a frame of data that came.
-func (s *Stream) take(f *wire.Frame) error {
+// receiveData books a frame of data that came.
+func (s *Stream) receiveData(f *wire.Frame) error {
 	if f.Error != "" {
 		s.end(&PeerError{Text: f.Error})
 		s.c.drop(s)
@@ -196,24 +196,24 @@
 		return nil
 	}
 	if len(f.Data) > 0 || f.Last {
-		if len(s.part)+len(f.Data) > maxMessage || held.Load()+int64(len(f.Data)) > maxHeld {
+		if len(s.partial)+len(f.Data) > maxMessage || partialBytes.Load()+int64(len(f.Data)) > maxPartialBytes {
 			s.mu.Unlock()
 			s.end(ErrTooLarge)
 			s.c.drop(s)
 			return s.c.write(&wire.Frame{Stream: s.id, Fin: true, Error: ErrTooLarge.Error()})
 		}
 		if f.Last {
-			s.meter.received(len(s.part) + len(f.Data))
+			s.meter.received(len(s.partial) + len(f.Data))
 		}
-		if f.Last && s.part == nil {
+		if f.Last && s.partial == nil {
 			s.messages = append(s.messages, f.Data)
 		} else {
-			held.Add(int64(len(f.Data)))
-			s.part = append(s.part, f.Data...)
+			partialBytes.Add(int64(len(f.Data)))
+			s.partial = append(s.partial, f.Data...)
 			if f.Last {
-				held.Add(-int64(len(s.part)))
-				s.messages = append(s.messages, s.part)
-				s.part = nil
+				partialBytes.Add(-int64(len(s.partial)))
+				s.messages = append(s.messages, s.partial)
+				s.partial = nil
 			}
 		}
 	}
@@ -273,8 +273,8 @@
 // wait waits for one of the stream's channels, or its end.
 func (s *Stream) wait(wake <-chan struct{}) error {
 	var over <-chan time.Time
-	if !s.until.IsZero() {
-		timer := timerpool.Get(time.Until(s.until))
+	if !s.deadline.IsZero() {
+		timer := timerpool.Get(time.Until(s.deadline))
 		defer timerpool.Put(timer)
 		over = timer.C
 	}
@@ -298,55 +298,55 @@
 	return context.Cause(s.ctx)
 }
 
-// scratch has room for messages in the making.
-var scratch = sync.Pool{New: func() any { return new([]byte) }}
+// encodeBuffers has room for messages in the making.
+var encodeBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
 // Send sends a message, waiting for credit where the peer is slow.
 func (s *Stream) Send(m proto.Message) error { return s.send(m, "", 0, false) }
 
-func (s *Stream) send(m proto.Message, method string, waitMs uint32, fin bool) error {
-	buf := scratch.Get().(*[]byte)
+func (s *Stream) send(m proto.Message, method string, timeoutMs uint32, fin bool) error {
+	buf := encodeBuffers.Get().(*[]byte)
 	data, err := proto.MarshalOptions{}.MarshalAppend((*buf)[:0], m)
 	if cap(data) <= maxChunk {
 		*buf = data
-		defer scratch.Put(buf)
+		defer encodeBuffers.Put(buf)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: encoding a message: %w", ErrUnsent, err)
+		return fmt.Errorf("%w: encoding a message: %w", ErrNotSent, err)
 	}
-	return s.sendData(data, method, waitMs, fin)
+	return s.sendData(data, method, timeoutMs, fin)
 }
 
 // SendEncoded is Send for a message that was encoded before, so that many receivers can share the bytes.
 func (s *Stream) SendEncoded(data []byte) error { return s.sendData(data, "", 0, false) }
 
-func (s *Stream) sendData(data []byte, method string, waitMs uint32, fin bool) error {
+func (s *Stream) sendData(data []byte, method string, timeoutMs uint32, fin bool) error {
 	if len(data) > maxMessage {
-		return fmt.Errorf("%w: %w", ErrUnsent, ErrTooLarge)
+		return fmt.Errorf("%w: %w", ErrNotSent, ErrTooLarge)
 	}
 	s.meter.sent(len(data))
 	for first := true; first || len(data) > 0; first = false {
 		chunk := data[:min(len(data), maxChunk)]
 		data = data[len(chunk):]
-		if err := s.spend(len(chunk)); err != nil {
-			return fmt.Errorf("%w: %w", ErrUnsent, err)
+		if err := s.waitCredit(len(chunk)); err != nil {
+			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		p := part{stream: s.id, data: chunk, last: len(data) == 0, fin: fin && len(data) == 0}
+		p := dataChunk{stream: s.id, data: chunk, last: len(data) == 0, fin: fin && len(data) == 0}
 		if first {
-			p.method, p.waitMs = method, waitMs
+			p.method, p.timeoutMs = method, timeoutMs
 		}
-		if err := s.c.writePart(p); err != nil {
-			if p.last && errors.Is(err, errWholeFrame) { // nothing is missing at the peer
+		if err := s.c.writeChunk(p); err != nil {
+			if p.last && errors.Is(err, errFrameMaybeComplete) { // nothing is missing at the peer
 				return err
 			}
-			return fmt.Errorf("%w: %w", ErrUnsent, err)
+			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
 	return nil
 }
 
-// spend waits until n bytes may be sent.
-func (s *Stream) spend(n int) error {
+// waitCredit waits until n bytes may be sent.
+func (s *Stream) waitCredit(n int) error {
 	for {
 		s.mu.Lock()
 		if s.err != nil {
@@ -387,8 +387,8 @@
 
 func (e *PeerError) Error() string { return "the peer says: " + e.Text }
 
-// IsPeer reports whether an error is the peer's own word, rather than the lack of one.
-func IsPeer(err error) bool {
+// IsPeerError reports whether an error is the peer's own word, rather than the lack of one.
+func IsPeerError(err error) bool {
 	var p *PeerError
 	return errors.As(err, &p)
 }
--- a/internal/transport/rpc/traffic.go
+++ b/internal/transport/rpc/traffic.go
@@ -7,38 +7,38 @@
 
 // Traffic is what this process has exchanged with other processes since its start.
 type Traffic struct {
-	BytesIn, BytesOut   uint64 // on connections, below TLS where that is used
-	FramesIn, FramesOut uint64
+	BytesReceived, BytesSent   uint64 // on connections, below TLS where that is used
+	FramesReceived, FramesSent uint64
 	Methods             map[string]MethodTraffic
 }
 
 // MethodTraffic is the part of the traffic that belongs to one method: its messages, of requests and answers.
 type MethodTraffic struct {
-	MessagesIn, MessagesOut uint64
-	BytesIn, BytesOut       uint64
+	MessagesReceived, MessagesSent uint64
+	BytesReceived, BytesSent       uint64
 }
 
 // meter counts the messages of one method.
 type meter struct {
-	messagesIn, messagesOut, bytesIn, bytesOut atomic.Uint64
+	messagesReceived, messagesSent, bytesReceived, bytesSent atomic.Uint64
 }
 
 func (m *meter) sent(bytes int) {
-	m.messagesOut.Add(1)
-	m.bytesOut.Add(uint64(bytes))
+	m.messagesSent.Add(1)
+	m.bytesSent.Add(uint64(bytes))
 }
 
 func (m *meter) received(bytes int) {
-	m.messagesIn.Add(1)
-	m.bytesIn.Add(uint64(bytes))
+	m.messagesReceived.Add(1)
+	m.bytesReceived.Add(uint64(bytes))
 }
 
 // unknownMethod stands for all methods that a peer names and this process does not have.
 const unknownMethod = "unknown"
 
 var (
-	framesIn, framesOut       atomic.Uint64
-	wireBytesIn, wireBytesOut atomic.Uint64
+	framesReceived, framesSent       atomic.Uint64
+	wireBytesReceived, wireBytesSent atomic.Uint64
 	meters                    sync.Map // of *meter, by method
 )
 
@@ -62,13 +62,13 @@
 // ReadTraffic returns the counts of this process.
 func ReadTraffic() Traffic {
 	t := Traffic{
-		BytesIn: wireBytesIn.Load(), BytesOut: wireBytesOut.Load(), FramesIn: framesIn.Load(), FramesOut: framesOut.Load(),
+		BytesReceived: wireBytesReceived.Load(), BytesSent: wireBytesSent.Load(), FramesReceived: framesReceived.Load(), FramesSent: framesSent.Load(),
 		Methods: map[string]MethodTraffic{},
 	}
 	meters.Range(func(method, m any) bool {
 		c := m.(*meter)
 		t.Methods[method.(string)] = MethodTraffic{
-			MessagesIn: c.messagesIn.Load(), MessagesOut: c.messagesOut.Load(), BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load(),
+			MessagesReceived: c.messagesReceived.Load(), MessagesSent: c.messagesSent.Load(), BytesReceived: c.bytesReceived.Load(), BytesSent: c.bytesSent.Load(),
 		}
 		return true
 	})
--- a/internal/transport/rpc/unsent_test.go
+++ b/internal/transport/rpc/unsent_test.go
@@ -44,9 +44,9 @@
 		switch {
 		case err == nil:
 			t.Errorf("no error after %d bytes", left)
-		case errors.Is(err, ErrUnsent) && whole:
+		case errors.Is(err, ErrNotSent) && whole:
 			t.Errorf("told to be unsent, though the peer has all of it after %d bytes", left)
-		case errors.Is(err, ErrUnsent):
+		case errors.Is(err, ErrNotSent):
 			unsent++
 		default:
 			perhaps++
@@ -61,7 +61,7 @@
 
 // TestStreamNumbersInUseAreNotGivenAgain: after the last number the first ones follow, but for those in use.
 func TestStreamNumbersInUseAreNotGivenAgain(t *testing.T) {
-	c := &conn{streams: map[uint32]*Stream{1: {}}, next: math.MaxUint32}
+	c := &conn{streams: map[uint32]*Stream{1: {}}, nextStream: math.MaxUint32}
 	if a, b := c.freeStream(), c.freeStream(); a != math.MaxUint32 || b != 2 {
 		t.Errorf("streams %d and %d, want the last number and then the first that is free", a, b)
 	}
@@ -72,11 +72,11 @@
 func TestSearchOfStreamNumbers(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 0x57e))
-		c := &conn{streams: map[uint32]*Stream{}, next: 1}
+		c := &conn{streams: map[uint32]*Stream{}, nextStream: 1}
 		for range 2000 {
 			switch rng.IntN(10) {
 			case 0: // many streams later
-				c.next = math.MaxUint32 - uint32(rng.IntN(20))
+				c.nextStream = math.MaxUint32 - uint32(rng.IntN(20))
 			case 1, 2, 3, 4:
 				for id := range c.streams {
 					delete(c.streams, id)
--- a/internal/transport/rpc/watch.go
+++ b/internal/transport/rpc/watch.go
@@ -10,15 +10,15 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// look pings a quiet peer, and gives up one that stays silent.
-func (c *conn) look(wall time.Time) {
-	busy := c.expire(wall)
-	now, heard, asked := steadyMs(), c.heard.Load(), c.asked.Load()
+// checkLiveness pings a quiet peer, and gives up one that stays silent.
+func (c *conn) checkLiveness(wall time.Time) {
+	busy := c.expireStreams(wall)
+	now, heard, asked := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
 	quiet, open := time.Duration(now-heard)*time.Millisecond, time.Duration(0)
 	if asked > heard {
 		open = time.Duration(now-asked) * time.Millisecond
 	}
-	ping, dead := pulse(busy, quiet, open)
+	ping, dead := pingDecision(busy, quiet, open)
 	if dead {
 		c.fail(fmt.Errorf("nothing from %s for %v", c.nc.RemoteAddr(), quiet))
 		return
@@ -56,7 +56,7 @@
 
 // run ends with the last connection.
 func (w *watcher) run() {
-	tick := time.NewTicker(pingEvery)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	var list []*conn
 	for range tick.C {
@@ -66,7 +66,7 @@
 		}
 		now := time.Now()
 		for _, c := range list {
-			c.look(now)
+			c.checkLiveness(now)
 		}
 		clear(list)
 	}
@@ -87,13 +87,13 @@
 	return list
 }
 
-// expire ends the streams whose time is up, and tells whether there are others. A caller whose time is up says so:
+// expireStreams ends the streams whose time is up, and tells whether there are others. A caller whose time is up says so:
 // this is for one that no longer can, so that a tick's delay does no harm.
-func (c *conn) expire(now time.Time) (busy bool) {
+func (c *conn) expireStreams(now time.Time) (busy bool) {
 	c.mu.Lock()
 	var over []*Stream
 	for _, s := range c.streams {
-		if !s.until.IsZero() && now.After(s.until) {
+		if !s.deadline.IsZero() && now.After(s.deadline) {
 			over = append(over, s)
 		}
 	}
@@ -105,41 +105,41 @@
 	return busy
 }
 
-// fresh reports whether the peer has given a sign of life within the last moments.
-func (c *conn) fresh() bool { return steadyMs()-c.heard.Load() < freshFor.Milliseconds() }
+// recentlyLive reports whether the peer has given a sign of life within the last moments.
+func (c *conn) recentlyLive() bool { return steadyMs()-c.lastReceived.Load() < livenessWindow.Milliseconds() }
 
-// pulse decides on a connection from which nothing has come for quiet, with a ping that has been without an answer
+// pingDecision decides on a connection from which nothing has come for quiet, with a ping that has been without an answer
 // for open; 0: none has. Most of a large mesh's connections carry nothing most of the time: they are asked seldom.
-func pulse(busy bool, quiet, open time.Duration) (ping, dead bool) {
-	if quiet >= silentFor && open >= askedFor {
+func pingDecision(busy bool, quiet, pingAge time.Duration) (ping, dead bool) {
+	if quiet >= peerTimeout && pingAge >= minPingWait {
 		return false, true
 	}
-	return quiet >= idlePing || busy && quiet >= pingEvery/2 || open > 0, false
+	return quiet >= idlePingInterval || busy && quiet >= pingInterval/2 || pingAge > 0, false
 }
 
 // ping asks for a sign of life.
 func (c *conn) ping() error {
-	if c.asked.Load() <= c.heard.Load() {
-		c.asked.Store(steadyMs())
+	if c.lastPing.Load() <= c.lastReceived.Load() {
+		c.lastPing.Store(steadyMs())
 	}
 	return c.write(&wire.Frame{Kind: wire.Frame_PING})
 }
 
-// live reports whether the peer has lately given a sign of life, and asks for
+// awaitLive reports whether the peer has lately given a sign of life, and asks for
 // one where it has not.
-func (c *conn) live(ctx context.Context) bool {
-	if c.fresh() {
+func (c *conn) awaitLive(ctx context.Context) bool {
+	if c.recentlyLive() {
 		return true
 	}
-	c.waiting.Add(1)
-	defer c.waiting.Add(-1)
+	c.livenessWaiters.Add(1)
+	defer c.livenessWaiters.Add(-1)
 	c.mu.Lock()
-	sign := c.sign
+	sign := c.nextFrame
 	c.mu.Unlock()
 	if c.ping() != nil {
 		return false
 	}
-	timer := timerpool.Get(signWait)
+	timer := timerpool.Get(pongTimeout)
 	defer timerpool.Put(timer)
 	select {
 	case <-sign:
