--- a/cmd/curlewring/main.go
+++ b/cmd/balancer/main.go
@@ -1,4 +1,4 @@
-// Command curlewring is a load-balancing node. LB_CONFIG names the file that
+// Command balancer is a load-balancing node. LB_CONFIG names the file that
 // tells it where to listen, where discovery is, and what to go by.
 package main
 
@@ -19,7 +19,7 @@
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	if err := run(log); err != nil {
-		fmt.Fprintln(os.Stderr, "curlewring:", err)
+		fmt.Fprintln(os.Stderr, "balancer:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink runs the decisions of package decide on a simulator's wire:
+// Command simulator-adapter runs the decisions of package decide on a simulator's wire:
 // batches of events on standard input, one reply a batch on standard output.
 // It translates and decides nothing.
 package main
@@ -13,7 +13,7 @@
 	in := bufio.NewReaderSize(os.Stdin, 1<<20)
 	out := bufio.NewWriterSize(os.Stdout, 1<<20)
 	if err := newHost(in, out).run(); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
