--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip is the driver of package membership: it sends its probes and
-// answers those of others.
+// Package gossip does the input and output of package membership: it sends the probes of a Memberlist by package rpc, and
+// answers those of other nodes. Every process of the mesh runs one Gossip.
 package gossip
 
 import (
@@ -15,23 +15,23 @@
 	"ivydeck/internal/transport/wire"
 )
 
-const maxInFlight = 32 // probes under way
+const maxInFlight = 32 // probes in flight
 
-// Gossip is one node's part in knowing all others.
+// Gossip runs a node's Memberlist. Its methods may be called by any goroutine.
 type Gossip struct {
 	pool  *rpc.Pool
 	log   *slog.Logger
 	seeds func() []string // internal addresses; this node's own may be among them
 	began time.Time
 
-	mu    sync.Mutex
-	members *membership.Memberlist
-	wake  chan struct{}
-	inFlight  chan struct{}
-	calls sync.WaitGroup
+	mu       sync.Mutex
+	members  *membership.Memberlist
+	wake     chan struct{}
+	inFlight chan struct{}
+	calls    sync.WaitGroup
 }
 
-// New returns a driver; seeds may change their answer over time.
+// New returns a Gossip for a node; seeds returns the internal addresses of the seeds, which may change.
 func New(self *wire.Member, seed uint64, pool *rpc.Pool, seeds func() []string, log *slog.Logger) *Gossip {
 	return &Gossip{
 		pool: pool, log: log, seeds: seeds, began: time.Now(), members: membership.New(self, seed, 0),
@@ -41,13 +41,12 @@
 
 func (g *Gossip) now() time.Duration { return time.Since(g.began) }
 
-// Register names the methods that others call.
+// Register adds the RPC method "probe", which other nodes call.
 func (g *Gossip) Register(s *rpc.Server) {
 	s.Handle("probe", rpc.Unary(g.handleProbe))
 }
 
-// Members returns the nodes that are not dead, this one among them. The list and
-// what it holds are not to be changed.
+// Members returns the reachable nodes, this one among them, by name. The caller must not change the list or its elements.
 func (g *Gossip) Members() []*wire.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,7 +75,7 @@
 	return g.members.Version()
 }
 
-// Leave tells some others that this node goes.
+// Leave notifies a few members that this node leaves; they broadcast it.
 func (g *Gossip) Leave(ctx context.Context) {
 	g.mu.Lock()
 	g.members.Leave()
@@ -90,7 +89,7 @@
 	}
 }
 
-// Run probes until the context ends.
+// Run probes other nodes until ctx ends, and returns when its calls have.
 func (g *Gossip) Run(ctx context.Context) {
 	defer g.calls.Wait()
 	timer := time.NewTimer(0)
@@ -113,7 +112,7 @@
 	}
 }
 
-// start runs a call, unless too many are under way.
+// start runs a call in a goroutine, unless too many are in flight.
 func (g *Gossip) start(f func()) {
 	select {
 	case g.inFlight <- struct{}{}:
@@ -126,6 +125,7 @@
 	})
 }
 
+// sendProbe sends a probe and those that follow from its answer.
 func (g *Gossip) sendProbe(ctx context.Context, a membership.Probe) {
 	g.start(func() {
 		answer := g.exchange(ctx, a.Address, a.Request, a.Timeout())
@@ -141,7 +141,7 @@
 	})
 }
 
-// exchange sends a probe and takes in the answer; nil: none came.
+// exchange sends a probe and merges the updates in the answer; nil: none came in time.
 func (g *Gossip) exchange(ctx context.Context, addr string, p *wire.ProbeRequest, wait time.Duration) *wire.ProbeResponse {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -153,6 +153,7 @@
 	return answer
 }
 
+// merge applies updates of another node.
 func (g *Gossip) merge(updates []*wire.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -167,7 +168,7 @@
 	}
 }
 
-// handleProbe answers a probe, of this node or through it of another.
+// handleProbe answers a probe of this node or, as an indirect one, of another through it.
 func (g *Gossip) handleProbe(ctx context.Context, p *wire.ProbeRequest) (*wire.ProbeResponse, error) {
 	if p.From != nil {
 		if caller, ok := rpc.Caller(ctx); ok && (caller.Name != p.From.Name || (caller.Role == identity.QuorumMember) != p.From.QuorumMember) {
--- a/internal/cluster/membership/dissemination.go
+++ b/internal/cluster/membership/state.go
@@ -1,28 +1,27 @@
 package membership
 
 import (
-	"cmp"
 	"slices"
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
+
 	"ivydeck/internal/transport/wire"
 )
 
-// Leave makes this node say that it goes. The answer is what to tell others.
+// Leave marks this node as one that has left; Self then is the update for the others.
 func (l *Memberlist) Leave() {
 	l.updateSelf(func(m *wire.Member) { m.State = wire.Member_LEFT })
 }
 
-// updateSelf changes what this node says of itself.
+// updateSelf changes this node's own entry.
 func (l *Memberlist) updateSelf(f func(m *wire.Member)) {
 	l.self = proto.CloneOf(l.self)
 	f(l.self)
 	l.version++
 }
 
-// setState gives a member a state, which is to be passed on.
+// setState sets a member's state, which is then broadcast.
 func (l *Memberlist) setState(m *member, state wire.Member_State) {
 	if m.State != state {
 		l.toggleDigest(m.Member)
@@ -44,8 +43,8 @@
 	l.version++
 }
 
-// Merge applies what another node says of some nodes. The updates are kept, and not to be changed afterwards. What comes in
-// bulk, as from a comparison of views, is not passed on with probes: comparisons spread it, and it would hold up what is new.
+// Merge applies the updates of another node, which the caller must not change afterwards. Updates in bulk, as a push/pull
+// brings them, are not broadcast: other push/pulls spread them, and they would delay newer ones.
 func (l *Memberlist) Merge(now time.Duration, updates ...*wire.Member) {
 	l.now = now
 	var changed []*member
@@ -68,7 +67,7 @@
 	}
 }
 
-// mergeMember applies what another node says of a third one. It returns the member if that was new.
+// mergeMember applies an update about a third node. It returns the member if the update was new.
 func (l *Memberlist) mergeMember(n *wire.Member) *member {
 	m := l.members[n.Name]
 	switch {
@@ -87,7 +86,7 @@
 	return m
 }
 
-// add takes in a node that was not known, unless it is dead or there are too many.
+// add adds a node, unless it is dead or there are too many.
 func (l *Memberlist) add(n *wire.Member) *member {
 	if !reachable(n.State) || len(l.members) >= maxMembers {
 		return nil
@@ -97,13 +96,13 @@
 	l.sortedMembers, l.needsSort = append(l.sortedMembers, m), true
 	l.toggleDigest(n)
 	l.setState(m, n.State)
-	// Somewhere in what is left of the round, not always at its end.
+	// At a random position in the rest of the round, as SWIM has it: each node is probed within bounded time.
 	at := l.rng.IntN(len(l.probeRound) + 1)
 	l.probeRound = slices.Insert(l.probeRound, at, m)
 	return m
 }
 
-// overrides reports whether an update counts against what is known.
+// overrides reports whether an update takes precedence over what is known (SWIM, 4.2).
 func overrides(n, old *wire.Member) bool {
 	if n.Generation != old.Generation {
 		return n.Generation > old.Generation
@@ -117,7 +116,7 @@
 	return n.State > old.State
 }
 
-// refute answers a suspicion about this node itself.
+// refute answers an update that says this node itself to be suspect, dead or of a later generation.
 func (l *Memberlist) refute(n *wire.Member) {
 	if n.Generation > l.self.Generation { // of an earlier process, whose clock was ahead
 		l.updateSelf(func(m *wire.Member) { m.Generation, m.Incarnation = n.Generation+1, 0 })
@@ -131,24 +130,23 @@
 	}
 }
 
-// nextBroadcasts are the changes that were passed on least often, this node's own state first. Of those that were passed on equally
-// often the newest goes first: behind a start of many nodes those of hundreds of others wait for minutes.
-func (l *Memberlist) nextBroadcasts() []*wire.Member {
-	limit := uint8(3) // times that a piece is passed on, more among many
-	for n := len(l.members) + 1; n > 1; n /= 2 {
-		limit++
-	}
-	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(m *member) bool {
-		m.broadcasting = m.transmits < limit && l.members[m.Name] == m
-		return !m.broadcasting
-	})
-	slices.SortFunc(l.broadcasts, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(a.transmits, b.transmits), cmp.Compare(b.stateChangedAt, a.stateChangedAt), strings.Compare(a.Name, b.Name))
-	})
-	broadcasts := []*wire.Member{l.self}
-	for _, m := range l.broadcasts[:min(maxPiggyback, len(l.broadcasts))] {
-		m.transmits++
-		broadcasts = append(broadcasts, m.Member)
-	}
-	return broadcasts
+// reachable reports whether a node of this state may answer.
+func reachable(s wire.Member_State) bool { return s == wire.Member_ALIVE || s == wire.Member_SUSPECT }
+
+// DeadFor returns for how long a node has been dead or has left; 0: it is neither, or not known.
+func (l *Memberlist) DeadFor(now time.Duration, name string) time.Duration {
+	m := l.members[name]
+	if m == nil || reachable(m.State) {
+		return 0
+	}
+	return max(1, now-m.stateChangedAt)
+}
+
+// Lost reports whether what runs on a node should be deregistered: the node has been dead for a while, or was not a member
+// in all the time that the caller has watched.
+func (l *Memberlist) Lost(now time.Duration, name string, watched time.Duration) bool {
+	return l.DeadFor(now, name) > deadNodeLostAfter || !l.Knows(name) && watched > unknownNodeLostAfter
 }
+
+// Knows reports whether a node is or was a member, as far as that is remembered.
+func (l *Memberlist) Knows(name string) bool { return name == l.self.Name || l.members[name] != nil }
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is a node's part in the control plane: it knows the other nodes, follows the configuration and the list
-// of servers, feeds its children in the relay tree, and keeps the quorum's list in line with the servers of its machine.
-// It carries no requests.
+// Package agent is a node's client of the control plane: it runs the cluster membership (package gossip), subscribes to the
+// updates of the replicated state and serves them to its children (package relay), finds the leader, and keeps the registry
+// in line with the servers of its machine. It carries no requests of clients: that is the work of package sidecar, which
+// owns the Agent.
 package agent
 
 import (
@@ -18,37 +19,37 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Options say whom an agent stands for.
+// Options configure an agent. All but ServersChanged are required.
 type Options struct {
-	Settings func() *nodefile.Settings // as they are now
-	Pool     *rpc.Pool
-	Seed     uint64 // of random numbers
+	Settings func() *nodefile.Settings // the present ones
+	Pool     *rpc.Pool                 // for calls to other processes
+	Seed     uint64                    // of random numbers
 	Log      *slog.Logger
 
-	Servers        func() []localserver.Heartbeat // of this machine, as they should be listed
-	ServersChanged <-chan struct{}                // tells when Servers may return something else
-	Draining        func() bool                    // the machine's servers take nothing new, as the node is about to end
+	Servers        func() []localserver.Heartbeat // of this machine, as they should be registered
+	ServersChanged <-chan struct{}                // receives when Servers may have changed
+	Draining       func() bool                    // the machine's servers accept nothing new, as the node is shutting down
 }
 
-// Agent is one node's part.
+// Agent is one node's agent. Its methods may be called by any goroutine.
 type Agent struct {
 	Pool     *rpc.Pool
 	Gossip   *gossip.Gossip
 	Hub      *relay.Hub
 	Follower *relay.Follower
 
-	options Options
-	log     *slog.Logger
-	parentCache   relay.ParentCache // the follower's own
+	options     Options
+	log         *slog.Logger
+	parentCache relay.ParentCache // used by the follower alone
 	startedAt   time.Time
-	ready   atomic.Bool // what is known here is as new as what was acknowledged before the start
-	workers sync.WaitGroup
+	ready       atomic.Bool // see Ready
+	workers     sync.WaitGroup
 
 	leaderMu sync.Mutex
-	leader   string // internal address of the leader, as last told
+	leader   string // internal address; empty: not known
 }
 
-// New returns an agent that has heard of nothing yet.
+// New returns an agent without state, which Run fills.
 func New(o Options) *Agent {
 	set := o.Settings()
 	a := &Agent{options: o, log: o.Log, Pool: o.Pool, startedAt: time.Now(), parentCache: relay.ParentCache{Self: set.Node, Zone: set.Zone}}
@@ -59,13 +60,13 @@
 	return a
 }
 
-// Register names the methods that other nodes call.
+// Register adds the RPC methods that other nodes call.
 func (a *Agent) Register(s *rpc.Server) {
 	a.Gossip.Register(s)
 	s.Handle("subscribe", a.Hub.Serve)
 }
 
-// Run takes part until the context ends.
+// Run runs the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	a.workers.Go(func() { a.Gossip.Run(ctx) })
 	a.workers.Go(func() { a.Follower.Run(ctx) })
@@ -77,13 +78,13 @@
 // StartedAt is when the agent was made.
 func (a *Agent) StartedAt() time.Time { return a.startedAt }
 
-// Ready reports whether what is known here is as new as what was acknowledged before the start.
+// Ready reports whether the state here has all that was acknowledged before the start: see relay.Readiness.
 func (a *Agent) Ready() bool { return a.ready.Load() }
 
 // seeds are the internal addresses of the seeds.
 func (a *Agent) seeds() []string { return a.options.Settings().SeedNodes() }
 
-// parents are whom the node may follow: its place in the tree, the quorum, and at the start the seeds.
+// parents are the addresses to which the node may subscribe: relay.Parents, and at the start the seeds.
 func (a *Agent) parents() []string {
 	list := a.parentCache.Parents(a.Gossip.Version(), a.Gossip.Members)
 	if len(list) == 0 {
--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	callTimeout   = time.Second
-	hedgeDelay  = 120 * time.Millisecond // without an answer from one quorum member the next is asked as well
-	leaderRetryPause = 100 * time.Millisecond // after a round of questions that has found no leader
+	callTimeout      = time.Second
+	hedgeDelay       = 120 * time.Millisecond // without an answer from one quorum member, the next is called as well
+	leaderRetryPause = 100 * time.Millisecond // after a round of calls that has found no leader
 	maxLeaderCalls   = 6
 )
 
-// quorumAddresses returns the addresses of quorum members, the leader's first, and those last to which there is no connection.
+// quorumAddresses returns the addresses of quorum members, the leader first, and those without a connection last.
 func (a *Agent) quorumAddresses() []string {
 	var list, others []string
 	a.leaderMu.Lock()
@@ -46,9 +46,10 @@
 	a.leaderMu.Unlock()
 }
 
-// callLeader makes a call to the leader, looking for it where it has moved. f returns whether it is done, and otherwise
-// whom it was told to ask. One who says nothing for a while is not waited for before the next is asked: after a loss of
-// all power some machines are there long before others.
+// callLeader makes a call to the leader, and finds the leader if it has changed: f makes the call at an address and returns
+// whether that was the leader, and otherwise the leader's address if the answer named it. A member that does not answer
+// within hedgeDelay is not waited for before the next is called: after a loss of all power, some machines are up long
+// before others.
 func callLeader[T any](ctx context.Context, a *Agent, f func(ctx context.Context, address string) (answer T, done bool, leader string)) (answer T, ok bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -104,7 +105,7 @@
 	return answer, false
 }
 
-// LatestIndex asks the leader how far the updates have come.
+// LatestIndex asks the leader for the index of the latest update; ok is false if no leader has answered.
 func (a *Agent) LatestIndex(ctx context.Context) (index uint64, ok bool) {
 	return callLeader(ctx, a, func(ctx context.Context, address string) (uint64, bool, string) {
 		answer := new(wire.LatestResponse)
--- a/internal/distribution/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	readinessInterval = 50 * time.Millisecond // between looks at the age of the state
-	slowQueryAfter       = 6 * time.Second       // without an answer, after which the leader is asked less often
-	slowQueryPause      = time.Second
+	readinessInterval = 50 * time.Millisecond // between checks of the age of the state
+	slowQueryAfter    = 6 * time.Second       // without an answer for so long, the leader is asked less often
+	slowQueryPause    = time.Second
 )
 
-// awaitReadiness waits until what is known here may be served by: see relay.Readiness.
+// awaitReadiness waits until the node may serve by its state: see relay.Readiness.
 func (a *Agent) awaitReadiness(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -42,13 +42,13 @@
 	}
 }
 
-// queryLatest asks the leader how far the updates have come, until it has an answer.
+// queryLatest asks the leader for the latest index, until it has an answer.
 func (a *Agent) queryLatest(ctx context.Context, answers chan<- uint64) {
 	for ctx.Err() == nil {
 		round, cancel := context.WithCancel(ctx)
 		if first := a.Hub.Changed(); a.Hub.Index() == 0 {
-			// The first updates show that there is a leader by now. What is still being asked may be a machine without
-			// power, whose dial goes on for long.
+			// The first updates show that there is a leader by now. The call in progress may be to a machine without power,
+			// whose dial takes long to fail.
 			a.workers.Go(func() {
 				select {
 				case <-first:
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	updateWait = 300 * time.Millisecond // for an accepted change to come back as an update
-	compareInterval = time.Second
+	updateWait        = 300 * time.Millisecond // for an accepted change to come back as an update
+	compareInterval   = time.Second
 	proposeRetryPause = 100 * time.Millisecond
 )
 
-// register keeps the quorum's list in line with the servers of this machine: it compares what the updates say with what
-// stands here, and proposes the difference until the updates agree.
+// register keeps the registry in line with the servers of this machine: it compares the updates with the servers, and
+// proposes the difference until they agree.
 func (a *Agent) register(ctx context.Context) {
 	registered := catalog.NodeServers{Node: a.options.Settings().Node}
 	for ctx.Err() == nil {
@@ -44,13 +44,14 @@
 	}
 }
 
-// registryDifference is what has to change in the list.
+// registryDifference returns the commands by which the registry gets in line.
 func (a *Agent) registryDifference(registered []*wire.Server) []*wire.Command {
 	set := a.options.Settings()
 	m := localserver.Machine{Node: set.Node, Address: set.Internal(), Zone: set.Zone, Leaving: a.options.Draining()}
 	return localserver.Difference(m, a.options.Servers(), registered, time.Since(a.startedAt) < 2*set.HeartbeatInterval)
 }
 
+// propose reports whether the leader has committed a command.
 func (a *Agent) propose(ctx context.Context, cmd *wire.Command) bool {
 	_, ok := callLeader(ctx, a, func(ctx context.Context, address string) (struct{}, bool, string) {
 		answer := new(wire.ProposeResponse)
--- a/internal/distribution/relay/follow.go
+++ b/internal/distribution/relay/follow.go
@@ -12,12 +12,12 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Follower keeps a node's hub fed by a parent.
+// Follower subscribes a node's hub to one parent after another.
 type Follower struct {
-	Node    string
-	Hub     *Hub
-	Pool    *rpc.Pool
-	Parents func() []string // candidates, the best first
+	Node    string          // node_name of this machine
+	Hub     *Hub            // receives the feeds
+	Pool    *rpc.Pool       // for the connections to parents
+	Parents func() []string // addresses, the best first
 	Log     *slog.Logger
 
 	mu        sync.Mutex
@@ -43,7 +43,7 @@
 	}
 }
 
-// Run follows one parent after another until the context ends.
+// Run subscribes to one parent after another until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	began := time.Now()
 	var selector Selector
@@ -61,11 +61,12 @@
 	}
 }
 
-// follow takes the updates of one parent until that fails, and says why it did.
+// follow applies the feeds of one parent until the subscription ends, and returns the reason.
 func (f *Follower) follow(ctx context.Context, selector *Selector, addr string, began time.Time) (EndReason, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The stream has no deadline of its own: silence ends it. A whole state on a slow link is no silence while it comes.
+	// The stream has no deadline of its own: it ends without a frame for FeedTimeout. A full state on a slow link has many
+	// frames.
 	watchdog := time.AfterFunc(FeedTimeout, cancel)
 	defer watchdog.Stop()
 	subscription := Subscription{RequestedAt: time.Since(began)}
@@ -96,7 +97,7 @@
 	}
 }
 
-// decodeErrorEvent names the log event of a feed that can't be read.
+// decodeErrorEvent is the log event of a feed that can't be decoded.
 func decodeErrorEvent(err error) string {
 	if errors.Is(err, ErrFormat) {
 		return "relay.format_unknown"
@@ -104,7 +105,7 @@
 	return "relay.decode_failed"
 }
 
-// decodeFeed unpacks a feed of this node's format.
+// decodeFeed checks a feed's format and decompresses its changes.
 func decodeFeed(feed *wire.Feed) error {
 	if err := CheckFormat("the parent", feed.Format); err != nil {
 		return err
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	maxCached      = 16      // differences that are kept for the children that stand at the same index
-	maxCachedBytes = 1 << 20 // of one of them, encoded
+	maxCached      = 16      // deltas that are cached for children at the same index
+	maxCachedBytes = 1 << 20 // a larger one is not cached, in encoded bytes
 )
 
-// Hub holds what a node was told, and passes it on to its children.
+// Hub has a node's copy of the state, and sends its changes to the node's children.
 type Hub struct {
 	// Age is an upper bound of the time since a quorum confirmed the state here.
 	Age func() time.Duration
 
-	mu       sync.Mutex
-	view     *catalog.View
-	changed  chan struct{}          // closed and replaced at each change
-	confirmed  chan struct{}          // closed and replaced when a feed without changes brings a newer contact with the quorum
-	cached   map[uint64]*delta // to the latest index, by where they begin
-	depth    uint32
-	children int
+	mu        sync.Mutex
+	view      *catalog.View
+	changed   chan struct{}     // closed and replaced at each change
+	confirmed chan struct{}     // closed and replaced when a feed without changes brings a newer contact with the quorum
+	cached    map[uint64]*delta // to the latest index, by where they begin
+	depth     uint32
+	children  int
 }
 
-// delta is what leads to the latest index, made once for all children that stand at another.
+// delta has the changes from one index to the latest, made once for all children at that index.
 type delta struct {
 	changes *wire.Changes
 	once    sync.Once
@@ -40,12 +40,12 @@
 	err     error
 }
 
-// NewHub returns a hub that has been told nothing.
+// NewHub returns a hub without state.
 func NewHub(age func() time.Duration) *Hub {
 	return &Hub{Age: age, view: catalog.NewView(), changed: make(chan struct{}), confirmed: make(chan struct{}), cached: map[uint64]*delta{}}
 }
 
-// notify tells those who wait of a change; called with mu held.
+// notify wakes those who wait for a change; called with mu held.
 func (h *Hub) notify() {
 	clear(h.cached)
 	close(h.changed)
@@ -66,14 +66,14 @@
 	return h.changed
 }
 
-// Index of the latest update.
+// Index is the index of the latest update.
 func (h *Hub) Index() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.view.Index()
 }
 
-// Server returns a registered server; nil: it is not listed.
+// Server returns a registered server; nil: it is not registered.
 func (h *Hub) Server(member string) *wire.Server {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,8 +94,8 @@
 	return h.view.Changes(since), h.view.Config()
 }
 
-// Apply takes changes in. It reports false where they do not begin at what is here, so that those in between have to be
-// asked for; old ones are passed over.
+// Apply applies changes. It reports false if they do not begin at the hub's index, so that those between have to be
+// requested; old ones are ignored.
 func (h *Hub) Apply(c *wire.Changes) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -110,10 +110,9 @@
 	return ok
 }
 
-// Receive takes in what a parent has sent. It reports not ok where changes are missing:
-// the subscription has to be renewed. current tells that the parent knows nothing
-// newer than what is here, so that its age is the age of this node's state too; confirm
-// is called then, before the children are told, and raises the moment that Age counts from.
+// Receive applies a parent's feed. ok is false if changes are missing: the subscription has to be renewed. current says
+// that the parent has nothing newer than this node, so that the age of its state is that of this node's too; confirm is
+// then called, before the children are notified, to raise the moment from which Age counts.
 func (h *Hub) Receive(f *wire.Feed, confirm func()) (current, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -134,16 +133,16 @@
 	return current, ok
 }
 
-// Depth is this node's place below the quorum, whose members are at 0.
+// Depth is this node's level in the tree; quorum members are at 0.
 func (h *Hub) Depth() uint32 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.depth
 }
 
-// Feed returns what to send to a child that has the state at an index and whose request was received at a moment of the
-// caller's clock, and a channel that is closed at the next change. The age is read before the state that it speaks of:
-// updates that come in between make it no older.
+// Feed returns what to send to a child that has the state at an index and whose subscription was received at subscribedAt,
+// by the caller's clock, and a channel that is closed at the next change. The age is read before the state, so that
+// updates in between make it no older.
 func (h *Hub) Feed(have uint64, now, subscribedAt time.Duration) (*wire.Feed, <-chan struct{}) {
 	contactAt := now - h.Age()
 	h.mu.Lock()
@@ -161,7 +160,7 @@
 	return &wire.Feed{Latest: h.view.Index(), Depth: h.depth, Format: Format}
 }
 
-// delta returns what leads from an index to the latest; nil: nothing. Called with mu held.
+// delta returns the changes from an index to the latest; nil: there are none. Called with mu held.
 func (h *Hub) delta(have uint64) *delta {
 	if d := h.cached[have]; d != nil {
 		return d
@@ -177,8 +176,7 @@
 	return d
 }
 
-// encodedFeed is Feed in bytes. The changes are encoded once for all children that stand at the same index, and while
-// that goes on nobody else waits.
+// encodedFeed is Feed in bytes. The changes are encoded once for all children at the same index, without the lock.
 func (h *Hub) encodedFeed(have uint64, now, subscribedAt time.Duration) (data []byte, latest uint64, err error) {
 	contactAt := now - h.Age()
 	h.mu.Lock()
@@ -192,10 +190,10 @@
 	if len(changes) > maxCachedBytes {
 		h.uncache(have, d)
 	}
-	return append(data, changes...), f.Latest, err // messages that follow each other are merged
+	return append(data, changes...), f.Latest, err // protobuf merges concatenated messages
 }
 
-// encode returns a difference as the bytes of a feed.
+// encode returns the changes as the bytes of a feed.
 func (d *delta) encode() ([]byte, error) {
 	d.once.Do(func() {
 		var feed *wire.Feed
@@ -206,7 +204,7 @@
 	return d.encoded, d.err
 }
 
-// uncache keeps a large difference no longer than its receivers do.
+// uncache keeps a large delta no longer than its receivers do.
 func (h *Hub) uncache(have uint64, d *delta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -215,10 +213,10 @@
 	}
 }
 
-// ErrFull is the end of a subscription to a node that feeds enough children.
-var ErrFull = errors.New("relay: no room for another child")
+// ErrFull ends a subscription to a node that has MaxChildren.
+var ErrFull = errors.New("relay: the node has enough children")
 
-// addChild takes a child in, unless there are too many.
+// addChild counts a child, unless there are too many.
 func (h *Hub) addChild() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -235,7 +233,7 @@
 	h.children--
 }
 
-// Serve feeds one child until it leaves.
+// Serve is the RPC method "subscribe": it sends feeds to one child until the child leaves.
 func (h *Hub) Serve(s *rpc.Stream) error {
 	request := new(wire.SubscribeRequest)
 	if err := s.Recv(request); err != nil {
@@ -252,13 +250,13 @@
 	return h.feedChild(s, request.Have, subscribedAt)
 }
 
-// feedChild sends feeds as Pacing says, until the child leaves.
+// feedChild sends feeds when Pacing says, until the child leaves.
 func (h *Hub) feedChild(s *rpc.Stream, have uint64, subscribedAt time.Time) error {
 	var pacing Pacing
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		changed, renewed := h.signals() // before the feed: what comes after it is passed on by the next
+		changed, renewed := h.signals() // before the feed: what comes after it is in the next one
 		data, latest, err := h.encodedFeed(have, time.Since(subscribedAt), 0)
 		if err != nil {
 			return err
