--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -1,6 +1,8 @@
-// Package backup keeps the control plane's state in a file, and makes a quorum member's folder of one again when all that
-// the core had is gone. A restore never happens by itself: it begins a new core, of one machine that all others join, and
-// takes back whatever was acknowledged after the backup.
+// Package backup writes the replicated state to a file, and makes the folder of a quorum member out of such a file when all
+// members and their disks are lost. Package server serves backups, and ivydeckctl stores and restores them.
+//
+// A restore never happens by itself: it begins a new quorum of one member that all others join, and takes back all that was
+// acknowledged after the backup. docs/operations.md has the steps.
 package backup
 
 import (
@@ -20,23 +22,24 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// magic begins a backup's file; its last byte is the format. A checksum follows, big-endian, and the message.
+// magic begins a backup's file; its last byte is the format. A CRC-32C, big-endian, and a wire.Backup follow. The form is
+// frozen: files of earlier versions stay readable.
 var magic = []byte("ivydeck backup\x01")
 
-// updatesAhead is how far the updates of a restored core begin beyond the backup's. Nodes that outlived the core take nothing
-// older than what they have, and could have more than the backup.
+// updatesAhead is how far the indexes of a restored quorum's updates begin beyond the backup's. Nodes that have outlived the
+// old quorum apply nothing older than what they have, and may have more than the backup.
 const updatesAhead = 1 << 32
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Backup is the state at one place of the log.
+// Backup is the replicated state at one entry of the log.
 type Backup struct {
 	Term, Index uint64
 	State       *catalog.Catalog
 }
 
 // OfStore returns the backup of a stopped machine's folder. It has all that is on this disk, also what may not have been
-// acknowledged; beyond says how many entries that can be.
+// committed; beyond is the number of such commands.
 func OfStore(dir string) (b *Backup, beyond int, err error) {
 	s, err := store.Inspect(dir)
 	if err != nil {
@@ -60,7 +63,7 @@
 		if err := proto.Unmarshal(e.Data, cmd); err != nil {
 			return nil, 0, fmt.Errorf("backup: entry %d: %w", e.Index, err)
 		}
-		b.State.Apply(cmd) // its verdict was the sender's
+		b.State.Apply(cmd) // an error was its sender's
 		beyond++
 	}
 	return b, beyond, nil
@@ -81,16 +84,16 @@
 	return append(out, body...), nil
 }
 
-// Decode reads a backup, whole or not at all.
+// Decode decodes a backup, completely or not at all.
 func Decode(data []byte) (*Backup, error) {
 	rest, ok := bytes.CutPrefix(data, magic)
 	switch {
 	case !ok && bytes.HasPrefix(data, magic[:len(magic)-1]) && len(data) > len(magic):
 		return nil, fmt.Errorf("backup: format %d, and this version knows format %d", data[len(magic)-1], magic[len(magic)-1])
 	case !ok || len(rest) < 4:
-		return nil, errors.New("backup: this is no backup")
+		return nil, errors.New("backup: this is not a backup")
 	case binary.BigEndian.Uint32(rest) != crc32.Checksum(rest[4:], castagnoli):
-		return nil, errors.New("backup: it is damaged: its checksum does not fit")
+		return nil, errors.New("backup: its checksum does not match")
 	}
 	var m wire.Backup
 	if err := proto.Unmarshal(rest[4:], &m); err != nil {
@@ -103,7 +106,7 @@
 	return b, nil
 }
 
-// Save writes the backup to a file that does not exist yet.
+// Save writes the backup to a new file, and syncs it.
 func (b *Backup) Save(path string) error {
 	data, err := b.Encode()
 	if err != nil {
@@ -122,7 +125,7 @@
 	return nil
 }
 
-// syncFolder makes the names in a folder stay.
+// syncFolder makes the names in a folder durable.
 func syncFolder(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -144,12 +147,12 @@
 	return b, nil
 }
 
-// Summary is what a backup has, in a line.
+// Summary describes a backup in a line.
 func (b *Backup) Summary() string {
 	return fmt.Sprintf("revision %d and %d servers, at entry %d of term %d", b.State.Revision(), len(b.State.Servers()), b.Index, b.Term)
 }
 
-// Loss says what a restore into a folder takes away; empty: the folder holds nothing newer.
+// Loss describes what a restore into a folder would lose; empty: the folder has nothing newer.
 func (b *Backup) Loss(dir string) (string, error) {
 	if empty, err := isEmpty(dir); err != nil || empty {
 		return "", err
@@ -175,8 +178,8 @@
 	return len(list) == 0, nil
 }
 
-// Restore makes an empty folder the first machine of a new core, which all others join. Address and control are where that
-// machine listens to nodes and to operators. A folder in which anything is, such as a running machine's, is refused.
+// Restore makes an empty folder the first member of a new quorum, which all others join. address is its internal address and
+// control that of its operators' interface. A folder that is not empty is rejected.
 func (b *Backup) Restore(dir, address, control string, rng *rand.Rand) error {
 	if address == "" || control == "" {
 		return errors.New("backup: the machine's addresses for nodes and for operators have to be given")
@@ -194,7 +197,7 @@
 	if err := state.Restore(snapshot); err != nil {
 		return err
 	}
-	state.Advance(updatesAhead) // servers that are gone meanwhile are found so, as ever
+	state.Advance(updatesAhead) // servers that have ended meanwhile are found lost as ever
 	data, err := state.Snapshot()
 	if err != nil {
 		return err
--- a/internal/controlplane/catalog/judge.go
+++ b/internal/controlplane/catalog/accept.go
@@ -10,16 +10,16 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Current is the configuration in force at one moment.
+// Current is the configuration in force at one moment. Any goroutine may use it.
 type Current struct {
 	Config *meshconfig.Config // nil: none yet
 	Body   []byte             // as the operator sent it
 }
 
-// Current returns the configuration in force. It may be used by others while the catalog goes on.
+// Current returns the configuration in force.
 func (c *Catalog) Current() Current { return Current{c.config, c.body} }
 
-// Revision of the configuration; 0: none yet.
+// Revision is the configuration's revision; 0: none yet.
 func (c Current) Revision() uint64 {
 	if c.Config == nil {
 		return 0
@@ -27,13 +27,13 @@
 	return c.Config.Revision
 }
 
-// Parse reads another configuration, at the cost of what differs. The error says what is wrong with it.
+// Parse parses another configuration, at the cost of what differs. The error says what is wrong with it.
 func (c Current) Parse(body []byte) (*meshconfig.Config, error) {
 	return meshconfig.ParseNext(body, c.Config)
 }
 
-// Command returns the command that puts a configuration and its body in place of the one with the base's revision. Where
-// that is the current one, the command has only what differs.
+// Command returns the command that replaces the configuration with the base's revision by another. If that is the present
+// one, the command has only the difference.
 func (c Current) Command(base uint64, config *meshconfig.Config, body []byte) *wire.Command {
 	put := &wire.PutConfig{Base: base, Body: body}
 	if c.Config != nil && base == c.Revision() {
@@ -45,8 +45,8 @@
 	return &wire.Command{Change: &wire.Command_Config{Config: put}}
 }
 
-// acceptConfig decides on a configuration. It returns neither a configuration nor an
-// error for one that has been accepted before.
+// acceptConfig decides on a configuration. It returns neither a configuration nor an error for one that was accepted
+// before.
 func (c *Catalog) acceptConfig(put *wire.PutConfig) (*Current, error) {
 	body, change := put.Body, Change{revision: put.Revision}
 	if len(put.Delta) > 0 {
@@ -73,7 +73,7 @@
 	return &Current{config, body}, nil
 }
 
-// rebuild returns the body that a delta leads to, from the one in force.
+// rebuild applies a delta to the body in force.
 func (c *Catalog) rebuild(put *wire.PutConfig) ([]byte, error) {
 	body, err := bytedelta.Apply(c.body, put.Delta, meshconfig.MaxBytes)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return body, nil
 }
 
-// checkChange reports whether a change is known, and otherwise why it can't be accepted.
+// checkChange reports whether a change was accepted before, and otherwise returns why it can't be.
 func (c *Catalog) checkChange(change Change, base uint64) (known bool, err error) {
 	switch {
 	case c.accepted.contains(change):
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -9,17 +9,16 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxAccepted is how many accepted configurations are remembered, so that one that is sent again is told from another
-// one under the same revision. At 49,000 changes a day they reach eight hours back, and at the most that a quorum takes
-// one after another (some tens a second) several minutes; operators send a change again for seconds. They are 40 bytes
-// each, in memory and in snapshots. Replicas need not agree on the bound: it decides what a sender is told, never the
-// state.
+// maxAccepted bounds the accepted configurations that are remembered, by which one that is sent again is told from another
+// with the same revision. At 49,000 changes a day they reach eight hours back, and at the highest rate of a quorum (some
+// tens a second) several minutes; operators resend a change for seconds. Each takes 40 bytes, in memory and in snapshots.
+// Replicas need not agree on the bound: it decides on the answer to a sender, never on the state.
 const maxAccepted = 16384
 
-// earlierMaxAccepted is the bound of the versions whose snapshots do not say what has been forgotten.
+// earlierMaxAccepted is the bound of versions whose snapshots do not say what was forgotten.
 const earlierMaxAccepted = 1024
 
-// Change identifies a configuration: two may have one revision.
+// Change identifies a configuration: two may have the same revision.
 type Change struct {
 	revision uint64
 	digest   [sha256.Size]byte
@@ -30,20 +29,20 @@
 	return Change{revision: config.Revision, digest: sha256.Sum256(body)}
 }
 
-// Accepted reports whether a change was accepted, now or before. That it was stays true, so that any replica may answer
-// for it which knows; that it was not is for the log to say.
+// Accepted reports whether a change was accepted. That stays true, so any replica that knows it may answer by it; that a
+// change was not accepted only the log can say.
 func (c *Catalog) Accepted(change Change) bool { return c.accepted.contains(change) }
 
-// acceptedChanges remembers the newest configurations that were accepted. Revisions only rise, so the list is in
-// their order, and all that is forgotten is below all that is remembered.
+// acceptedChanges remembers the newest configurations that were accepted. Revisions only rise, so the list is ascending,
+// and all that was forgotten is below all that is remembered.
 type acceptedChanges struct {
-	newest    []Change // ascending by revision
-	highestForgotten uint64   // the highest revision that is no longer remembered; 0: none is
-	limit     int      // of how many are remembered; 0: maxAccepted
+	newest           []Change // ascending by revision
+	highestForgotten uint64   // the highest revision that was forgotten; 0: none was
+	limit            int      // of newest; 0: maxAccepted
 }
 
-// SetAcceptedLimit bounds how many accepted changes are remembered; 0: as many as usual. Small bounds reach in a short
-// simulation what service reaches in hours.
+// SetAcceptedLimit bounds how many accepted changes are remembered; 0: the usual number. With small bounds, a short
+// simulation reaches what takes hours in service.
 func (c *Catalog) SetAcceptedLimit(limit int) { c.accepted.limit = limit }
 
 // add remembers a change whose revision is above all others.
@@ -58,7 +57,7 @@
 	a.newest = slices.Delete(a.newest, 0, drop)
 }
 
-// contains reports whether a very change is remembered.
+// contains reports whether exactly this change is remembered.
 func (a *acceptedChanges) contains(c Change) bool {
 	i, found := slices.BinarySearchFunc(a.newest, c.revision, func(x Change, revision uint64) int {
 		return cmp.Compare(x.revision, revision)
@@ -72,7 +71,7 @@
 	return base < revision && revision <= a.highestForgotten
 }
 
-// encode puts the memory into a snapshot.
+// encode stores the accepted changes in a snapshot.
 func (a *acceptedChanges) encode(s *wire.Snapshot) {
 	s.Accepted = make([]*wire.AcceptedConfig, len(a.newest))
 	for i := range a.newest {
@@ -81,7 +80,7 @@
 	s.ForgottenRevision = &a.highestForgotten
 }
 
-// decode replaces the memory by that of a snapshot.
+// decode replaces the accepted changes by those of a snapshot.
 func (a *acceptedChanges) decode(s *wire.Snapshot) {
 	a.newest, a.highestForgotten = make([]Change, len(s.GetAccepted())), s.GetForgottenRevision()
 	for i, t := range s.GetAccepted() {
--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -1,8 +1,15 @@
-// Package catalog is the state that the core replicates: the configuration in
-// force, and the servers that there are. It is a pure state machine, driven by
-// the entries of the log in their order, so that all replicas agree. Each entry that
-// changes it is an update; updates are numbered alike everywhere, and View says what
-// has changed since any of them.
+// Package catalog is the replicated state: the configuration in force and the registry of application servers. It is a pure
+// state machine, driven by the committed entries of the log in their order, so that all replicas agree. (In Consul this is
+// the FSM with its state store.)
+//
+// Each entry that changes the state is an update; updates have the same index on all replicas. View returns the changes
+// since any index, which package relay delivers to the nodes: nodes keep a View too.
+//
+//	catalog.go   Catalog: commands and their errors
+//	accept.go    which configuration is accepted; accepted.go remembers them
+//	view.go      View: resources and their indexes; resource.go their keys
+//	snapshot.go  the state as bytes; image.go a copy that any goroutine may encode
+//	local.go     the part of one node's servers
 package catalog
 
 import (
@@ -14,21 +21,22 @@
 	"ivydeck/internal/transport/wire"
 )
 
-const maxServers = 60000 // registered at a time
+// maxServers bounds the registry: twice the number of nodes that a mesh is designed for.
+const maxServers = 60000
 
-// Verdicts on a command.
+// The errors of a command, alike on all replicas. The texts of those of a configuration are in answers to operators.
 var (
-	// ErrStale: the configuration builds on a revision that is not the current one.
+	// ErrStale says that the configuration builds on a revision that is not the current one.
 	ErrStale = errors.New("another version is in place")
-	// ErrInvalid: the configuration can never be accepted.
+	// ErrInvalid says that the configuration can never be accepted.
 	ErrInvalid = errors.New("invalid configuration")
-	// ErrForgotten: the configuration may have been accepted so long ago that this is no longer known.
+	// ErrForgotten says that the configuration may have been accepted so long ago that this is no longer known.
 	ErrForgotten = errors.New("not known any more whether this was accepted")
-	// ErrFull: no more servers can be registered.
+	// ErrFull says that no more servers can be registered.
 	ErrFull = errors.New("too many servers")
 )
 
-// Catalog is the replicated state.
+// Catalog is the replicated state. It belongs to one goroutine; Image and Current are for others.
 type Catalog struct {
 	view     *View
 	body     []byte // of the configuration, as the operator sent it; nil: none yet
@@ -36,22 +44,22 @@
 	accepted acceptedChanges
 }
 
-// New returns the state before all entries.
+// New returns the state before the first entry.
 func New() *Catalog { return &Catalog{view: NewView()} }
 
-// Index of the latest update.
+// Index is the index of the latest update.
 func (c *Catalog) Index() uint64 { return c.view.Index() }
 
-// Body is the configuration in force as the operator sent it; nil: none yet. It is not to be changed.
+// Body is the configuration in force as the operator sent it; nil: none yet. The caller must not change it.
 func (c *Catalog) Body() []byte { return c.body }
 
 // Config is the configuration in force; nil: none yet.
 func (c *Catalog) Config() *meshconfig.Config { return c.config }
 
-// Servers are those that are registered, by name.
+// Servers are the registered servers, by name.
 func (c *Catalog) Servers() []*wire.Server { return c.view.Servers() }
 
-// MembersOn returns the members that stand on nodes of which a function holds, in order.
+// MembersOn returns the names of the servers on nodes that match, in order.
 func (c *Catalog) MembersOn(matches func(node string) bool) []string {
 	var list []string
 	for _, s := range c.view.ServersOn(matches) {
@@ -60,10 +68,10 @@
 	return list
 }
 
-// FullChanges returns the state as changes that lead to it from anywhere; nil before the first update.
+// FullChanges returns the state as changes that replace any other; nil before the first update.
 func (c *Catalog) FullChanges() *wire.Changes { return c.view.Changes(0) }
 
-// Revision of the configuration in force; 0: none yet.
+// Revision is the revision of the configuration in force; 0: none yet.
 func (c *Catalog) Revision() uint64 {
 	if c.config == nil {
 		return 0
@@ -71,8 +79,8 @@
 	return c.config.Revision
 }
 
-// Apply takes the next command of the log. It returns what the command has changed; nil: nothing. The error is the verdict
-// on the command.
+// Apply applies the next command of the log, and returns what it has changed; nil: nothing. An error says that the command
+// was rejected, as it is on all replicas.
 func (c *Catalog) Apply(cmd *wire.Command) (*wire.Changes, error) {
 	index := c.Index() + 1
 	resources, err := c.applyCommand(index, cmd)
@@ -84,7 +92,7 @@
 	return changes, nil
 }
 
-// applyCommand carries a command out on all but the view.
+// applyCommand applies a command to all but the view, and returns the changed resources.
 func (c *Catalog) applyCommand(index uint64, cmd *wire.Command) (changed []*wire.Resource, err error) {
 	switch change := cmd.Change.(type) {
 	case *wire.Command_Config:
@@ -110,5 +118,5 @@
 			}
 		}
 	}
-	return changed, nil // a command of a later version changes nothing; all replicas pass over it alike
+	return changed, nil // a command of a later version changes nothing, on all replicas alike
 }
--- a/internal/controlplane/catalog/local.go
+++ b/internal/controlplane/catalog/local.go
@@ -7,7 +7,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// NodeServers follows the servers of one node, at the cost of what changes.
+// NodeServers is the part of the registry that is on one node, kept at the cost of what changes.
 type NodeServers struct {
 	Node string
 
@@ -15,10 +15,10 @@
 	servers map[string]*wire.Server
 }
 
-// Index up to which changes were applied.
+// Index is the index up to which changes were applied.
 func (l *NodeServers) Index() uint64 { return l.index }
 
-// Apply takes the changes after Index; nil: there are none.
+// Apply applies the changes after Index; nil: there are none.
 func (l *NodeServers) Apply(c *wire.Changes) {
 	if c == nil {
 		return
@@ -40,7 +40,7 @@
 	l.index = c.To
 }
 
-// Servers are those that are listed, by name.
+// Servers are the registered servers of the node, by name.
 func (l *NodeServers) Servers() []*wire.Server {
 	list := make([]*wire.Server, 0, len(l.servers))
 	for _, s := range l.servers {
--- a/internal/controlplane/catalog/view.go
+++ b/internal/controlplane/catalog/view.go
@@ -8,16 +8,16 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxTombstones is how many removed resources are remembered for those who have not heard of it. Who lags behind the
-// oldest of them gets the whole state.
+// maxTombstones bounds the removed resources that are remembered, for those who have not received the removal. Whoever is
+// behind the oldest of them receives the full state.
 const maxTombstones = 4096
 
-// View is a state that updates add up to: resources, each with the index of the update that changed it last. Quorum
-// members, relays and nodes all keep one. It shows the states that its source had after single updates, never a mixture
-// of them, and it never goes back. What it returns is not to be changed. It is not for use by several goroutines.
+// View is a state that is built from updates: resources, each with the index of the update that changed it last. Quorum
+// members, relays and nodes all keep one. It shows states that its source had after single updates, never a mixture, and
+// never goes back. The caller must not change what it returns. It belongs to one goroutine, or to the holder of a lock.
 type View struct {
 	index      uint64
-	floor      uint64 // resources removed up to this index may be forgotten
+	floor      uint64 // removals up to this index may have been forgotten
 	entries    map[key]*entry
 	order      *entry // the head of a ring, in the order of the last changes: oldest next, newest prev
 	tombstones int
@@ -27,8 +27,8 @@
 	configAt uint64
 }
 
-// entry is a resource, or the tombstone of one, in the ring of all. Its key follows from the resource: there is one for
-// each server of the mesh at each node.
+// entry is a resource or a tombstone, in the ring of all. Its key is derived from the resource, to save memory: each node
+// has an entry for each server of the mesh.
 type entry struct {
 	resource   *wire.Resource
 	prev, next *entry
@@ -39,18 +39,18 @@
 	return removed
 }
 
-// NewView returns the state before all updates.
+// NewView returns the state before the first update.
 func NewView() *View {
 	v := &View{entries: map[key]*entry{}, order: &entry{}}
 	v.order.prev, v.order.next = v.order, v.order
 	return v
 }
 
-// Index of the latest update.
+// Index is the index of the latest update.
 func (v *View) Index() uint64 { return v.index }
 
-// Apply takes changes that begin at the view's index, or a whole state that is newer. It reports false for changes that
-// begin elsewhere, which are to be asked for again; old ones change nothing.
+// Apply applies changes that begin at the view's index, or a newer full state. It reports false for changes that begin
+// elsewhere, for which the missing ones have to be requested; old ones are ignored.
 func (v *View) Apply(c *wire.Changes) bool {
 	switch {
 	case c.To <= v.index:
@@ -69,7 +69,7 @@
 	return true
 }
 
-// set puts a resource in place of an earlier one with its key, as the newest of all.
+// set puts a resource in place of an earlier one with the same key, as the newest of all.
 func (v *View) set(r *wire.Resource) {
 	k, _ := keyOf(r)
 	if k.kind == 0 {
@@ -91,7 +91,7 @@
 
 func (e *entry) unlink() { e.prev.next, e.next.prev = e.next, e.prev }
 
-// count books that an entry comes or goes.
+// count counts an entry that is added (1) or removed (-1).
 func (v *View) count(e *entry, n int) {
 	switch k, removed := keyOf(e.resource); {
 	case removed:
@@ -101,7 +101,7 @@
 	}
 }
 
-// dropTombstones drops the older half of the tombstones where there are too many.
+// dropTombstones drops the older half of the tombstones if there are too many.
 func (v *View) dropTombstones() {
 	if v.tombstones <= maxTombstones {
 		return
@@ -116,8 +116,8 @@
 	}
 }
 
-// Changes returns what leads from an index to the view's; nil where there is nothing. A later change of a resource stands
-// for all earlier ones. Behind the floor it is the whole state.
+// Changes returns the changes from an index to the view's; nil: there are none. A later change of a resource replaces all
+// earlier ones. From below the floor they are the full state.
 func (v *View) Changes(since uint64) *wire.Changes {
 	if since >= v.index {
 		return nil
@@ -134,7 +134,7 @@
 	return c
 }
 
-// Config returns the configuration; nil: there is none yet. It costs what changed since the last call.
+// Config returns the configuration; nil: there is none yet. It costs what has changed since the last call.
 func (v *View) Config() *meshconfig.Config {
 	if v.configAt == v.index {
 		return v.config
@@ -157,7 +157,7 @@
 	return v.config
 }
 
-// Server returns a registered server; nil: it is not listed.
+// Server returns a registered server; nil: it is not registered.
 func (v *View) Server(member string) *wire.Server {
 	if e := v.entries[key{kind: kindServer, name: member}]; e != nil && !e.removed() {
 		return e.resource.GetServer()
@@ -165,15 +165,15 @@
 	return nil
 }
 
-// ServerCount is how many servers are listed.
+// ServerCount is the number of registered servers.
 func (v *View) ServerCount() int { return v.servers }
 
-// Servers returns all that are listed, by name.
+// Servers returns all registered servers, by name.
 func (v *View) Servers() []*wire.Server {
 	return v.ServersOn(func(string) bool { return true })
 }
 
-// ServersOn returns the servers that stand on nodes of which a function holds, by name.
+// ServersOn returns the servers on nodes that match, by name.
 func (v *View) ServersOn(matches func(node string) bool) []*wire.Server {
 	var list []*wire.Server
 	for e := v.order.next; e != v.order; e = e.next {
@@ -185,7 +185,7 @@
 	return list
 }
 
-// Advance begins a history of its own at a later index: whoever has heard of the old one needs the whole state.
+// Advance begins a new history at a later index: whoever has the old one receives the full state.
 func (v *View) Advance(by uint64) {
 	v.index += by
 	v.floor = v.index
--- a/internal/controlplane/store/folder.go
+++ b/internal/controlplane/store/folder.go
@@ -9,11 +9,11 @@
 	"syscall"
 )
 
-// Folder is what the store needs of the folder that it lives in. Files made, renamed or removed are there for good only
-// once Sync has returned; what is written to a file, once its own Sync has.
+// Folder is a folder as the store needs it. Files that were created, renamed or removed are durable once Sync has returned;
+// what was written to a file, once the file's own Sync has.
 type Folder interface {
-	Create(name string) (File, error) // for writing; what the file held is gone
-	Append(name string) (File, error) // for writing at its end; made if it does not exist
+	Create(name string) (File, error) // for writing, empty
+	Append(name string) (File, error) // for writing at its end; created if it does not exist
 	Open(name string) (File, error)   // for reading, or for a Sync
 	Rename(from, to string) error
 	Remove(name string) error
@@ -40,7 +40,7 @@
 	lock *os.File
 }
 
-// openFolder opens a folder and locks it. One that is opened to be read only may be open so several times.
+// openFolder opens a folder and locks it. Several processes may have it open read-only.
 func openFolder(path string, readOnly bool) (*osFolder, error) {
 	flags, how := os.O_RDWR|os.O_CREATE, syscall.LOCK_EX
 	if readOnly {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// makeFolder makes a folder, there for good with the folder around it once it returns.
+// makeFolder creates a folder, durably, with the folders around it.
 func makeFolder(path string) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return fmt.Errorf("store: %w", err)
--- a/internal/controlplane/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -14,12 +14,12 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// load reads the folder. Without rng nothing in it is changed.
+// load reads the folder. Without rng it changes nothing in it.
 func (s *Store) load(rng *rand.Rand) error {
 	if err := s.readFormat(); err != nil {
 		return err
 	}
-	if s.format < format && rng != nil { // an empty folder has nothing to seal, and becomes one of this format
+	if s.format < format && rng != nil { // an empty folder is given this format
 		if err := s.upgrade(); err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// drawIdentity makes an empty folder one with an identity.
+// drawIdentity gives an empty folder an identity.
 func (s *Store) drawIdentity(rng *rand.Rand) error {
 	it := s.db.NewIterator(util.BytesPrefix([]byte{entryPrefix}), nil)
 	defer it.Release()
@@ -78,11 +78,11 @@
 	return s.db.Put(keyID, seal(keyID, binary.BigEndian.AppendUint64(nil, s.ID)), &opt.WriteOptions{Sync: true})
 }
 
-// loadEntries reads the entries. Those behind the snapshot have to follow on each other; in front of it, what follows on
-// each other up to it is its tail, and all others are what is left of an earlier log.
+// loadEntries reads the entries. Those after the snapshot must be contiguous. Of those up to it, the contiguous ones before
+// it are its tail, and all others are left of an earlier log.
 func (s *Store) loadEntries() error {
 	end := s.Snapshot.GetIndex()
-	var run []*wire.Entry // follows on each other
+	var run []*wire.Entry // contiguous
 	it := s.db.NewIterator(util.BytesPrefix([]byte{entryPrefix}), nil)
 	defer it.Release()
 	for it.Next() {
@@ -94,7 +94,7 @@
 			s.markObsolete(run[0].Index, run[n-1].Index+1)
 			run = nil
 		}
-		if e.Index > end { // the log proper, without gaps
+		if e.Index > end { // after the snapshot: without gaps
 			next := end + 1
 			if len(run) > 0 {
 				next = run[len(run)-1].Index + 1
@@ -134,7 +134,7 @@
 		return nil, fmt.Errorf("%w: the entry %x: %w", errCorrupted, key, err)
 	}
 	if string(entryKey(e.Index)) != string(key) {
-		return nil, fmt.Errorf("%w: entry %d stands in another's place", errCorrupted, e.Index)
+		return nil, fmt.Errorf("%w: entry %d is under another's key", errCorrupted, e.Index)
 	}
 	return e, nil
 }
--- a/internal/controlplane/store/record.go
+++ b/internal/controlplane/store/record.go
@@ -12,25 +12,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The keys. Entries follow their prefix by index, big-endian.
+// The keys of the database. An entry's key is its prefix and its index, big-endian.
 var (
-	keyID       = []byte("id")
-	keyHardState     = []byte("hard")
-	keySnapshot = []byte("snapshot")
-	keyFormat   = []byte("format")
-	entryPrefix = byte('e')
+	keyID        = []byte("id")
+	keyHardState = []byte("hard")
+	keySnapshot  = []byte("snapshot")
+	keyFormat    = []byte("format")
+	entryPrefix  = byte('e')
 )
 
-// format is the newest that this version knows: 1 has sealed records, 2 large snapshots in files of their own. Folders of
-// the first format name none.
+// format is the newest one that this version knows: 1 has records with checksums, 2 large snapshots in files of their own.
+// Folders of the first format name none. Keys and formats are frozen: stored data stays readable.
 const format = 2
 
-// ErrNewerFormat is a folder that a later version has written. Nothing in it is changed.
+// ErrNewerFormat says that a later version has written the folder, in which nothing was changed.
 var ErrNewerFormat = errors.New("written by a later version")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seal puts a record's checksum in front of it.
+// seal prefixes a record with its checksum.
 func seal(key, value []byte) []byte {
 	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(value)), sum), value...)
@@ -48,7 +48,7 @@
 	return binary.BigEndian.AppendUint64([]byte{entryPrefix}, index)
 }
 
-// get reads a message; ok is false where there is none.
+// get reads a message; ok is false if there is none.
 func (s *Store) get(key []byte, m proto.Message) (ok bool, err error) {
 	data, err := s.db.Get(key, nil)
 	if errors.Is(err, leveldb.ErrNotFound) {
@@ -66,10 +66,10 @@
 	return true, nil
 }
 
-// Checksum is that of a snapshot's data.
+// Checksum returns the CRC-32C of a snapshot's data.
 func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
-// record returns what a stored record says.
+// record returns the content of a stored record.
 func (s *Store) record(key, stored []byte) ([]byte, error) {
 	if s.unsealed {
 		return stored, nil
@@ -77,7 +77,7 @@
 	return unseal(key, stored)
 }
 
-// readFormat finds how records are stored.
+// readFormat reads the format of the records.
 func (s *Store) readFormat() error {
 	b, err := s.db.Get(keyFormat, nil)
 	switch {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// upgrade brings the records to the newest format, all of them or none. Only the first format's have no seals.
+// upgrade brings the folder to the newest format, in one synced write.
 func (s *Store) upgrade() error {
 	w := new(leveldb.Batch)
 	if s.unsealed {
--- a/internal/controlplane/store/save.go
+++ b/internal/controlplane/store/save.go
@@ -10,29 +10,29 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxObsoleteDeletes is how many entries that no longer count one Save removes, at most.
+// maxObsoleteDeletes bounds the obsolete entries that one Save deletes.
 const maxObsoleteDeletes = 512
 
-// indexRange is a range of entries, without its end.
+// indexRange is a range of indexes, without its end.
 type indexRange struct {
 	from, to uint64
 }
 
 // Batch is what one Save writes, all of it or nothing.
 type Batch struct {
-	Snapshot *wire.RaftSnapshot // takes the place of the one before
-	Staged   *StagedSnapshot    // the same, with its data in the folder already; nil: the data is written now
-	ReplacesLog    bool               // the snapshot is a leader's and replaces the log too
-	First    uint64             // oldest entry that still counts, where it stands in front of the snapshot
-	HardState     *wire.HardState
-	Entries  []*wire.Entry // stored ones from the first of these on are dropped
+	Snapshot    *wire.RaftSnapshot // replaces the one before
+	Staged      *StagedSnapshot    // its data, if that is in the folder already
+	ReplacesLog bool               // the snapshot is a leader's and replaces the log as well
+	First       uint64             // oldest entry of the tail before the snapshot; 0: there is none
+	HardState   *wire.HardState
+	Entries     []*wire.Entry // replace all stored entries from the first of them on
 }
 
-// pendingBatch is a Save in the making.
+// pendingBatch is the write of a Save, with the bookkeeping that it changes.
 type pendingBatch struct {
 	leveldb.Batch
 	first, last uint64
-	obsolete     []indexRange
+	obsolete    []indexRange
 }
 
 func (c *pendingBatch) put(key []byte, m proto.Message) error {
@@ -43,14 +43,14 @@
 	return err
 }
 
-// markObsolete drops entries from what counts; they are removed later.
+// markObsolete takes entries out of force; they are deleted later.
 func (c *pendingBatch) markObsolete(from, to uint64) {
 	if from < to {
 		c.obsolete = append(c.obsolete, indexRange{from, to})
 	}
 }
 
-// deleteObsolete removes a bounded number of entries that no longer count.
+// deleteObsolete deletes a bounded number of obsolete entries.
 func (c *pendingBatch) deleteObsolete() {
 	for n := 0; n < maxObsoleteDeletes && len(c.obsolete) > 0; n++ {
 		r := &c.obsolete[0]
@@ -61,8 +61,7 @@
 	}
 }
 
-// Save writes a batch and syncs it. After an error nothing of it counts; the
-// store has to be opened again before the next Save.
+// Save writes a batch, all of it or nothing, and syncs it. After an error, Reopen has to be called before the next Save.
 func (s *Store) Save(b Batch) error {
 	c := &pendingBatch{first: s.first, last: s.last, obsolete: append([]indexRange(nil), s.obsolete...)}
 	if b.Snapshot != nil {
@@ -94,8 +93,9 @@
 	return nil
 }
 
-// saveSnapshot puts a snapshot in front of the log. What a leader's replaces at its index and behind it goes at once: it
-// may be of another history. All else goes bit by bit, as a gap, or its place, tells that it does not count.
+// saveSnapshot puts a snapshot in force. Entries that a leader's snapshot replaces, at its index and after it, are deleted at
+// once: they may be of another history. All others are deleted bit by bit, since a gap, or their index, shows that they are
+// not in force.
 func (s *Store) saveSnapshot(c *pendingBatch, b Batch) error {
 	if err := c.put(keySnapshot, b.Staged.record(b.Snapshot)); err != nil {
 		return err
@@ -132,5 +132,5 @@
 	return nil
 }
 
-// markObsolete notes entries that no longer count.
+// markObsolete notes entries that are not in force.
 func (s *Store) markObsolete(from, to uint64) { s.obsolete = append(s.obsolete, indexRange{from, to}) }
--- a/internal/controlplane/store/snapshot.go
+++ b/internal/controlplane/store/snapshot.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	inlineSnapshot = 64 << 10 // a smaller one is kept as a record
+	inlineSnapshot = 64 << 10 // smaller snapshots are kept in a record
 	snapshotPrefix = "snapshot-"
 	incomingPrefix = "incoming-"
 )
 
-// StagedSnapshot is a snapshot's data that is in the folder for good. It counts once a Save names it.
+// StagedSnapshot is a snapshot's data that is durable in the folder. It is in force once a Save names it.
 type StagedSnapshot struct {
 	Data   []byte
 	folder Folder
 	file   *wire.SnapshotFile // nil: small enough for a record
 }
 
-// record is what stands for a snapshot with this data in the database.
+// record returns the record of a snapshot with this data.
 func (s *StagedSnapshot) record(snapshot *wire.RaftSnapshot) *wire.RaftSnapshot {
 	if s == nil || s.file == nil {
 		return snapshot
@@ -32,14 +32,14 @@
 	return &wire.RaftSnapshot{Term: snapshot.Term, Index: snapshot.Index, Peers: snapshot.Peers, File: s.file}
 }
 
-// Discard removes what was staged and is not to count.
+// Discard removes what was staged and will not be in force.
 func (s *StagedSnapshot) Discard() {
 	if s != nil && s.file != nil {
-		s.folder.Remove(s.file.Name) // what stays is removed at the next opening
+		s.folder.Remove(s.file.Name) // if that fails, the next open removes it
 	}
 }
 
-// Stage writes a snapshot's data ahead of the Save that makes it count. Any goroutine may call it.
+// Stage writes a snapshot's data before the Save that puts it in force. Any goroutine may call it.
 func (s *Store) Stage(index uint64, data []byte) (*StagedSnapshot, error) {
 	staged := &StagedSnapshot{Data: data, folder: s.folder}
 	if len(data) <= inlineSnapshot {
@@ -97,12 +97,12 @@
 		s.snapshotFile = b.Staged.file.Name
 	}
 	if before != "" && before != s.snapshotFile {
-		s.folder.Remove(before) // what stays is removed at the next opening
+		s.folder.Remove(before) // if that fails, the next open removes it
 	}
 	s.Snapshot = &wire.RaftSnapshot{Term: b.Snapshot.Term, Index: b.Snapshot.Index, Peers: b.Snapshot.Peers}
 }
 
-// removeStrayFiles removes the files of snapshots that do not count.
+// removeStrayFiles removes the files of snapshots that are not in force.
 func (s *Store) removeStrayFiles() error {
 	names, err := s.folder.List()
 	if err != nil {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// IncomingSnapshot is a leader's snapshot that comes in pieces. What has come stays in the folder, so that the rest can
-// follow after a broken stream or a restart. It is for one goroutine at a time.
+// IncomingSnapshot receives a leader's snapshot in chunks. They stay in the folder, so that a transfer can be resumed after
+// a broken stream or a restart. It belongs to one goroutine.
 type IncomingSnapshot struct {
 	folder Folder
 	want   *wire.SnapshotFile
@@ -128,8 +128,8 @@
 	offset uint64
 }
 
-// Receive begins or resumes the receipt of a snapshot of the given size and checksum. Only one is kept under way; what has
-// come of others is removed. Any goroutine may call it.
+// Receive begins or resumes the receipt of a snapshot of a size and checksum. Only one may be in progress: the chunks of
+// others are removed. Any goroutine may call it.
 func (s *Store) Receive(index, size uint64, checksum uint32) (*IncomingSnapshot, error) {
 	name := fmt.Sprintf("%s%d-%d-%08x", incomingPrefix, index, size, checksum)
 	names, err := s.folder.List()
@@ -160,13 +160,13 @@
 	return &IncomingSnapshot{folder: s.folder, want: want, name: name, file: file, offset: uint64(end)}, nil
 }
 
-// Offset is how much of the data has come.
+// Offset is the number of bytes that were received.
 func (s *IncomingSnapshot) Offset() uint64 { return s.offset }
 
-// Write takes the next piece.
+// Write appends the next chunk.
 func (s *IncomingSnapshot) Write(chunk []byte) error {
 	if s.offset+uint64(len(chunk)) > s.want.Size {
-		return errors.New("store: a snapshot is longer than was said")
+		return errors.New("store: a snapshot is longer than its offer says")
 	}
 	n, err := s.file.Write(chunk)
 	s.offset += uint64(n)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// Finish checks what has come against its checksum, and stages it. What does not pass is removed.
+// Finish verifies the checksum of the received data, and stages it. Data that fails is removed.
 func (s *IncomingSnapshot) Finish() (*StagedSnapshot, error) {
 	folder := s.folder
 	data, err := readFile(folder, s.name)
@@ -185,7 +185,7 @@
 	}
 	if uint64(len(data)) != s.want.Size || Checksum(data) != s.want.Checksum {
 		folder.Remove(s.name)
-		return nil, errors.New("store: a snapshot that has come fails its checksum")
+		return nil, errors.New("store: a received snapshot fails its checksum")
 	}
 	staged := &StagedSnapshot{Data: data, folder: folder}
 	if len(data) <= inlineSnapshot {
@@ -199,5 +199,5 @@
 	return staged, nil
 }
 
-// Close ends the receipt; what has come stays.
+// Close ends the receipt; the received chunks stay.
 func (s *IncomingSnapshot) Close() error { return s.file.Close() }
--- a/internal/controlplane/store/files.go
+++ b/internal/controlplane/store/storage.go
@@ -18,16 +18,16 @@
 	pendingName = "CURRENT.new" // about to take its place
 )
 
-// folderStorage are the database's files in a Folder. They differ from the library's own storage in what a loss of power may
-// take: a file's entry in the folder is synced with the first sync of its content, so that nothing which was synced can be
-// gone with the file's name; and the manifest in force is never guessed from older names.
+// folderStorage has the database's files in a Folder. It differs from the library's own storage in what a loss of power may
+// take: a file's name is synced with the first sync of its content, so that nothing which was synced can be lost with the
+// name; and the manifest in force is never guessed from older names.
 type folderStorage struct {
 	folder Folder
 	lock   sync.Mutex
 	locked bool
 }
 
-// names of the kinds of files, as the library forms them.
+// suffixes of the kinds of files, as the library forms them.
 var suffixes = map[storage.FileType]string{storage.TypeJournal: ".log", storage.TypeTable: ".ldb", storage.TypeTemp: ".tmp"}
 
 func fileName(fd storage.FileDesc) string {
@@ -75,11 +75,11 @@
 	u.f.locked = false
 }
 
-// Log implements storage.Storage. What the library has to say of its housekeeping is not kept.
+// Log implements storage.Storage. The library's log of its housekeeping is dropped.
 func (f *folderStorage) Log(string) {}
 
-// SetMeta makes a manifest the one in force, once it is on disk: the library writes a new one at each opening and does
-// not sync it.
+// SetMeta implements storage.Storage: it puts a manifest in force, once that is on disk. The library writes a new one at
+// each open and does not sync it.
 func (f *folderStorage) SetMeta(fd storage.FileDesc) error {
 	if !storage.FileDescOk(fd) {
 		return storage.ErrInvalidFile
@@ -95,7 +95,7 @@
 	if err = errors.Join(err, w.Sync(), w.Close()); err != nil {
 		return err
 	}
-	if err := f.folder.Sync(); err != nil { // the manifest's name is there before the one that names it
+	if err := f.folder.Sync(); err != nil { // the manifest's name is synced before the file that refers to it
 		return err
 	}
 	if err := f.folder.Rename(pendingName, currentName); err != nil {
@@ -112,8 +112,8 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// GetMeta implements storage.Storage. A folder without a manifest in force is a new one as long as nothing was ever
-// written to it, and damaged otherwise.
+// GetMeta implements storage.Storage. A folder without a manifest in force is new if nothing was ever written to it, and
+// corrupted otherwise.
 func (f *folderStorage) GetMeta() (storage.FileDesc, error) {
 	names, err := f.folder.List()
 	if err != nil {
@@ -137,8 +137,9 @@
 	return fd, nil
 }
 
-// removeUnusedManifests tells that a folder without a manifest in force is a new one. The power may have been lost while its first
-// manifest was made, before anything could be written; that manifest is of no use.
+// removeUnusedManifests makes sure that a folder without a manifest in force is a new one, and returns fs.ErrNotExist for
+// it. Power may have been lost while its first manifest was written, before anything else could be; that manifest is of no
+// use.
 func (f *folderStorage) removeUnusedManifests(names []string) error {
 	var manifests []string
 	for _, name := range names {
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -1,11 +1,18 @@
-// Package store keeps a quorum member's part of the log on disk, in goleveldb, and large snapshots in files beside it.
-// What Save returns from without an error is synced, with the names of all files that it needs. A store that is damaged
-// beyond a torn last write does not open: a guess is never served.
+// Package store keeps a quorum member's part of the log on disk: the hard state and the entries in goleveldb, and large
+// snapshots in files beside it. Package server is its only writer.
 //
-// Each record is sealed with a checksum of its key and its value, below those of
-// the library: a record that stands in another's place is found too. The folder
-// names its format; an older one is brought up at the first open, a newer one is
-// left alone.
+// What Save has returned from without an error is synced, with the names of all files that it needs. A store that is
+// corrupted beyond a torn last write does not open: a guess is never served.
+//
+// Each record has a checksum of its key and its value, beside those of the library, so that a record in another's place is
+// found too. The folder names its format; an older one is upgraded at the first open, a newer one is rejected unchanged.
+//
+//	store.go     open, close, inspect
+//	load.go      what is read at an open
+//	save.go      batches; obsolete entries are deleted bit by bit
+//	record.go    keys, checksums, formats
+//	snapshot.go  snapshots in files: staged, received in chunks
+//	storage.go   goleveldb's files in a Folder; folder.go a Folder of the operating system
 package store
 
 import (
@@ -23,28 +30,28 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Store is one member's folder. It is not for use by several goroutines, but for Stage and Receive.
+// Store is one member's folder. It belongs to one goroutine, but for Stage and Receive, which any may call.
 type Store struct {
-	folder  Folder
-	db      *leveldb.DB
-	last    uint64       // index of the last entry stored; 0: none
-	obsolete []indexRange // of entries that no longer count, to be removed bit by bit
-	first   uint64       // index of the oldest entry that counts
-	// snapshotFile has the data of the snapshot in force; empty: the record has it.
+	folder   Folder
+	db       *leveldb.DB
+	last     uint64       // index of the last entry stored; 0: none
+	obsolete []indexRange // entries to be deleted bit by bit
+	first    uint64       // index of the oldest entry in force
+	// snapshotFile is the file with the data of the snapshot in force; empty: the data is in the record.
 	snapshotFile string
-	unsealed        bool   // records are of the first format, without seals
+	unsealed     bool   // records are of the first format, without checksums
 	format       uint32 // of the records
 
-	ID       uint64 // the identity, drawn when the folder was empty
-	Fresh    bool   // the folder was empty
-	Damaged  error  // why an earlier folder was put aside
-	HardState     *wire.HardState
-	Snapshot *wire.RaftSnapshot
-	Tail     []*wire.Entry // up to the snapshot's index, as far as they are kept; as loaded
-	Entries  []*wire.Entry // behind the snapshot; as loaded, the caller takes them over
+	ID        uint64 // the identity, drawn when the folder was empty
+	Fresh     bool   // the folder was empty
+	Damaged   error  // why an earlier folder was moved aside; nil: none was
+	HardState *wire.HardState
+	Snapshot  *wire.RaftSnapshot
+	Tail      []*wire.Entry // entries up to the snapshot's index, as far as they are kept; as loaded
+	Entries   []*wire.Entry // entries after the snapshot; as loaded, the caller takes them over
 }
 
-// options keep memory small: the state is a few megabytes at most.
+// options keep memory small: the state has a few megabytes at most.
 func options() *opt.Options {
 	return &opt.Options{
 		WriteBuffer: 512 << 10, BlockCacheCapacity: 256 << 10, OpenFilesCacheCapacity: 16,
@@ -52,7 +59,8 @@
 	}
 }
 
-// Open opens the store in a folder and loads what it holds.
+// Open opens the store in the folder "log" of a directory and loads its content. A corrupted folder is moved aside, and
+// the store begins empty, under a new identity: see Damaged.
 func Open(dir string, rng *rand.Rand) (*Store, error) {
 	dir = filepath.Join(dir, "log")
 	aside := dir + ".damaged"
@@ -61,15 +69,15 @@
 		return nil, err
 	}
 	if _, err := os.Stat(aside); err == nil && errors.Is(missing, os.ErrNotExist) {
-		// The power was lost after the folder was put aside and before the next was made for good.
+		// Power was lost after the folder was moved aside and before the new one was synced.
 		return openReplacement(dir, rng, fmt.Errorf("store: %s: %w", aside, errCorrupted))
 	}
 	s, err := openPath(dir, rng)
 	if err == nil || !isCorruption(err) {
 		return s, err
 	}
-	// What is left can't be told from what was never there. The machine goes on as
-	// an empty one, under a new identity; the folder is kept for a look at it.
+	// What is left can't be told from what was never there. The machine goes on as an empty one, under a new identity; the
+	// folder is kept for inspection.
 	if err := os.RemoveAll(aside); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -82,7 +90,7 @@
 	return openReplacement(dir, rng, err)
 }
 
-// openReplacement opens an empty folder in the place of a damaged one.
+// openReplacement opens an empty folder in place of a corrupted one.
 func openReplacement(dir string, rng *rand.Rand, cause error) (*Store, error) {
 	s, err := openPath(dir, rng)
 	if err != nil {
@@ -104,7 +112,7 @@
 	return s, nil
 }
 
-// OpenFolder opens the store in a folder, which it closes with itself. A damaged one is an error.
+// OpenFolder opens the store in a folder, which Close closes as well. A corrupted one is an error.
 func OpenFolder(folder Folder, rng *rand.Rand) (*Store, error) {
 	s := &Store{folder: folder}
 	if err := s.open(); err != nil {
@@ -124,10 +132,10 @@
 	return err
 }
 
-// errCorrupted is content that contradicts itself.
+// errCorrupted marks content that contradicts itself.
 var errCorrupted = errors.New("damaged")
 
-// isCorruption tells damage from a disk that fails for the moment.
+// isCorruption tells corruption from a disk that fails for the moment.
 func isCorruption(err error) bool {
 	var corrupted *lerrors.ErrCorrupted
 	return errors.Is(err, errCorrupted) || errors.As(err, &corrupted) || lerrors.IsCorrupted(err)
@@ -149,7 +157,7 @@
 // Close releases the folder.
 func (s *Store) Close() error { return errors.Join(s.db.Close(), s.folder.Close()) }
 
-// Inspect loads the folder of a stopped machine and changes nothing in it.
+// Inspect loads the folder of a stopped machine, and changes nothing in it.
 func Inspect(dir string) (*Store, error) {
 	dir = filepath.Join(dir, "log")
 	folder, err := openFolder(dir, true)
@@ -174,8 +182,8 @@
 	return s, nil
 }
 
-// Verify checks what Inspect has loaded beyond what loading does: that terms rise,
-// none beyond the machine's own, and that every entry says something.
+// Verify checks, beyond what loading does, that terms rise, none beyond the machine's own, and that every entry can be
+// decoded.
 func (s *Store) Verify() error {
 	term := s.Snapshot.GetTerm()
 	for _, e := range s.Entries {
