--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator is what an operator's tool does: it reads configurations from
-// files that people write, says what differs between two, and calls the quorum.
+// Package operator is the client of the operators' interface, for ivydeckctl and tests: it reads configurations from files,
+// compares two, and calls quorum members. Package server is the other side.
 package operator
 
 import (
@@ -21,35 +21,35 @@
 )
 
 const (
-	maxAttempts   = 8
+	maxAttempts    = 8
 	attemptTimeout = 3 * time.Second
-	firstPause = 200 * time.Millisecond // doubled up to maxPause
-	maxPause   = 2 * time.Second
+	firstPause     = 200 * time.Millisecond // doubled up to maxPause
+	maxPause       = 2 * time.Second
 
 	maxAnswer = meshconfig.MaxBytes + 16<<20 // a configuration, and a list of servers in a backup
 )
 
-// What may come of a change.
+// The errors of a change.
 var (
-	ErrStale   = errors.New("another version is in place")
-	ErrInvalid = errors.New("the configuration is invalid")
+	ErrStale          = errors.New("another version is in place")
+	ErrInvalid        = errors.New("the configuration is invalid")
 	ErrOutcomeUnknown = errors.New("it may be in force or not")
 )
 
-// Client calls the quorum members.
+// Client calls quorum members. The zero value needs Addresses.
 type Client struct {
 	Addresses []string // host:port; tried in turn
 	HTTP      http.Client
 	Secure    bool // HTTP has an identity, and the members ask for one
 }
 
-// With makes calls with an identity.
+// With makes the client use an identity, and returns it.
 func (c *Client) With(source *identity.Source) *Client {
 	c.Secure, c.HTTP.Transport = true, &http.Transport{TLSClientConfig: source.Client()}
 	return c
 }
 
-// url is where a machine answers for a path.
+// url is the URL of a path at an address.
 func (c *Client) url(address, path string) string {
 	if c.Secure {
 		return "https://" + address + path
@@ -57,8 +57,7 @@
 	return "http://" + address + path
 }
 
-// call asks one machine after another until one gives a clear answer. The same
-// call may be made again without harm.
+// call calls one member after another until one gives a definite answer. All calls may be repeated without harm.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, header http.Header) (int, []byte, error) {
 	var last error
 	pause := firstPause
@@ -77,7 +76,7 @@
 			return 0, nil, ctx.Err()
 		}
 	}
-	return 0, nil, fmt.Errorf("no clear answer in %d tries: %w", maxAttempts, last)
+	return 0, nil, fmt.Errorf("no definite answer in %d attempts: %w", maxAttempts, last)
 }
 
 func (c *Client) attempt(ctx context.Context, method, at string, body []byte, header http.Header) (int, []byte, error) {
@@ -99,7 +98,7 @@
 	return resp.StatusCode, answer, err
 }
 
-// Read returns the configuration in force, as it was sent; nil: there is none.
+// Read returns the configuration in force, as the operator sent it and parsed; nil: there is none.
 func (c *Client) Read(ctx context.Context) ([]byte, *meshconfig.Config, error) {
 	status, body, err := c.call(ctx, http.MethodGet, "/config/read", nil, nil)
 	switch {
@@ -114,9 +113,9 @@
 	return body, config, err
 }
 
-// Apply sends a configuration that builds on a revision; 0 for the first. It returns nil where that very configuration is
-// accepted, now or before, ErrStale or ErrInvalid where it is refused for good, and ErrOutcomeUnknown where it may be in force or
-// not: it may be sent again unchanged.
+// Apply sends a configuration that builds on a base revision; 0 for the first. It returns nil if that very configuration was
+// accepted, now or before; ErrStale or ErrInvalid if it was rejected for good; and ErrOutcomeUnknown if it may be in force
+// or not: it may be sent again unchanged.
 func (c *Client) Apply(ctx context.Context, base uint64, body []byte) error {
 	header := http.Header{"Base-Revision": {strconv.FormatUint(base, 10)}, "Content-Type": {"application/msgpack"}}
 	status, answer, err := c.call(ctx, http.MethodPost, "/config/replace", body, header)
@@ -134,7 +133,7 @@
 	return fmt.Errorf("the quorum answers %d: %s", status, bytes.TrimSpace(answer))
 }
 
-// Backup returns all that the quorum has acknowledged.
+// Backup returns a backup of the replicated state.
 func (c *Client) Backup(ctx context.Context) (*backup.Backup, error) {
 	status, body, err := c.call(ctx, http.MethodGet, "/backup", nil, nil)
 	if err != nil {
@@ -146,12 +145,12 @@
 	return backup.Decode(body)
 }
 
-// Nodes asks a quorum member for what all nodes see.
+// Nodes returns the reports of all nodes.
 func (c *Client) Nodes(ctx context.Context) (l server.NodeReports, err error) {
 	return l, c.fetch(ctx, "/look", &l)
 }
 
-// fetch reads what a machine answers for a path in JSON.
+// fetch reads the answer for a path as JSON.
 func (c *Client) fetch(ctx context.Context, path string, into any) error {
 	status, body, err := c.call(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
@@ -163,12 +162,12 @@
 	return json.Unmarshal(body, into)
 }
 
-// Trace asks for what the mesh has kept of a request and its calls.
+// Trace returns what the nodes have kept of a request and its calls.
 func (c *Client) Trace(ctx context.Context, attempt string) (t server.Trace, err error) {
 	return t, c.fetch(ctx, "/trace/"+url.PathEscape(attempt), &t)
 }
 
-// Status asks each machine for what it says of itself; what failed is in errs.
+// Status returns the status of each member; errs has the failures.
 func (c *Client) Status(ctx context.Context) (all []server.Status, errs []error) {
 	for _, a := range c.Addresses {
 		status, body, err := c.attempt(ctx, http.MethodGet, c.url(a, "/status"), nil, nil)
--- a/internal/program/identity.go
+++ b/internal/program/identity.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/transport/identity"
 )
 
-// Identity opens what the settings name as a process's identity; nil: they name none. It has to be the machine's.
+// Identity opens the identity that the settings name; nil: they name none. It must be the machine's own.
 func Identity(set *nodefile.Settings, log *slog.Logger) (*identity.Source, error) {
 	if set.Cert == "" {
 		return nil, nil
@@ -27,7 +27,7 @@
 	return source, nil
 }
 
-// Secure is the identity where something is to ask for one.
+// Secure returns the identity if it is required; else nil.
 func Secure(source *identity.Source, required bool) *identity.Source {
 	if required {
 		return source
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is what both programs in service do alike: arguments, the
-// settings file and its changes, signals, logging, and one line for an error.
+// Package program is what the programs of the mesh share: arguments, the settings file and its changes, signals, logging,
+// and errors in one line.
 package program
 
 import (
@@ -37,11 +37,11 @@
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// Run is a program's main part: it returns once the context ends. reload waits
-// for changed settings; it returns nil once the context has ended.
+// Run is the main part of a program: it returns once ctx ends. reload blocks until the settings have changed; it returns nil
+// once ctx has ended.
 type Run func(ctx context.Context, set *nodefile.Settings, reload func() *nodefile.Settings, log *slog.Logger) error
 
-// Main runs a program for machines of a class, and ends the process.
+// Main runs a program for machines of a class, and exits.
 func Main(name, about string, class nodefile.Class, run Run) {
 	os.Exit(start(name, about, class, run))
 }
@@ -75,9 +75,9 @@
 		return 0
 	}
 	var level slog.Level
-	level.UnmarshalText([]byte(args.LogLevel)) // the parser knows the words
+	level.UnmarshalText([]byte(args.LogLevel)) // the parser accepts only valid levels
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	// The collector works harder well before the platform would kill the process.
+	// The garbage collector works harder well before the platform would kill the process.
 	debug.SetMemoryLimit(int64(set.MemoryMB) << 20 * 3 / 4)
 
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -92,8 +92,7 @@
 	return 0
 }
 
-// Tool runs a program of several commands, and ends the process. A command's Run
-// may take a context, which ends with an interrupt.
+// Tool runs a program with several commands, and exits. A command's Run may take a context, which an interrupt ends.
 func Tool(name, about string, commands any) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -128,14 +127,14 @@
 
 // watcher waits for changes of the settings file.
 type watcher struct {
-	path  string
-	class nodefile.Class
-	hup   <-chan os.Signal
-	log   *slog.Logger
-	lastStamp  string
+	path      string
+	class     nodefile.Class
+	hup       <-chan os.Signal
+	log       *slog.Logger
+	lastStamp string
 }
 
-// stamp tells one state of a file from another.
+// stamp changes when a file does.
 func stamp(path string) string {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -147,8 +146,8 @@
 	return fmt.Sprint(info.ModTime().UnixNano(), info.Size())
 }
 
-// next returns the settings after their next change, or nil once the context ends. A
-// file that can't be used is logged, and the settings in force stay.
+// next returns the settings after their next change, or nil once ctx ends. A file with a fault is logged, and the settings
+// in force stay.
 func (w *watcher) next(ctx context.Context) *nodefile.Settings {
 	tick := time.NewTicker(pollEvery)
 	defer tick.Stop()
--- a/internal/transport/identity/ca.go
+++ b/internal/transport/identity/ca.go
@@ -19,14 +19,14 @@
 	"time"
 )
 
-// Names of the files of an authority.
+// The files of an authority.
 const (
 	caCert   = "ca.crt"
 	caKey    = "ca.key"
 	caBundle = "bundle.pem"
 )
 
-// clockSkew is how long before its making a certificate is valid: clocks differ between machines.
+// clockSkew is how long before its issue a certificate is valid: clocks differ between machines.
 const clockSkew = 5 * time.Minute
 
 const (
@@ -34,12 +34,11 @@
 	keyBlock  = "PRIVATE KEY"
 )
 
-// Authority is a small one for those who have none: a folder with a key, its
-// certificate, and the bundle that processes trust. The folder stays with whoever
-// issues; processes get the bundle and what Issue makes.
+// Authority is a small certificate authority, for those who have none: a folder with a key, its certificate, and the bundle
+// that processes trust. The folder stays with whoever issues; processes receive the bundle and what Issue makes.
 type Authority struct{ dir string }
 
-// NewAuthority makes an authority in a folder that has none.
+// NewAuthority makes an authority in a folder without one.
 func NewAuthority(dir string, validity time.Duration) (*Authority, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("identity: %w", err)
@@ -51,7 +50,7 @@
 	return a, a.renew(validity, nil)
 }
 
-// OpenAuthority finds the authority in a folder.
+// OpenAuthority opens the authority in a folder.
 func OpenAuthority(dir string) (*Authority, error) {
 	a := &Authority{dir}
 	if _, _, err := a.load(); err != nil {
@@ -62,7 +61,7 @@
 
 func (a *Authority) path(name string) string { return filepath.Join(a.dir, name) }
 
-// Bundle is the path of what processes trust.
+// Bundle is the path of the bundle that processes trust.
 func (a *Authority) Bundle() string { return a.path(caBundle) }
 
 // renew makes a key and a certificate, and a bundle with the older ones behind it.
@@ -94,9 +93,8 @@
 		write(a.path(caBundle), append(bytes.Clone(cert), older...), 0o644))
 }
 
-// Rotate puts another authority in the place of this one. The bundle has both until
-// Retire: once every process has it, certificates are issued anew, and then the old
-// one can go.
+// Rotate replaces this authority by a new one. The bundle has both until Retire: once every process has the bundle,
+// certificates are issued anew, and then the old authority can be removed.
 func (a *Authority) Rotate(validity time.Duration) error {
 	old, err := os.ReadFile(a.path(caCert))
 	if err != nil {
@@ -105,7 +103,7 @@
 	return a.renew(validity, old)
 }
 
-// Retire takes all but the present authority out of the bundle.
+// Retire removes all but the present authority from the bundle.
 func (a *Authority) Retire() error {
 	cert, err := os.ReadFile(a.path(caCert))
 	if err != nil {
@@ -152,7 +150,7 @@
 		return Files{}, err
 	}
 	if validity <= 0 || time.Now().Add(validity).After(cert.NotAfter) {
-		return Files{}, fmt.Errorf("identity: a life of %v is none, or beyond the authority's, which ends at %s", validity, cert.NotAfter.Format(time.RFC3339))
+		return Files{}, fmt.Errorf("identity: a validity of %v is not positive, or beyond the authority's, which ends at %s", validity, cert.NotAfter.Format(time.RFC3339))
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -165,7 +163,7 @@
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	if name.Role == Operator {
-		tmpl.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} // nobody takes it for a machine
+		tmpl.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} // not valid as a machine's
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, cert, key.Public(), signer)
 	if err != nil {
@@ -175,7 +173,7 @@
 	if err != nil {
 		return Files{}, fmt.Errorf("identity: %w", err)
 	}
-	if _, err := Of(made); err != nil { // as those will who are shown it
+	if _, err := Of(made); err != nil { // as whoever verifies it will
 		return Files{}, err
 	}
 	private, err := encodeKey(key)
@@ -186,7 +184,7 @@
 		return Files{}, fmt.Errorf("identity: %w", err)
 	}
 	f := Files{Cert: filepath.Join(dir, name.Name+".crt"), Key: filepath.Join(dir, name.Name+".key"), Bundle: a.Bundle()}
-	// The certificate last: a process that looks in between finds that it does not fit its key, and keeps what it has.
+	// The certificate last: a process that reads between the two finds that it does not match its key, and keeps the old.
 	return f, errors.Join(write(f.Key, private, 0o600), write(f.Cert, pem.EncodeToMemory(&pem.Block{Type: certBlock, Bytes: der}), 0o644))
 }
 
@@ -205,7 +203,7 @@
 	return new(big.Int).SetBytes(b[:])
 }
 
-// write puts a file in its place whole.
+// write replaces a file atomically.
 func write(path string, data []byte, mode os.FileMode) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, data, mode); err != nil {
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -1,7 +1,6 @@
-// Package identity tells ivydeck's processes and operators apart by certificates
-// (X.509, RFC 5280; TLS 1.3, RFC 8446): each holds one that names its role and
-// itself, and trusts the authorities of a bundle. Files may be replaced while a
-// process runs: new connections go by the new ones, those that stand stay.
+// Package identity authenticates processes and operators by certificates (X.509, RFC 5280; TLS 1.3, RFC 8446): each names
+// the role and the name of its holder, and is trusted by a bundle of authorities. Files may be replaced while a process
+// runs: new connections use the new ones, open connections stay.
 package identity
 
 import (
@@ -17,32 +16,32 @@
 	"time"
 )
 
-// Role is what a process may do.
+// Role decides what the holder of a certificate may do.
 type Role string
 
-// The roles. A certificate has exactly one.
+// The roles. A certificate has exactly one. Their texts are frozen, as they are in certificates.
 const (
-	QuorumMember     Role = "core"     // a quorum member
-	Node     Role = "node"     // a sidecar machine
-	Operator Role = "operator" // who may change the configuration and read backups
+	QuorumMember Role = "core"     // a quorum member
+	Node         Role = "node"     // a sidecar machine
+	Operator     Role = "operator" // a person or tool that may change the configuration and read backups
 )
 
 var roles = []Role{QuorumMember, Node, Operator}
 
 const (
-	scheme    = "ivydeck" // of the URI in a certificate: ivydeck://ROLE/NAME
+	scheme        = "ivydeck" // of the URI in a certificate: ivydeck://ROLE/NAME
 	checkInterval = time.Second
 )
 
-// Name is who a certificate is for.
+// Name is the holder of a certificate.
 type Name struct {
 	Role Role
-	Name string // of the machine, as its settings have it, or of the operator
+	Name string // node_name of the machine, or the operator's name
 }
 
 func (n Name) String() string { return string(n.Role) + " " + n.Name }
 
-// URI is the name as it stands in a certificate.
+// URI is the name as a certificate has it.
 func (n Name) URI() *url.URL {
 	return &url.URL{Scheme: scheme, Host: string(n.Role), Path: "/" + n.Name}
 }
@@ -90,10 +89,10 @@
 	files Files
 	log   *slog.Logger
 
-	mu     sync.Mutex
-	current   credentials
-	lastStamp   string    // the state of the files that was read last, readable or not
-	nextCheckAt time.Time // the files are not looked at before
+	mu          sync.Mutex
+	current     credentials
+	lastStamp   string    // of the files as they were read last, usable or not
+	nextCheckAt time.Time // the files are not checked before
 }
 
 // Open reads an identity. The error says which file is at fault.
@@ -125,7 +124,7 @@
 	return credentials{&cert, name, roots}, nil
 }
 
-// stamp tells one state of the files from another.
+// stamp changes when one of the files does.
 func stamp(files Files) string {
 	var b strings.Builder
 	for _, path := range []string{files.Cert, files.Key, files.Bundle} {
@@ -138,8 +137,8 @@
 	return b.String()
 }
 
-// credentials returns what the files hold. Files that can't be used, such as a certificate
-// whose key has not been written yet, are logged, and what was read before stays.
+// credentials returns the content of the files. Files that can't be used, such as a certificate whose key has not been
+// written yet, are logged, and what was read before stays in use.
 func (s *Source) credentials() credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,13 +157,13 @@
 	return s.current
 }
 
-// Name is whose identity it is.
+// Name is the holder of the identity.
 func (s *Source) Name() Name { return s.credentials().name }
 
-// NotAfter is when the certificate ends.
+// NotAfter is when the certificate expires.
 func (s *Source) NotAfter() time.Time { return s.credentials().cert.Leaf.NotAfter }
 
-// Remaining is the time that is left of the certificate; without a source it is -1 s.
+// Remaining is the time until the certificate expires; without a source it is -1 s.
 func (s *Source) Remaining() time.Duration {
 	if s == nil {
 		return -time.Second
@@ -172,8 +171,7 @@
 	return time.Until(s.NotAfter())
 }
 
-// config is what both sides have in common. Sessions are not resumed: each
-// connection is judged by the bundle of its time.
+// config is the part that both sides share. Sessions are not resumed: each connection is verified by the present bundle.
 func (s *Source) config(use x509.ExtKeyUsage) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true,
@@ -213,7 +211,7 @@
 	return err
 }
 
-// PeerName is whose certificate the other side of a verified connection has shown.
+// PeerName is the holder of the certificate of a verified connection's other side.
 func PeerName(cs tls.ConnectionState) Name {
 	if len(cs.PeerCertificates) == 0 {
 		return Name{}
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -1,11 +1,19 @@
-// Package rpc carries protobuf messages between ivydeck's own processes: many
-// streams on one TCP connection, each with credit of its own, so that a slow
-// reader holds up its own stream alone.
+// Package rpc carries protobuf messages between the processes of the mesh: many streams over one TCP connection to each
+// peer, with flow control by credit for each stream, so that a slow reader delays its own stream alone.
 //
-// A connection is a sequence of frames (wire.Frame), each behind its length in
-// four bytes, big-endian. Whoever opens a stream names a method and sends one
-// message; the other side answers with one message or with many. A message may
-// be cut into several frames.
+// A connection is a sequence of frames (wire.Frame), each after its length in four bytes, big-endian. The side that opens a
+// stream names a method and sends one message; the other side answers with one message or with many. A message may take
+// several frames. The form of frames and the names of methods are frozen.
+//
+//	conn.go      a connection: frames in and out
+//	stream.go    a stream: messages, credit, deadlines
+//	pool.go      the calling side: connections by address
+//	rpc.go       the accepting side: Server, handlers
+//	liveness.go  pings, and peers that do not answer
+//	traffic.go   counters
+//
+// Errors: ErrNotSent says that the peer has not received the message, which may be sent elsewhere; a PeerError is the
+// handler's; context.DeadlineExceeded says that no answer came in time, and nothing about what the peer has done.
 package rpc
 
 import (
@@ -29,56 +37,54 @@
 )
 
 const (
-	maxFrame   = 64 << 10 // bytes of a frame; a longer length is nonsense
-	maxChunk   = 32 << 10 // bytes of a message in one frame
-	window     = 256 << 10
-	maxMessage = 72 << 20 // bytes of a whole message
-	maxStreams = 4096     // open on one connection
-	maxPartialBytes    = 128 << 20
-	maxRetainedBuffer    = 8 << 10 // bytes of a buffer that stays with a connection: most are quiet for most of the time
-	pingInterval  = 600 * time.Millisecond
-	idlePingInterval   = 9 * time.Second         // the same without a stream: whoever opens one looks before
-	minPingWait   = time.Second             // a ping is given so long at least
-	peerTimeout  = 1800 * time.Millisecond // a peer that says nothing for so long is given up
-	livenessWindow   = 250 * time.Millisecond  // a sign of life counts for so long
-	pongTimeout   = 250 * time.Millisecond  // for one that was asked for
-	writeTimeout  = 3 * time.Second
+	maxFrame          = 64 << 10 // bytes of a frame; a longer one is not of this protocol
+	maxChunk          = 32 << 10 // bytes of a message in one frame
+	window            = 256 << 10
+	maxMessage        = 72 << 20 // bytes of a complete message
+	maxStreams        = 4096     // open on one connection
+	maxPartialBytes   = 128 << 20
+	maxRetainedBuffer = 8 << 10 // bytes of a buffer that an idle connection keeps
+	pingInterval      = 600 * time.Millisecond
+	idlePingInterval  = 9 * time.Second         // the same without a stream: Pool.Live checks before it opens one
+	minPingWait       = time.Second             // a peer has at least this time to answer a ping
+	peerTimeout       = 1800 * time.Millisecond // a peer that sends nothing for so long is given up
+	livenessWindow    = 250 * time.Millisecond  // a peer counts as live for so long after a frame
+	pongTimeout       = 250 * time.Millisecond  // for the answer to a ping
+	writeTimeout      = 3 * time.Second
 )
 
-// ErrNotSent says that the message did not reach the peer whole, so that nothing
-// can have come of it.
+// ErrNotSent says that the peer has not received the complete message, so that nothing can have come of it.
 var ErrNotSent = errors.New("not sent")
 
-// errFrameMaybeComplete is a failed write after which the peer may have the frame whole all the same.
-var errFrameMaybeComplete = errors.New("the frame may have arrived whole")
+// errFrameMaybeComplete is a failed write after which the peer may have the complete frame all the same.
+var errFrameMaybeComplete = errors.New("the frame may have arrived completely")
 
-// ErrTooLarge says that a message, or all messages in the making together,
-// are over the bound.
+// ErrTooLarge says that a message, or all incomplete messages of the process together, are over the bound.
 var ErrTooLarge = errors.New("message too large")
 
-// partialBytes counts the bytes of messages that are being put together in this process.
+// partialBytes counts the bytes of incomplete messages in this process.
 var partialBytes atomic.Int64
 
-// conn is one connection, of either side.
+// conn is a connection, on either side.
 type conn struct {
-	nc      net.Conn
-	peer    identity.Name // where identities are in use
-	server  *Server       // set on the accepting side
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	lastReceived   atomic.Int64 // when something last came, unix ms of the local steady clock
-	lastPing   atomic.Int64 // when the first ping since then was sent, the same
-	livenessWaiters atomic.Int32 // goroutines in live
-	pinging atomic.Bool  // a ping is being sent
-	writeMu sync.Mutex
+	nc              net.Conn
+	peer            identity.Name // where identities are in use
+	server          *Server       // set on the accepting side
+	ctx             context.Context
+	cancel          context.CancelCauseFunc
+	lastReceived    atomic.Int64 // last frame, in ms of the steady clock
+	lastPing        atomic.Int64 // first ping since then, in ms of the steady clock
+	livenessWaiters atomic.Int32 // goroutines in awaitLive
+	pinging         atomic.Bool  // a ping is being sent
+	writeMu         sync.Mutex
 	writeBuffer     []byte     // reused; guarded by writeMu
-	dataFrame    wire.Frame // the same: of messages under way
+	dataFrame       wire.Frame // the same: for data frames
 
-	mu      sync.Mutex
-	streams map[uint32]*Stream
-	nextStream    uint32
-	closed  bool
-	nextFrame    chan struct{} // closed and replaced with the next frame, where someone waits
+	mu         sync.Mutex
+	streams    map[uint32]*Stream
+	nextStream uint32
+	closed     bool
+	nextFrame  chan struct{} // closed and replaced with the next frame, if someone waits for it
 }
 
 var start = time.Now()
@@ -93,13 +99,13 @@
 	if secure, ok := nc.(*tls.Conn); ok {
 		raw, c.peer = secure.NetConn(), identity.PeerName(secure.ConnectionState())
 		if server == nil {
-			// A side that connects does not learn from the handshake whether the other has taken its certificate: no
-			// sign of life has come before the first frame.
+			// The handshake does not show the connecting side whether its certificate was accepted: the peer does not count
+			// as live before its first frame.
 			c.lastReceived.Store(steadyMs() - livenessWindow.Milliseconds())
 		}
 	}
-	// Pings find a silent peer; the kernel's probes would only see less of it. It gives up bytes that nobody
-	// takes in at the same time, rather than after minutes.
+	// Pings find an unresponsive peer sooner than the kernel's keep-alive. Unacknowledged bytes are given up at the same
+	// time, rather than after minutes.
 	if tc, ok := raw.(*net.TCPConn); ok {
 		tc.SetKeepAlive(false)
 		sock.UserTimeout(tc, peerTimeout)
@@ -107,7 +113,7 @@
 	return c
 }
 
-// write sends one frame whole, or ends the connection.
+// write sends a frame, or ends the connection.
 func (c *conn) write(f *wire.Frame) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -118,12 +124,12 @@
 type dataChunk struct {
 	stream    uint32
 	method    string // with the first
-	timeoutMs    uint32 // the same
+	timeoutMs uint32 // the same
 	data      []byte
 	last, fin bool
 }
 
-// writeChunk sends one piece, as write does.
+// writeChunk sends a data frame, as write does.
 func (c *conn) writeChunk(p dataChunk) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -193,7 +199,7 @@
 		n := binary.BigEndian.Uint32(head)
 		r.Discard(4)
 		if n > maxFrame {
-			return fmt.Errorf("a frame of %d bytes from %s, at most %d are allowed", n, c.nc.RemoteAddr(), maxFrame)
+			return fmt.Errorf("a frame of %d bytes from %s, the maximum is %d", n, c.nc.RemoteAddr(), maxFrame)
 		}
 		if cap(buf) < int(n) || cap(buf) > maxRetainedBuffer {
 			buf = make([]byte, n, max(n, 512))
@@ -241,7 +247,7 @@
 		}
 		c.streams[f.Stream] = s
 		c.server.running.Add(1)
-		// It begins with its first frame taken in, which most often is all that it gets.
+		// The handler starts after the first frame is received, which most often is the only one.
 		method := f.Method
 		defer c.server.workers.Go(func() { c.server.serve(s, method) })
 	}
@@ -261,7 +267,7 @@
 	return nil
 }
 
-// drop forgets a stream.
+// drop removes a stream from the connection.
 func (c *conn) drop(s *Stream) {
 	c.mu.Lock()
 	delete(c.streams, s.id)
--- a/internal/transport/rpc/watch.go
+++ b/internal/transport/rpc/liveness.go
@@ -10,7 +10,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// checkLiveness pings a quiet peer, and gives up one that stays silent.
+// checkLiveness pings an idle peer, and gives up one that does not answer.
 func (c *conn) checkLiveness(wall time.Time) {
 	busy := c.expireStreams(wall)
 	now, heard, asked := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
@@ -24,7 +24,7 @@
 		return
 	}
 	if ping && c.pinging.CompareAndSwap(false, true) {
-		// The other side answers; a write that hangs ends by its own deadline, and holds up no other connection.
+		// In a goroutine, as a write may block until its deadline, and must not delay other connections.
 		go func() {
 			defer c.pinging.Store(false)
 			c.ping()
@@ -32,15 +32,15 @@
 	}
 }
 
-// watcher looks at connections from time to time: one goroutine for all of them, as there is one to each node of a mesh,
-// and most are quiet.
+// watcher checks the liveness of connections, with one goroutine for all of them: a node may have one to each other node of
+// the mesh, most of them idle.
 type watcher struct {
 	mu      sync.Mutex
 	conns   map[*conn]bool
 	running bool
 }
 
-// add has a connection looked at until it ends.
+// add adds a connection, until it ends.
 func (w *watcher) add(c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// run ends with the last connection.
+// run checks all connections, until none is left.
 func (w *watcher) run() {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -72,7 +72,7 @@
 	}
 }
 
-// open lists the connections that have not ended. Without any the watcher does not run.
+// open lists the open connections. Without any the watcher stops.
 func (w *watcher) open(list []*conn) []*conn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,8 +87,8 @@
 	return list
 }
 
-// expireStreams ends the streams whose time is up, and tells whether there are others. A caller whose time is up says so:
-// this is for one that no longer can, so that a tick's delay does no harm.
+// expireStreams ends the streams whose deadline has passed, and reports whether there are others. A caller cancels its
+// streams in time; this is for one that no longer can, so a delay does no harm.
 func (c *conn) expireStreams(now time.Time) (busy bool) {
 	c.mu.Lock()
 	var over []*Stream
@@ -105,11 +105,13 @@
 	return busy
 }
 
-// recentlyLive reports whether the peer has given a sign of life within the last moments.
-func (c *conn) recentlyLive() bool { return steadyMs()-c.lastReceived.Load() < livenessWindow.Milliseconds() }
+// recentlyLive reports whether a frame has come within livenessWindow.
+func (c *conn) recentlyLive() bool {
+	return steadyMs()-c.lastReceived.Load() < livenessWindow.Milliseconds()
+}
 
-// pingDecision decides on a connection from which nothing has come for quiet, with a ping that has been without an answer
-// for open; 0: none has. Most of a large mesh's connections carry nothing most of the time: they are asked seldom.
+// pingDecision decides on a connection from which nothing has come for the time quiet, with a ping that has been unanswered
+// for pingAge; 0: there is none. Most connections of a large mesh are idle, and pinged seldom.
 func pingDecision(busy bool, quiet, pingAge time.Duration) (ping, dead bool) {
 	if quiet >= peerTimeout && pingAge >= minPingWait {
 		return false, true
@@ -117,7 +119,7 @@
 	return quiet >= idlePingInterval || busy && quiet >= pingInterval/2 || pingAge > 0, false
 }
 
-// ping asks for a sign of life.
+// ping sends a ping, whose answer is a pong.
 func (c *conn) ping() error {
 	if c.lastPing.Load() <= c.lastReceived.Load() {
 		c.lastPing.Store(steadyMs())
@@ -125,8 +127,7 @@
 	return c.write(&wire.Frame{Kind: wire.Frame_PING})
 }
 
-// awaitLive reports whether the peer has lately given a sign of life, and asks for
-// one where it has not.
+// awaitLive reports whether the peer is live, and pings it if no frame has come lately.
 func (c *conn) awaitLive(ctx context.Context) bool {
 	if c.recentlyLive() {
 		return true
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -14,7 +14,7 @@
 	"ivydeck/internal/transport/identity"
 )
 
-// Pool makes calls, over one connection for each address.
+// Pool makes calls, over one connection to each address. Its methods may be called by any goroutine.
 type Pool struct {
 	Identity *identity.Source // nil: connections are not secured
 	// Dial makes a connection for the pool; nil: a plain TCP connection. To be set before the first call.
@@ -22,12 +22,12 @@
 
 	ctx context.Context
 	mu  sync.Mutex
-	// by address; entries of addresses that are not used go with Sweep
+	// by address; sweep removes those that are not used
 	conns map[string]*dialResult
 	watch watcher
 }
 
-// dialResult is a connection, or the attempt to make one.
+// dialResult is a connection, or an attempt to make one.
 type dialResult struct {
 	ready  chan struct{} // closed once c or err is set
 	c      *conn
@@ -41,7 +41,7 @@
 	return &Pool{ctx: ctx, conns: map[string]*dialResult{}}
 }
 
-// get returns the connection to an address, and makes it where there is none.
+// get returns the connection to an address, and makes it if there is none.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	p.mu.Lock()
 	d := p.conns[addr]
@@ -69,7 +69,7 @@
 	}
 }
 
-// sweep forgets addresses that have not been used for long; called with mu held.
+// sweep closes and removes connections that have not been used for long; called with mu held.
 func (p *Pool) sweep() {
 	for addr, d := range p.conns {
 		select {
@@ -91,7 +91,7 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// dialTCP makes one try of a connection.
+// dialTCP makes one attempt to connect.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialAttemptTimeout, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", address)
@@ -105,7 +105,7 @@
 	}
 	began := time.Now()
 	nc, err := connect(p.ctx, addr)
-	for isTimeout(err) && time.Since(began) < dialTimeout && p.ctx.Err() == nil { // the machine may be there by now
+	for isTimeout(err) && time.Since(began) < dialTimeout && p.ctx.Err() == nil { // the machine may be up by now
 		nc, err = connect(p.ctx, addr)
 	}
 	if err != nil {
@@ -128,13 +128,12 @@
 	context.AfterFunc(c.ctx, func() { nc.Close() })
 }
 
-// Peer is a connection to a node that has lately given a sign of life.
+// Peer is a connection to a process that was live a moment ago: see Pool.Live.
 type Peer struct{ c *conn }
 
-// Live returns the connection to a node that has given a sign of life within the
-// last moments, or an error that is ErrNotSent: what may not be sent twice is better
-// not sent at all to a machine that has just lost its power. It waits until a time
-// at the latest.
+// Live returns the connection to a process from which a frame has come within livenessWindow, after a ping if need be. The
+// error is ErrNotSent, at the deadline at the latest: a non-idempotent request is better not sent to a machine that may
+// have lost its power.
 func (p *Pool) Live(ctx context.Context, deadline time.Time, addr string) (Peer, error) {
 	if c := p.up(addr); c != nil && c.recentlyLive() {
 		return Peer{c}, nil
@@ -146,7 +145,7 @@
 		return Peer{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if !c.awaitLive(ctx) {
-		return Peer{}, fmt.Errorf("%w: no sign of life from %s", ErrNotSent, addr)
+		return Peer{}, fmt.Errorf("%w: %s does not answer a ping", ErrNotSent, addr)
 	}
 	return Peer{c}, nil
 }
@@ -159,7 +158,7 @@
 	return d != nil && d.up()
 }
 
-// up reports whether the connection stands.
+// up reports whether the connection is open.
 func (d *dialResult) up() bool {
 	select {
 	case <-d.ready:
@@ -169,7 +168,7 @@
 	}
 }
 
-// up returns the connection to an address, where there is one, for use.
+// up returns the open connection to an address; nil: there is none.
 func (p *Pool) up(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,9 +180,8 @@
 	return d.c
 }
 
-// Call sends one message and waits for the one that answers it, until a time at
-// the latest: context.DeadlineExceeded is an answer that has not come. An error
-// that is ErrNotSent means that the peer has not had the message.
+// Call sends a message and waits for the answer, until the deadline. An error that is ErrNotSent says that the peer has not
+// received the message.
 func (p Peer) Call(ctx context.Context, deadline time.Time, method string, req, resp proto.Message) error {
 	s, err := p.Begin(ctx, deadline, method, req)
 	if err != nil {
@@ -192,14 +190,14 @@
 	return s.Response(resp)
 }
 
-// Begin is the first half of Call. Answer is the other half, and comes at once where
-// Woken has told. One of Answer and Close has to follow.
+// Begin is the first half of Call. Stream.Response is the other half, and returns at once after Ready has received. One of
+// Response and Close has to follow.
 func (p Peer) Begin(ctx context.Context, deadline time.Time, method string, req proto.Message) (*Stream, error) {
-	// The caller's context is the stream's: what ends the stream before it wakes Recv by itself.
+	// The caller's context is the stream's: if it ends, Recv returns.
 	return p.c.open(ctx, nil, deadline, method, req, true)
 }
 
-// Response waits for the only message of a stream from Begin, and ends it.
+// Response waits for the only message of a stream from Begin, and closes the stream.
 func (s *Stream) Response(resp proto.Message) error {
 	defer s.Close()
 	if err := s.Recv(resp); err != nil {
@@ -208,8 +206,8 @@
 	return nil
 }
 
-// Ready tells once when Recv would return at once, but for the end of the stream's
-// time and context; before the first Recv only.
+// Ready receives once when Recv would return at once, other than by the end of the stream's deadline or context. It has to
+// be called before the first Recv.
 func (s *Stream) Ready() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,8 +220,7 @@
 	return s.wake
 }
 
-// Open begins a stream with its first message. An error that is ErrNotSent
-// means that the peer has not had the message.
+// Open begins a stream with its first message. An error that is ErrNotSent says that the peer has not received it.
 func (p *Pool) Open(ctx context.Context, addr, method string, req proto.Message) (*Stream, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
@@ -238,13 +235,13 @@
 	return s, err
 }
 
-// open begins a stream whose context is given, and which ends it by cancel at the
-// latest. A zero until is no time; fin: req is the only message.
+// open begins a stream with a context, which the stream's end cancels by cancel. A zero deadline is none; fin: req is the
+// only message.
 func (c *conn) open(ctx context.Context, cancel context.CancelFunc, deadline time.Time, method string, req proto.Message, fin bool) (*Stream, error) {
 	c.mu.Lock()
 	if c.closed || len(c.streams) >= maxStreams {
 		c.mu.Unlock()
-		return nil, fmt.Errorf("%w: %s takes no stream", ErrNotSent, c.nc.RemoteAddr())
+		return nil, fmt.Errorf("%w: %s accepts no more streams", ErrNotSent, c.nc.RemoteAddr())
 	}
 	s := newStream(c, c.freeStream(), ctx, cancel)
 	s.deadline, s.meter = deadline, meterOf(method)
@@ -261,8 +258,8 @@
 	return s, nil
 }
 
-// freeStream returns the next stream's number. After four thousand million streams numbers begin anew, and some of the
-// first may still be in use: an answer must not reach another's stream. Called with mu held, with room for a stream.
+// freeStream returns the number of the next stream. After four thousand million streams numbers begin anew, and some of the
+// first may still be in use: an answer must not reach another's stream. Called with mu held, with less than maxStreams.
 func (c *conn) freeStream() uint32 {
 	for c.nextStream == 0 || c.streams[c.nextStream] != nil {
 		c.nextStream++
@@ -272,8 +269,7 @@
 	return id
 }
 
-// Call is Peer.Call over the connection to an address, which is made where there
-// is none, until the context ends.
+// Call is Peer.Call over the connection to an address, which is made if there is none, until ctx ends.
 func (p *Pool) Call(ctx context.Context, addr, method string, req, resp proto.Message) error {
 	c, err := p.get(ctx, addr)
 	if err != nil {
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	dialTimeout   = 800 * time.Millisecond
-	dialAttemptTimeout   = 250 * time.Millisecond // of it for one try: the kernel repeats a lost SYN after a second
-	dialRetryPause  = 150 * time.Millisecond // no new try sooner after one that failed
-	maxConns   = 1024                   // accepted at a time
-	closeGrace = time.Second
+	dialTimeout        = 800 * time.Millisecond
+	dialAttemptTimeout = 250 * time.Millisecond // of one attempt: the kernel repeats a lost SYN after a second only
+	dialRetryPause     = 150 * time.Millisecond // after a failed attempt
+	maxConns           = 1024                   // accepted at a time
+	closeGrace         = time.Second
 )
 
-// Handler answers a stream. Its first message is read with Recv; what it sends
-// goes back. An error it returns is told to the peer.
+// Handler answers a stream. Its first Recv returns the caller's message; what it sends goes to the caller. An error that it
+// returns is a PeerError at the caller.
 type Handler func(s *Stream) error
 
-// Server accepts connections from other nodes.
+// Server accepts connections of other processes. Its fields must not change after Serve.
 type Server struct {
-	Identity *identity.Source // nil: callers are taken for whom they say they are
-	Rejected  *atomic.Int64    // counts connections and calls that were refused for want of a proper identity
+	Identity *identity.Source // nil: connections are not secured, and callers not authenticated
+	Rejected *atomic.Int64    // counts connections and calls without a proper identity
 
 	handlers map[string]method
 	log      *slog.Logger
@@ -48,14 +48,14 @@
 	return &Server{Rejected: new(atomic.Int64), handlers: map[string]method{}, log: log}
 }
 
-// method is what a name stands for, and who may call it.
+// method is a handler, with the roles that may call it.
 type method struct {
 	run   Handler
 	roles []identity.Role
 }
 
-// Handle names a method. Where identities are known only these roles may call it;
-// without any, each quorum member and node. All methods are named before Serve.
+// Handle registers a method, before Serve. With identities, only callers of the roles may call it; without roles, quorum
+// members and nodes may.
 func (s *Server) Handle(name string, h Handler, roles ...identity.Role) {
 	if len(roles) == 0 {
 		roles = []identity.Role{identity.QuorumMember, identity.Node}
@@ -63,8 +63,8 @@
 	s.handlers[name] = method{h, roles}
 }
 
-// Caller is who has opened a handler's stream, by its context or one made of that; ok is false where no identities are
-// in use.
+// Caller returns the authenticated caller of a handler's stream, by the stream's context or one derived from it; ok is false
+// without identities.
 func Caller(ctx context.Context) (name identity.Name, ok bool) {
 	if s, is := ctx.Value(callerKey{}).(*Stream); is && s.c.peer.Role != "" {
 		return s.c.peer, true
@@ -72,8 +72,7 @@
 	return identity.Name{}, false
 }
 
-// Unary makes a handler of a function from one message to one other. The
-// types are pointers to message structs.
+// Unary makes a handler of a function from one message to another. The types are pointers to message structs.
 func Unary[Req, Resp any, PReq interface {
 	*Req
 	proto.Message
@@ -94,7 +93,7 @@
 	}
 }
 
-// serve runs one handler.
+// serve runs the handler of a stream.
 func (s *Server) serve(st *Stream, name string) {
 	defer s.running.Done()
 	defer st.finish(context.Canceled)
@@ -117,7 +116,7 @@
 	st.end(nil)
 }
 
-// Serve accepts until the context ends, and then waits for the handlers.
+// Serve accepts connections until ctx ends, and then waits for the handlers.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s.workers = workerpool.New(ctx)
@@ -162,7 +161,7 @@
 	}
 }
 
-// accept serves one connection to its end.
+// accept serves a connection until it ends.
 func (s *Server) accept(ctx context.Context, nc net.Conn) {
 	if s.Identity != nil {
 		secure := tls.Server(nc, s.Identity.Server())
@@ -180,7 +179,7 @@
 	c.fail(c.read())
 }
 
-// handshake makes a connection a secure one, within the time of a dial.
+// handshake makes the TLS handshake, within dialTimeout.
 func handshake(ctx context.Context, c *tls.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -14,38 +14,37 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Stream is an exchange of messages on a connection. One goroutine may send
-// while another receives. It is the context of its handler as well: most streams
-// are over before anybody asks for more than that, and contexts of the library's
-// making cost a call a third of its allocations.
+// Stream is an exchange of messages over a connection. One goroutine may send while another receives. It is the context of
+// its handler as well: most streams end before anybody uses more than that, and derived contexts would cost a call a third
+// of its allocations.
 type Stream struct {
 	c      *conn
 	id     uint32
-	ctx    context.Context    // of the caller; the stream itself where it came from the peer
+	ctx    context.Context    // of the caller; on the accepting side the stream itself
 	cancel context.CancelFunc // the caller's; nil: there is nothing to cancel
 	meter  *meter             // of the method
 
-	// The stream ends by then; zero: by its context alone. A peer that gives up sooner says so.
+	// The stream ends at the deadline; zero: by its context alone. A peer that gives up sooner cancels the stream.
 	deadline time.Time
 
-	mu       sync.Mutex
-	wake     chan struct{} // has room for one: something changed; made where someone waits for it
-	credit   int           // bytes that may still be sent
-	partial     []byte        // of the message in the making
-	messages [][]byte
-	firstMessage      [1][]byte // room for messages: most streams have but one
-	fin      bool
-	err      error
+	mu           sync.Mutex
+	wake         chan struct{} // with a capacity of one: something changed; made if someone waits for it
+	credit       int           // bytes that may still be sent
+	partial      []byte        // of the incomplete message
+	messages     [][]byte
+	firstMessage [1][]byte // space for messages: most streams have only one
+	fin          bool
+	err          error
 
-	creditWake chan struct{} // as wake, for credit; made where someone waits for it
+	creditWake chan struct{} // as wake, for credit
 	onFrame    func()        // called with each frame of a message that comes
 
-	endErr  error         // why the stream has ended as a context
-	done  chan struct{} // closed then; made where someone asks for it
-	onEnd func()        // called then
+	endErr error         // of the stream as a context; nil: it has not ended
+	done   chan struct{} // closed then; made where someone asks for it
+	onEnd  func()        // called then
 }
 
-// newStream returns a stream of a caller's context; nil: it came from the peer.
+// newStream returns a stream with a caller's context; nil: the peer has opened it.
 func newStream(c *conn, id uint32, ctx context.Context, cancel context.CancelFunc) *Stream {
 	s := &Stream{c: c, id: id, ctx: ctx, cancel: cancel, credit: window}
 	if ctx == nil {
@@ -58,11 +57,10 @@
 // Context ends with the stream.
 func (s *Stream) Context() context.Context { return s.ctx }
 
-// Deadline is when the peer's patience ends.
+// Deadline is the caller's deadline.
 func (s *Stream) Deadline() (time.Time, bool) { return s.deadline, !s.deadline.IsZero() }
 
-// Done is closed once the peer has called the stream off, the connection has
-// ended, or the handler has returned.
+// Done is closed once the peer has cancelled the stream, the connection has ended, or the handler has returned.
 func (s *Stream) Done() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +73,7 @@
 	return s.done
 }
 
-// Err tells why Done is closed.
+// Err returns why Done is closed.
 func (s *Stream) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,10 +83,10 @@
 	return s.endErr
 }
 
-// callerKey finds a handler's stream in contexts made of its own.
+// callerKey is the key of a handler's stream in derived contexts.
 type callerKey struct{}
 
-// Value knows of the stream alone; see Caller.
+// Value has the stream alone: see Caller.
 func (s *Stream) Value(key any) any {
 	if key == (callerKey{}) {
 		return s
@@ -96,8 +94,7 @@
 	return nil
 }
 
-// OnEnd has a function called when Done is closed, if it is before Clear; one at a
-// time, which must not wait.
+// OnEnd sets the function that is called when Done is closed, unless ClearOnEnd comes before. It must not block.
 func (s *Stream) OnEnd(f func()) {
 	s.mu.Lock()
 	over := s.endErr != nil
@@ -110,15 +107,15 @@
 	}
 }
 
-// OnFrame has a function called with each frame of a message that comes, also while the message is not yet whole: a large
-// one on a slow link is a sign of life long before its end. The function must not wait.
+// OnFrame sets the function that is called with each received data frame, also while the message is incomplete: a large one
+// on a slow link shows that the peer is live long before its end. It must not block.
 func (s *Stream) OnFrame(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onFrame = f
 }
 
-// ClearOnEnd takes OnEnd's function back. It reports false where that has been called.
+// ClearOnEnd removes the function of OnEnd. It reports false if that was called.
 func (s *Stream) ClearOnEnd() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +143,7 @@
 	}
 }
 
-// signal wakes whoever waits; a nil channel is one that nobody waits for.
+// signal wakes whoever waits on a channel; nil: nobody does.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -162,7 +159,7 @@
 	signal(waits)
 }
 
-// end closes the stream with an error; nil is a peer that has no more to say.
+// end ends the stream with an error; nil: the peer has sent its last message.
 func (s *Stream) end(err error) {
 	s.mu.Lock()
 	if s.err == nil && err != nil {
@@ -183,7 +180,7 @@
 	}
 }
 
-// receiveData books a frame of data that came.
+// receiveData takes a data frame.
 func (s *Stream) receiveData(f *wire.Frame) error {
 	if f.Error != "" {
 		s.end(&PeerError{Text: f.Error})
@@ -228,14 +225,13 @@
 	if f.Last || f.Fin {
 		signal(wake)
 	}
-	if !f.Last && !f.Fin && len(f.Data) > 0 { // the rest may come; the whole waits for its reader
+	if !f.Last && !f.Fin && len(f.Data) > 0 { // credit for the rest of the message; that for complete ones comes with Recv
 		return s.c.write(&wire.Frame{Kind: wire.Frame_CREDIT, Stream: s.id, Credit: uint32(len(f.Data))})
 	}
 	return nil
 }
 
-// Recv waits for the next message. It returns io.EOF once the peer has sent its
-// last.
+// Recv waits for the next message. It returns io.EOF after the peer's last one.
 func (s *Stream) Recv(m proto.Message) error {
 	for {
 		s.mu.Lock()
@@ -288,7 +284,7 @@
 	return nil
 }
 
-// cause tells why the stream's context ended.
+// cause returns why the stream's context ended.
 func (s *Stream) cause() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,10 +294,10 @@
 	return context.Cause(s.ctx)
 }
 
-// encodeBuffers has room for messages in the making.
+// encodeBuffers are reused for encoding messages.
 var encodeBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// Send sends a message, waiting for credit where the peer is slow.
+// Send sends a message; it waits for credit if the peer is slow.
 func (s *Stream) Send(m proto.Message) error { return s.send(m, "", 0, false) }
 
 func (s *Stream) send(m proto.Message, method string, timeoutMs uint32, fin bool) error {
@@ -317,7 +313,7 @@
 	return s.sendData(data, method, timeoutMs, fin)
 }
 
-// SendEncoded is Send for a message that was encoded before, so that many receivers can share the bytes.
+// SendEncoded is Send for an encoded message, so that many receivers can share the bytes.
 func (s *Stream) SendEncoded(data []byte) error { return s.sendData(data, "", 0, false) }
 
 func (s *Stream) sendData(data []byte, method string, timeoutMs uint32, fin bool) error {
@@ -336,7 +332,7 @@
 			p.method, p.timeoutMs = method, timeoutMs
 		}
 		if err := s.c.writeChunk(p); err != nil {
-			if p.last && errors.Is(err, errFrameMaybeComplete) { // nothing is missing at the peer
+			if p.last && errors.Is(err, errFrameMaybeComplete) { // the peer may have the complete message
 				return err
 			}
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -345,7 +341,7 @@
 	return nil
 }
 
-// waitCredit waits until n bytes may be sent.
+// waitCredit waits until n bytes may be sent, and uses them.
 func (s *Stream) waitCredit(n int) error {
 	for {
 		s.mu.Lock()
@@ -369,8 +365,7 @@
 	}
 }
 
-// Close ends the stream from this side; the peer learns of it unless it has
-// ended by itself.
+// Close ends the stream on this side, and cancels it at the peer unless the peer has ended it.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	over := s.fin
@@ -382,12 +377,12 @@
 	}
 }
 
-// PeerError is what the other side says went wrong.
+// PeerError is an error of the peer's handler.
 type PeerError struct{ Text string }
 
 func (e *PeerError) Error() string { return "the peer says: " + e.Text }
 
-// IsPeerError reports whether an error is the peer's own word, rather than the lack of one.
+// IsPeerError reports whether an error came from the peer's handler.
 func IsPeerError(err error) bool {
 	var p *PeerError
 	return errors.As(err, &p)
--- a/internal/transport/rpc/traffic.go
+++ b/internal/transport/rpc/traffic.go
@@ -9,7 +9,7 @@
 type Traffic struct {
 	BytesReceived, BytesSent   uint64 // on connections, below TLS where that is used
 	FramesReceived, FramesSent uint64
-	Methods             map[string]MethodTraffic
+	Methods                    map[string]MethodTraffic
 }
 
 // MethodTraffic is the part of the traffic that belongs to one method: its messages, of requests and answers.
@@ -33,13 +33,13 @@
 	m.bytesReceived.Add(uint64(bytes))
 }
 
-// unknownMethod stands for all methods that a peer names and this process does not have.
+// unknownMethod is the meter of all methods that peers name and this process does not have.
 const unknownMethod = "unknown"
 
 var (
 	framesReceived, framesSent       atomic.Uint64
 	wireBytesReceived, wireBytesSent atomic.Uint64
-	meters                    sync.Map // of *meter, by method
+	meters                           sync.Map // of *meter, by method
 )
 
 // meterOf returns the counters of a method. Methods are few: names that peers make up share one meter.
