--- a/cmd/ivydeckctl/ca.go
+++ b/cmd/ivydeckctl/ca.go
@@ -13,24 +13,24 @@
 
 type caInitCmd struct {
 	caFlags
-	Life time.Duration `help:"How long the authority is good for." default:"43800h"`
+	Validity time.Duration `name:"life" help:"How long the authority is good for." default:"43800h"`
 }
 
 func (c *caInitCmd) Run() error {
-	a, err := identity.NewAuthority(c.Dir, c.Life)
+	a, err := identity.NewAuthority(c.Dir, c.Validity)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: an authority for %v; give every process %s\n", c.Dir, c.Life, a.Bundle())
+	fmt.Printf("%s: an authority for %v; give every process %s\n", c.Dir, c.Validity, a.Bundle())
 	return nil
 }
 
 type caIssueCmd struct {
 	caFlags
-	Role string        `arg:"" help:"core, node or operator." enum:"core,node,operator"`
-	Name string        `arg:"" help:"The machine's node_name, or the operator's name."`
-	Out  string        `help:"Folder for the two files." default:"." type:"path"`
-	Life time.Duration `help:"How long the certificate is good for." default:"720h"`
+	Role      string        `arg:"" help:"core, node or operator." enum:"core,node,operator"`
+	Name      string        `arg:"" help:"The machine's node_name, or the operator's name."`
+	OutputDir string        `name:"out" help:"Folder for the two files." default:"." type:"path"`
+	Validity  time.Duration `name:"life" help:"How long the certificate is good for." default:"720h"`
 }
 
 func (c *caIssueCmd) Run() error {
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := a.Issue(identity.Name{Role: identity.Role(c.Role), Name: c.Name}, c.Life, c.Out)
+	f, err := a.Issue(identity.Name{Role: identity.Role(c.Role), Name: c.Name}, c.Validity, c.OutputDir)
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 
 type caRotateCmd struct {
 	caFlags
-	Life time.Duration `help:"How long the new authority is good for." default:"43800h"`
+	Validity time.Duration `name:"life" help:"How long the new authority is good for." default:"43800h"`
 }
 
 func (c *caRotateCmd) Run() error {
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	if err := a.Rotate(c.Life); err != nil {
+	if err := a.Rotate(c.Validity); err != nil {
 		return err
 	}
 	fmt.Printf("%s trusts the new authority and the old one. Bring it to every process, then issue all certificates anew, then: ca retire\n", a.Bundle())
--- a/internal/balancer/node/upstream.go
+++ b/internal/balancer/node/upstream.go
@@ -65,7 +65,7 @@
 	address   string
 	incoming  incoming
 	reader    *bufio.Reader // of incoming
-	look      *sock.Look
+	look      *sock.Inspector
 	sockets   *sockets
 	idleSince time.Duration
 }
@@ -86,7 +86,7 @@
 }
 
 func newConn(nc net.Conn, address string, raw syscall.RawConn, sockets *sockets) *conn {
-	c := &conn{Conn: nc, address: address, look: sock.NewLook(raw), sockets: sockets}
+	c := &conn{Conn: nc, address: address, look: sock.NewInspector(raw), sockets: sockets}
 	c.incoming.R = nc
 	c.reader = bufio.NewReader(&c.incoming)
 	return c
@@ -193,7 +193,7 @@
 }
 
 // alive reports whether an idle connection has nothing to read, not even its end.
-func (c *conn) alive() bool { return c.look.Quiet() }
+func (c *conn) alive() bool { return c.look.Idle() }
 
 // dial opens a connection to a server.
 func (u *upstream) dial(ctx context.Context, p *peer, until time.Duration) (*conn, error) {
--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -68,16 +68,16 @@
 		services := c.checkBackends(fault)
 		known = func(service string) bool { return services[service] }
 	}
-	places := make(map[Key]bool, len(routes))
+	keys := make(map[Key]bool, len(routes))
 	for _, i := range routes {
 		r := c.Routes[i]
 		faultOf := func(format string, args ...any) {
 			fault("route_table[%d] (%s)"+format, append([]any{i, r.Name}, args...)...)
 		}
-		if places[r.Key()] {
+		if keys[r.Key()] {
 			faultOf(": another route has host %q and prefix %q", r.Host, r.Prefix)
 		}
-		places[r.Key()] = true
+		keys[r.Key()] = true
 		r.check(faultOf)
 		r.checkServices(known, faultOf)
 	}
@@ -110,7 +110,7 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		fault(": path_prefix %q does not start and end with a slash", r.Prefix)
 	}
-	if r.Kind != Repeatable && r.Kind != Once {
+	if r.Kind != Idempotent && r.Kind != NonIdempotent {
 		fault(": route_type is %q", r.Kind)
 	}
 	if !(r.TimeoutMs > 0) {
@@ -193,8 +193,8 @@
 
 // At returns the route of a place, or nil. The host is in lower case.
 func (c *Config) At(host, prefix string) *Route {
-	var room [128]byte
-	r, _ := c.index.GetBytes(appendKey(room[:0], host, prefix))
+	var buffer [128]byte
+	r, _ := c.index.GetBytes(appendKey(buffer[:0], host, prefix))
 	return r
 }
 
--- a/internal/config/meshconfig/parse.go
+++ b/internal/config/meshconfig/parse.go
@@ -20,7 +20,7 @@
 // without being decoded and checked again. The body is not to be changed afterwards.
 func ParseNext(body []byte, base *Config) (*Config, error) {
 	if len(body) > MaxBytes {
-		return nil, fmt.Errorf("configuration: %d bytes, at most %d are allowed", len(body), MaxBytes)
+		return nil, fmt.Errorf("configuration: %d bytes, the maximum is %d", len(body), MaxBytes)
 	}
 	p := parser{body: body, in: bytes.NewReader(body), base: base, config: &Config{}}
 	if base != nil {
@@ -31,7 +31,7 @@
 		return nil, fmt.Errorf("configuration: not readable: %w", err)
 	}
 	if p.in.Len() > 0 {
-		return nil, errors.New("configuration: more follows behind its end")
+		return nil, errors.New("configuration: there is more after its end")
 	}
 	c := p.config
 	c.buildIndex(base)
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -21,7 +21,7 @@
 }
 
 func randomRoute(rng *rand.Rand, i int) *Route {
-	r := &Route{Name: fmt.Sprint("r", i), Host: fmt.Sprint("Host", i%4), Prefix: fmt.Sprintf("/%d/", i), Kind: Once, TimeoutMs: float64(1 + rng.IntN(5)),
+	r := &Route{Name: fmt.Sprint("r", i), Host: fmt.Sprint("Host", i%4), Prefix: fmt.Sprintf("/%d/", i), Kind: NonIdempotent, TimeoutMs: float64(1 + rng.IntN(5)),
 		Priority: rng.IntN(3), Backend: fmt.Sprint("s", rng.IntN(3))}
 	if rng.IntN(4) == 0 {
 		r.Backend, r.Backends = "", []Weighted{{Backend: "s0", Weight: rng.Float64()}, {Backend: "s1", Weight: 1}}
@@ -159,7 +159,7 @@
 func manyRoutes(routes, version int) *Config {
 	c := &Config{Revision: uint64(version + 1), Backends: []Backend{{Name: "s"}}}
 	for i := range routes {
-		r := &Route{Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host%d.example", i%50), Prefix: fmt.Sprintf("/some/path%d/", i), Kind: Repeatable,
+		r := &Route{Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host%d.example", i%50), Prefix: fmt.Sprintf("/some/path%d/", i), Kind: Idempotent,
 			TimeoutMs: 1000, TargetLatencyMs: 200, Priority: i % 3, Backend: "s", MaxAttempts: 2}
 		if i == version%routes {
 			r.TimeoutMs = float64(1001 + version)
--- a/internal/config/meshconfig/route.go
+++ b/internal/config/meshconfig/route.go
@@ -11,8 +11,8 @@
 
 // The kinds of requests.
 const (
-	Repeatable Kind = "idempotent"
-	Once       Kind = "non_idempotent"
+	Idempotent    Kind = "idempotent"
+	NonIdempotent Kind = "non_idempotent"
 )
 
 // Weighted is one of the services that share a route.
--- a/internal/config/nodefile/nodefile.go
+++ b/internal/config/nodefile/nodefile.go
@@ -105,7 +105,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if info.Size() > maxBytes {
-		return nil, fmt.Errorf("settings: %s has %d bytes, at most %d are allowed", path, info.Size(), maxBytes)
+		return nil, fmt.Errorf("settings: %s has %d bytes, the maximum is %d", path, info.Size(), maxBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -79,9 +79,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
 	}
-	out := append([]byte(nil), magic...)
-	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(body, castagnoli))
-	return append(out, body...), nil
+	encoded := append([]byte(nil), magic...)
+	encoded = binary.BigEndian.AppendUint32(encoded, crc32.Checksum(body, castagnoli))
+	return append(encoded, body...), nil
 }
 
 // Decode decodes a backup, completely or not at all.
--- a/internal/controlplane/catalog/accept_test.go
+++ b/internal/controlplane/catalog/accept_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	c := meshconfig.Config{Revision: revision, Backends: []meshconfig.Backend{{Name: "s"}}}
 	for i := range 400 {
-		r := &meshconfig.Route{Name: fmt.Sprint("r", i), Host: "h.example", Prefix: fmt.Sprintf("/%d/", i), Kind: meshconfig.Once, TimeoutMs: 1000, Backend: "s"}
+		r := &meshconfig.Route{Name: fmt.Sprint("r", i), Host: "h.example", Prefix: fmt.Sprintf("/%d/", i), Kind: meshconfig.NonIdempotent, TimeoutMs: 1000, Backend: "s"}
 		if i == 200 {
 			r.TimeoutMs = timeout
 		}
--- a/internal/controlplane/catalog/bench_test.go
+++ b/internal/controlplane/catalog/bench_test.go
@@ -18,7 +18,7 @@
 		name := fmt.Sprint("s", i)
 		c.Backends = append(c.Backends, meshconfig.Backend{Name: name, Health: "/health", MaxConns: 100, Protocol: "h1"})
 		r := &meshconfig.Route{Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host%d.example", i%50), Prefix: fmt.Sprintf("/some/path%d/", i),
-			Kind: meshconfig.Repeatable, TimeoutMs: 1000, TargetLatencyMs: 200, Priority: i % 3, Backend: name, MaxAttempts: 2}
+			Kind: meshconfig.Idempotent, TimeoutMs: 1000, TargetLatencyMs: 200, Priority: i % 3, Backend: name, MaxAttempts: 2}
 		if uint64(i) == revision%uint64(routes) {
 			r.TimeoutMs += float64(revision)
 		}
--- a/internal/controlplane/catalog/resource.go
+++ b/internal/controlplane/catalog/resource.go
@@ -145,7 +145,7 @@
 		delete(backends, b.Name)
 	}
 	for _, b := range old.Backends {
-		if _, gone := backends[b.Name]; gone {
+		if _, removed := backends[b.Name]; removed {
 			list = append(list, removedBackend(index, b.Name))
 		}
 	}
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -26,7 +26,7 @@
 }
 
 func (o *operatorState) route(i int) *meshconfig.Route {
-	return &meshconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprint("H", i%3), Prefix: fmt.Sprintf("/%d/", i), Kind: meshconfig.Once,
+	return &meshconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprint("H", i%3), Prefix: fmt.Sprintf("/%d/", i), Kind: meshconfig.NonIdempotent,
 		TimeoutMs: 1 + o.rng.Float64(), Priority: o.rng.IntN(3), Backends: []meshconfig.Weighted{{Backend: "s0", Weight: 1 + o.rng.Float64()}}}
 }
 
--- a/internal/controlplane/server/http_nodes.go
+++ b/internal/controlplane/server/http_nodes.go
@@ -75,13 +75,13 @@
 
 // Trace has what the nodes have kept of a request. The JSON names are frozen.
 type Trace struct {
-	Parts        []TracePart `json:"parts"`  // the first to begin first
+	Parts        []NodeTrace `json:"parts"`  // the first to begin first
 	Queried      int         `json:"asked"`  // nodes
 	Unresponsive int         `json:"silent"` // of the queried nodes
 }
 
-// TracePart is one node's part in a request.
-type TracePart struct {
+// NodeTrace is one node's part in a request.
+type NodeTrace struct {
 	Attempt  string `json:"attempt"`
 	Node     string `json:"node"`
 	Entry    bool   `json:"entry"` // the request entered the mesh there; else it was passed to the server beside the node
@@ -100,10 +100,10 @@
 	var all Trace
 	all.Queried, all.Unresponsive = queryNodes(r.Context(), srv, "trace", &wire.TraceRequest{Attempt: r.PathValue("attempt")}, func(answer *wire.TraceResponse) {
 		for _, t := range answer.Traces[:min(len(answer.Traces), maxTraces-len(all.Parts))] {
-			all.Parts = append(all.Parts, TracePart{t.Attempt, t.Node, t.Entry, t.Route, t.Service, t.Server, t.Status, t.Reason, t.Attempts, t.AgoMs, t.TookMs})
+			all.Parts = append(all.Parts, NodeTrace{t.Attempt, t.Node, t.Entry, t.Route, t.Service, t.Server, t.Status, t.Reason, t.Attempts, t.AgoMs, t.TookMs})
 		}
 	})
-	slices.SortStableFunc(all.Parts, func(a, b TracePart) int {
+	slices.SortStableFunc(all.Parts, func(a, b NodeTrace) int {
 		return cmp.Or(cmp.Compare(b.AgoMs, a.AgoMs), cmp.Compare(len(a.Attempt), len(b.Attempt)))
 	})
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -66,15 +66,15 @@
 		case f := <-srv.events:
 			srv.consensus.Tick(srv.now()) // after a pause of the process, the leadership may be out of date
 			f()
-			srv.runWaiting()
+			srv.runPending()
 		case <-timer.C:
 		}
 		timer.Reset(srv.advance())
 	}
 }
 
-// runWaiting runs the events that have come meanwhile, so that one sync serves all of them.
-func (srv *Server) runWaiting() {
+// runPending runs the events that have come meanwhile, so that one sync serves all of them.
+func (srv *Server) runPending() {
 	for {
 		select {
 		case f := <-srv.events:
--- a/internal/controlplane/server/quorum_contact.go
+++ b/internal/controlplane/server/quorum_contact.go
@@ -13,13 +13,13 @@
 func (srv *Server) observeContact(now time.Duration) {
 	age := srv.consensus.QuorumContactAge(now)
 	srv.contactAt.Store(int64(now - age))
-	outOfTouch := age > relay.Stale
-	if outOfTouch == srv.outOfTouch {
+	lostContact := age > relay.Stale
+	if lostContact == srv.lostContact {
 		return
 	}
-	srv.outOfTouch = outOfTouch
+	srv.lostContact = lostContact
 	level, event := slog.LevelInfo, "quorum.contact_restored"
-	if outOfTouch {
+	if lostContact {
 		level, event = slog.LevelWarn, "quorum.contact_lost"
 	}
 	srv.log.Log(srv.ctx, level, event, "age_ms", age.Milliseconds(), "term", srv.consensus.Term(), "leader", srv.leader().GetAddress())
--- a/internal/controlplane/server/replica.go
+++ b/internal/controlplane/server/replica.go
@@ -38,7 +38,7 @@
 	managedAt   time.Duration
 	wasLeader   bool
 	leaderSince time.Duration
-	outOfTouch  bool
+	lostContact bool
 }
 
 func newReplica(st *store.Store, snapshotPool *rpc.Pool) replica {
@@ -49,7 +49,7 @@
 		senderAddresses: map[uint64]string{},
 		snapshotPool:    snapshotPool,
 		transfers:       map[uint64]*transfer{},
-		outOfTouch:      true, // a start is no loss of contact
+		lostContact:     true, // a start is no loss of contact
 	}
 }
 
--- a/internal/dataplane/entry/cluster_test.go
+++ b/internal/dataplane/entry/cluster_test.go
@@ -235,7 +235,7 @@
 
 func benchRoute(i, version int) *meshconfig.Route {
 	return &meshconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i%100), Prefix: fmt.Sprintf("/%d/", i),
-		Kind: meshconfig.Once, TimeoutMs: float64(1000 + version%1000), TargetLatencyMs: 100, Priority: i % 3, Backend: fmt.Sprint("s", i)}
+		Kind: meshconfig.NonIdempotent, TimeoutMs: float64(1000 + version%1000), TargetLatencyMs: 100, Priority: i % 3, Backend: fmt.Sprint("s", i)}
 }
 
 func benchServer(i, services, nodes int, slots uint32) *wire.Resource {
--- a/internal/dataplane/entry/entry_test.go
+++ b/internal/dataplane/entry/entry_test.go
@@ -21,7 +21,7 @@
 		return &meshconfig.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, TargetLatencyMs: 200, Priority: 1, Backend: "s", MaxAttempts: 3}
 	}
 	body, err := msgpack.Marshal(&meshconfig.Config{Revision: 1, Backends: []meshconfig.Backend{{Name: "s"}},
-		Routes: []*meshconfig.Route{route("safe", meshconfig.Repeatable), route("once", meshconfig.Once)}})
+		Routes: []*meshconfig.Route{route("safe", meshconfig.Idempotent), route("once", meshconfig.NonIdempotent)}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/entry/request.go
+++ b/internal/dataplane/entry/request.go
@@ -110,7 +110,7 @@
 }
 
 // Once reports whether it may run once only.
-func (r *Request) Once() bool { return r.Route.Kind != meshconfig.Repeatable }
+func (r *Request) Once() bool { return r.Route.Kind != meshconfig.Idempotent }
 
 // Usual is the usual time of its route's runs; 0: not known.
 func (r *Request) Usual() time.Duration { return r.table.usual[r.Route.Name] }
--- a/internal/dataplane/proxy/appconn.go
+++ b/internal/dataplane/proxy/appconn.go
@@ -25,7 +25,7 @@
 type appConn struct {
 	nc    net.Conn
 	r     *bufio.Reader
-	look  *sock.Look
+	look  *sock.Inspector
 	idle  time.Duration // that the server allows
 	until time.Time     // an idle one is not used after this
 
@@ -51,7 +51,7 @@
 		c := a.idle[n-1]
 		a.idle = a.idle[:n-1]
 		a.in.mu.Unlock()
-		if now.Before(c.until) && c.look.Quiet() {
+		if now.Before(c.until) && c.look.Idle() {
 			return c, nil
 		}
 		c.nc.Close()
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	return &appConn{
-		nc: nc, r: bufio.NewReaderSize(nc, 4<<10), look: sock.NewLook(raw), idle: idleUsual,
+		nc: nc, r: bufio.NewReaderSize(nc, 4<<10), look: sock.NewInspector(raw), idle: idleUsual,
 		interrupt: func() { nc.SetDeadline(time.Unix(1, 0)) },
 	}, nil
 }
--- a/internal/dataplane/sidecar/mesh_test.go
+++ b/internal/dataplane/sidecar/mesh_test.go
@@ -243,7 +243,7 @@
 		t.Errorf("the nodes see %+v, %v", all, err)
 	}
 	way, err := core.Trace(ctx, "a")
-	var last []server.TracePart // of the served one
+	var last []server.NodeTrace // of the served one
 	if len(way.Parts) > 1 {
 		last = way.Parts[len(way.Parts)-2:]
 	}
--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -58,15 +58,15 @@
 		answer          T
 		done            bool
 	}
-	todo, asked, open := a.quorumAddresses(), map[string]bool{}, 0
+	todo, called, open := a.quorumAddresses(), map[string]bool{}, 0
 	replies := make(chan reply, maxLeaderCalls)
 	next := func() {
-		for len(todo) > 0 && len(asked) < maxLeaderCalls {
+		for len(todo) > 0 && len(called) < maxLeaderCalls {
 			address := todo[0]
-			if todo = todo[1:]; asked[address] {
+			if todo = todo[1:]; called[address] {
 				continue
 			}
-			asked[address] = true
+			called[address] = true
 			open++
 			a.workers.Go(func() {
 				call, cancel := context.WithTimeout(ctx, callTimeout)
@@ -89,7 +89,7 @@
 				a.setLeader(r.address)
 				return r.answer, true
 			}
-			if r.leader != "" && !asked[r.leader] {
+			if r.leader != "" && !called[r.leader] {
 				todo = slices.Insert(todo, 0, r.leader)
 			}
 			next()
--- a/internal/distribution/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -45,7 +45,7 @@
 // queryLatest asks the leader for the latest index, until it has an answer.
 func (a *Agent) queryLatest(ctx context.Context, answers chan<- uint64) {
 	for ctx.Err() == nil {
-		round, cancel := context.WithCancel(ctx)
+		query, cancel := context.WithCancel(ctx)
 		if first := a.Hub.Changed(); a.Hub.Index() == 0 {
 			// The first updates show that there is a leader by now. The call in progress may be to a machine without power,
 			// whose dial takes long to fail.
@@ -53,11 +53,11 @@
 				select {
 				case <-first:
 					cancel()
-				case <-round.Done():
+				case <-query.Done():
 				}
 			})
 		}
-		latest, known := a.LatestIndex(round)
+		latest, known := a.LatestIndex(query)
 		if known {
 			cancel()
 			answers <- latest
@@ -67,7 +67,7 @@
 		if time.Since(a.startedAt) > slowQueryAfter {
 			wait = slowQueryPause
 		}
-		timerpool.Sleep(round, wait)
+		timerpool.Sleep(query, wait)
 		cancel()
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -84,15 +84,15 @@
 }
 
 // Request books a final answer. Route is empty where none was found.
-func (s *Set) Request(route string, status int, promise bool, took time.Duration) {
+func (s *Set) Request(route string, status int, notExecuted bool, took time.Duration) {
 	if s == nil {
 		return
 	}
-	kept := "no"
-	if promise {
-		kept = "yes"
+	promised := "no"
+	if notExecuted {
+		promised = "yes"
 	}
-	s.requests.WithLabelValues(route, fmt.Sprint(status), kept).Inc()
+	s.requests.WithLabelValues(route, fmt.Sprint(status), promised).Inc()
 	s.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -38,14 +38,14 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	var out bytes.Buffer
-	enc := msgpack.NewEncoder(&out)
+	var encoded bytes.Buffer
+	enc := msgpack.NewEncoder(&encoded)
 	enc.SetSortMapKeys(true) // the same file gives the same bytes, so that a resend is known
 	if err := enc.Encode(values); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	config, err := meshconfig.Parse(out.Bytes())
-	return out.Bytes(), config, err
+	config, err := meshconfig.Parse(encoded.Bytes())
+	return encoded.Bytes(), config, err
 }
 
 // Diff lists what differs between two configurations, a line each.
--- a/internal/pkg/bytedelta/bytedelta.go
+++ b/internal/pkg/bytedelta/bytedelta.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	blockSize = 32 // ranges that moved are found by blocks of the base
-	minCopy   = 12 // a copy costs a few bytes itself
+	blockSize   = 32 // ranges that moved are found by blocks of the base
+	minCopy     = 12 // a copy costs a few bytes itself
 	searchAhead = 16 // so many bytes may be replaced before what follows is looked for elsewhere
 
 	hashFactor = 0x9E3779B97F4A7C15
@@ -28,26 +28,26 @@
 	e := encoder{base: base, target: target}
 	at, inBase := 0, 0 // inBase lines up with at, if nothing was put in or taken out since the last copy
 	for at < len(target) {
-		replaced, inLine := e.inLine(at, inBase)
-		moved, elsewhere := e.elsewhere(at, inBase)
+		replaced, aligned := e.aligned(at, inBase)
+		movedTo, movedBytes := e.moved(at, inBase)
 		switch {
-		case elsewhere >= minCopy && elsewhere > 2*(replaced+inLine):
-			at, inBase = e.copyRange(at, moved, elsewhere)
-		case inLine >= minCopy || inLine > 0 && at+inLine == len(target):
-			at, inBase = e.copyRange(at+replaced, inBase+replaced, inLine)
+		case movedBytes >= minCopy && movedBytes > 2*(replaced+aligned):
+			at, inBase = e.copyRange(at, movedTo, movedBytes)
+		case aligned >= minCopy || aligned > 0 && at+aligned == len(target):
+			at, inBase = e.copyRange(at+replaced, inBase+replaced, aligned)
 		default:
 			at++
 			inBase++
 		}
 	}
 	e.literal(len(target))
-	return e.out
+	return e.delta
 }
 
 // encoder makes one delta.
 type encoder struct {
 	base, target []byte
-	out          []byte
+	delta        []byte
 	written      int            // of the target
 	copyEnd      int            // in the base, of the last copy
 	blocks       map[uint64]int // where blocks of the base begin, by their hash; made when it is needed
@@ -56,8 +56,8 @@
 // literal puts the target's bytes up to an offset into the delta.
 func (e *encoder) literal(upTo int) {
 	if upTo > e.written {
-		e.out = binary.AppendUvarint(e.out, uint64(upTo-e.written)<<1)
-		e.out = append(e.out, e.target[e.written:upTo]...)
+		e.delta = binary.AppendUvarint(e.delta, uint64(upTo-e.written)<<1)
+		e.delta = append(e.delta, e.target[e.written:upTo]...)
 		e.written = upTo
 	}
 }
@@ -65,14 +65,14 @@
 // copyRange puts a copy into the delta, and returns where both sides are behind it.
 func (e *encoder) copyRange(at, inBase, n int) (nextAt, nextInBase int) {
 	e.literal(at)
-	e.out = binary.AppendUvarint(e.out, uint64(n)<<1|1)
-	e.out = binary.AppendVarint(e.out, int64(inBase-e.copyEnd))
+	e.delta = binary.AppendUvarint(e.delta, uint64(n)<<1|1)
+	e.delta = binary.AppendVarint(e.delta, int64(inBase-e.copyEnd))
 	e.written, e.copyEnd = at+n, inBase+n
 	return at + n, inBase + n
 }
 
-// inLine returns how many bytes are the same on both sides, behind some that are replaced.
-func (e *encoder) inLine(at, inBase int) (replaced, n int) {
+// aligned returns how many bytes are the same on both sides, behind some that are replaced.
+func (e *encoder) aligned(at, inBase int) (replaced, n int) {
 	for replaced = range searchAhead {
 		if at+replaced >= len(e.target) || inBase+replaced >= len(e.base) {
 			break
@@ -85,9 +85,9 @@
 	return 0, commonPrefix(e.base[min(inBase, len(e.base)):], e.target[at:])
 }
 
-// elsewhere returns another place in the base at which the target goes on from an offset, and for how many bytes. Right
+// moved returns another place in the base at which the target goes on from an offset, and for how many bytes. Right
 // behind a copy a block may begin before the offset: where records are alike, their names may have been replaced in line.
-func (e *encoder) elsewhere(at, inBase int) (moved, n int) {
+func (e *encoder) moved(at, inBase int) (moved, n int) {
 	from := at
 	if at == e.written {
 		from = max(0, at-blockSize+1)
@@ -97,9 +97,9 @@
 		if !ok || begin-block == inBase-at {
 			continue
 		}
-		place := begin + at - block
-		if m := commonPrefix(e.base[place:], e.target[at:]); m > n {
-			moved, n = place, m
+		offset := begin + at - block
+		if m := commonPrefix(e.base[offset:], e.target[at:]); m > n {
+			moved, n = offset, m
 		}
 	}
 	return moved, n
--- a/internal/simulation/demo/demo.go
+++ b/internal/simulation/demo/demo.go
@@ -215,7 +215,7 @@
 			Priority: priority, Backend: "shop", MaxAttempts: 3}
 	}
 	body, err := msgpack.Marshal(&meshconfig.Config{Revision: 1, Backends: []meshconfig.Backend{{Name: "shop"}}, Routes: []*meshconfig.Route{
-		route("order", meshconfig.Once, 0), route("ask", meshconfig.Repeatable, 1), route("browse", meshconfig.Repeatable, 2)}})
+		route("order", meshconfig.NonIdempotent, 0), route("ask", meshconfig.Idempotent, 1), route("browse", meshconfig.Idempotent, 2)}})
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
--- a/internal/simulation/lab/scenario.go
+++ b/internal/simulation/lab/scenario.go
@@ -351,9 +351,9 @@
 		c.Backends = append(c.Backends, meshconfig.Backend{Name: s.Name})
 	}
 	add := func(r Route) {
-		kind := meshconfig.Repeatable
+		kind := meshconfig.Idempotent
 		if r.Once {
-			kind = meshconfig.Once
+			kind = meshconfig.NonIdempotent
 		}
 		c.Routes = append(c.Routes, &meshconfig.Route{Name: r.Name, Host: host, Prefix: "/" + r.Name + "/", Kind: kind,
 			TimeoutMs: r.TimeoutMs, TargetLatencyMs: r.AimMs, Priority: r.Priority, Backend: r.Service, MaxAttempts: r.MaxAttempts})
--- a/internal/simulation/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -145,7 +145,7 @@
 	for hop := range c.Depth + 1 {
 		service := serviceName(c.machine(hop) % c.Services)
 		m.Backends = append(m.Backends, meshconfig.Backend{Name: service})
-		m.Routes = append(m.Routes, &meshconfig.Route{Name: fmt.Sprintf("hop-%d", hop), Host: routeHost, Prefix: fmt.Sprintf("/hop-%d/", hop), Kind: meshconfig.Once,
+		m.Routes = append(m.Routes, &meshconfig.Route{Name: fmt.Sprintf("hop-%d", hop), Host: routeHost, Prefix: fmt.Sprintf("/hop-%d/", hop), Kind: meshconfig.NonIdempotent,
 			TimeoutMs: float64(hopTimeout.Milliseconds()), TargetLatencyMs: 1000, Backend: service, MaxAttempts: 1})
 	}
 	return m
--- a/internal/simulation/scale/run.go
+++ b/internal/simulation/scale/run.go
@@ -179,7 +179,7 @@
 	}
 	for i := range r.Routes {
 		c.Routes = append(c.Routes, &meshconfig.Route{
-			Name: fmt.Sprintf("route-%05d", i), Host: routeHost, Prefix: fmt.Sprintf("/route-%05d/", i), Kind: meshconfig.Repeatable,
+			Name: fmt.Sprintf("route-%05d", i), Host: routeHost, Prefix: fmt.Sprintf("/route-%05d/", i), Kind: meshconfig.Idempotent,
 			TimeoutMs: 2000, TargetLatencyMs: 200, Priority: i % 3, Backend: serviceName(i % r.Services), MaxAttempts: 3,
 		})
 	}
--- a/internal/transport/rpc/liveness.go
+++ b/internal/transport/rpc/liveness.go
@@ -13,12 +13,12 @@
 // checkLiveness pings an idle peer, and gives up one that does not answer.
 func (c *conn) checkLiveness(wall time.Time) {
 	busy := c.expireStreams(wall)
-	now, heard, asked := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
-	quiet, open := time.Duration(now-heard)*time.Millisecond, time.Duration(0)
-	if asked > heard {
-		open = time.Duration(now-asked) * time.Millisecond
+	now, received, pinged := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
+	quiet, pingAge := time.Duration(now-received)*time.Millisecond, time.Duration(0)
+	if pinged > received {
+		pingAge = time.Duration(now-pinged) * time.Millisecond
 	}
-	ping, dead := pingDecision(busy, quiet, open)
+	ping, dead := pingDecision(busy, quiet, pingAge)
 	if dead {
 		c.fail(fmt.Errorf("nothing from %s for %v", c.nc.RemoteAddr(), quiet))
 		return
--- a/internal/transport/sock/sock.go
+++ b/internal/transport/sock/sock.go
@@ -1,5 +1,4 @@
-// Package sock looks at sockets beyond what package net shows; the balancer's
-// node and the mesh's both use it.
+// Package sock has what the programs need of sockets beyond package net. The balancer's node and the mesh use it.
 package sock
 
 import (
@@ -10,30 +9,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Look looks at one connection; not for use by several goroutines.
-type Look struct {
-	raw   syscall.RawConn
-	one   [1]byte
-	quiet bool
-	read  func(fd uintptr) bool // made once, as it is needed for each request
+// Inspector inspects a connection without reading from it. It belongs to one goroutine.
+type Inspector struct {
+	raw  syscall.RawConn
+	one  [1]byte
+	idle bool
+	read func(fd uintptr) bool // made once, as it is needed for each request
 }
 
-// NewLook returns a Look at a connection.
-func NewLook(raw syscall.RawConn) *Look {
-	l := &Look{raw: raw}
+// NewInspector returns an Inspector of a connection.
+func NewInspector(raw syscall.RawConn) *Inspector {
+	l := &Inspector{raw: raw}
 	l.read = func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), l.one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		l.quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		l.idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	}
 	return l
 }
 
-// Quiet reports whether an idle connection has nothing to read, not even its end.
+// Idle reports whether a connection has nothing to read, not even its end.
 // Its read deadline must not be past.
-func (l *Look) Quiet() bool {
-	l.quiet = false
-	return l.raw.Read(l.read) == nil && l.quiet
+func (l *Inspector) Idle() bool {
+	l.idle = false
+	return l.raw.Read(l.read) == nil && l.idle
 }
 
 // UserTimeout bounds how long the kernel waits for the peer to take in what was sent. A system that has no such bound
