--- a/internal/controlplane/raft/fingerprint.go
+++ b/internal/controlplane/raft/fingerprint.go
@@ -16,63 +16,70 @@
 // timeouts that it has passed. rename maps identities to numbers, so that states which differ by identities alone have
 // the same fingerprint.
 func (n *Node) AppendFingerprint(b []byte, rename func(uint64) uint64) []byte {
-	u := func(x uint64) { b = binary.AppendUvarint(b, x) }
-	flag := func(f bool) {
-		if f {
-			u(1)
-		} else {
-			u(0)
-		}
-	}
-	u(rename(n.id))
-	u(uint64(n.state))
-	u(rename(n.leaderID))
-	u(n.hardState.Term)
-	u(rename(n.hardState.Vote))
-	u(n.stable)
-	u(n.committed)
-	u(n.applied)
-	flag(n.now-n.leaderContactAt < electionMin)
-	flag(n.now >= n.electionDeadline)
-	u(n.snapshot.Index)
-	u(n.snapshot.Term)
-	b = appendPeers(b, n.snapshot.GetPeers().GetPeers(), rename)
-	u(n.base.index)
-	u(n.base.term)
-	u(uint64(len(n.entries)))
-	for _, e := range n.entries {
-		b = AppendEntry(b, e, rename)
-	}
+	b = appendNumbers(b, rename(n.id), uint64(n.state), rename(n.leaderID), n.hardState.Term, rename(n.hardState.Vote))
+	b = appendFlags(b, n.now-n.leaderContactAt < electionMin, n.now >= n.electionDeadline)
+	b = n.raftLog.appendFingerprint(b, rename)
 	if n.state == statePreCandidate || n.state == stateCandidate {
 		b = appendIDs(b, slices.Collect(maps.Keys(n.votes)), rename)
 	}
-	if n.state != stateLeader {
-		return b
+	if n.state == stateLeader {
+		b = n.appendLeaderFingerprint(b, rename)
 	}
-	flag(n.isolated())
-	u(n.heartbeatRound)
-	for r := n.heartbeatRound; r > 0 && n.heartbeatRound-r < 4; r-- { // what an answer to one of them would prove
+	return b
+}
+
+// appendFingerprint appends the log's part.
+func (l *raftLog) appendFingerprint(b []byte, rename func(uint64) uint64) []byte {
+	b = appendNumbers(b, l.stable, l.committed, l.applied, l.snapshot.Index, l.snapshot.Term)
+	b = appendPeers(b, l.snapshot.GetPeers().GetPeers(), rename)
+	b = appendNumbers(b, l.base.index, l.base.term, uint64(len(l.entries)))
+	for _, e := range l.entries {
+		b = AppendEntry(b, e, rename)
+	}
+	return b
+}
+
+// fingerprintRounds is how many of the last rounds of heartbeats differ by what an answer to them would confirm.
+const fingerprintRounds = 4
+
+// appendLeaderFingerprint appends a leader's part.
+func (n *Node) appendLeaderFingerprint(b []byte, rename func(uint64) uint64) []byte {
+	b = appendFlags(b, n.isolated())
+	b = appendNumbers(b, n.heartbeatRound)
+	for r := n.heartbeatRound; r > 0 && n.heartbeatRound-r < fingerprintRounds; r-- {
 		at, ok := n.roundStartedAt[r]
-		flag(ok && n.now-at <= electionMax)
+		b = appendFlags(b, ok && n.now-at <= electionMax)
 	}
-	u(rename(n.leadTransferee))
+	b = appendNumbers(b, rename(n.leadTransferee))
 	ids := slices.SortedFunc(maps.Keys(n.progress), func(x, y uint64) int { return cmp.Compare(rename(x), rename(y)) })
 	for _, id := range ids {
 		p := n.progress[id]
-		u(rename(id))
-		u(p.match)
-		u(p.next)
-		u(p.heartbeatRound)
-		flag(n.now-p.lastContact > recentContact)
-		u(p.snapshot.GetIndex())
-		flag(n.now >= p.snapshotRetryAt)
-		flag(n.now-p.lastContact >= snapshotTimeout)
+		b = appendNumbers(b, rename(id), p.match, p.next, p.heartbeatRound)
+		b = appendFlags(b, n.now-p.lastContact > recentContact)
+		b = appendNumbers(b, p.snapshot.GetIndex())
+		b = appendFlags(b, n.now >= p.snapshotRetryAt, n.now-p.lastContact >= snapshotTimeout)
 	}
-	u(uint64(len(n.pendingReads)))
+	b = appendNumbers(b, uint64(len(n.pendingReads)))
 	for _, r := range n.pendingReads {
-		u(r.token)
-		u(r.index)
-		u(r.heartbeatRound)
+		b = appendNumbers(b, r.token, r.index, r.heartbeatRound)
+	}
+	return b
+}
+
+func appendNumbers(b []byte, numbers ...uint64) []byte {
+	for _, x := range numbers {
+		b = binary.AppendUvarint(b, x)
+	}
+	return b
+}
+
+func appendFlags(b []byte, flags ...bool) []byte {
+	for _, f := range flags {
+		if f {
+			b = append(b, 1)
+		} else {
+			b = append(b, 0)
+		}
 	}
 	return b
 }
@@ -94,28 +101,13 @@
 
 // AppendMessage appends a message's fingerprint to b.
 func AppendMessage(b []byte, m *wire.RaftMessage, rename func(uint64) uint64) []byte {
-	u := func(x uint64) { b = binary.AppendUvarint(b, x) }
-	u(uint64(m.Kind))
-	u(rename(m.From))
-	u(rename(m.To))
-	u(m.Term)
-	u(m.Index)
-	u(m.LogTerm)
-	u(m.Commit)
-	u(m.HeartbeatRound)
-	for _, f := range []bool{m.Reject, m.PreVote, m.LeadershipTransfer} {
-		if f {
-			u(1)
-		} else {
-			u(0)
-		}
-	}
+	b = appendNumbers(b, uint64(m.Kind), rename(m.From), rename(m.To), m.Term, m.Index, m.LogTerm, m.Commit, m.HeartbeatRound)
+	b = appendFlags(b, m.Reject, m.PreVote, m.LeadershipTransfer)
 	if s := m.Snapshot; s != nil {
-		u(s.Index)
-		u(s.Term)
+		b = appendNumbers(b, s.Index, s.Term)
 		b = appendPeers(b, s.GetPeers().GetPeers(), rename)
 	}
-	u(uint64(len(m.Entries)))
+	b = appendNumbers(b, uint64(len(m.Entries)))
 	for _, e := range m.Entries {
 		b = AppendEntry(b, e, rename)
 	}
--- a/internal/controlplane/server/http_config_test.go
+++ b/internal/controlplane/server/http_config_test.go
@@ -31,7 +31,7 @@
 	}
 	n := &Server{
 		log: slog.New(slog.DiscardHandler), startedAt: time.Now(), events: make(chan func(), 64), replaceSlots: make(chan struct{}, maxReplacing), ctx: ctx,
-		replica: newReplica(disk, rpc.NewPool(ctx)), pool: rpc.NewPool(ctx), hub: relay.NewHub(func() time.Duration { return 0 }),
+		replica: newReplica(disk, rpc.NewPool(ctx, rpc.PoolOptions{})), pool: rpc.NewPool(ctx, rpc.PoolOptions{}), hub: relay.NewHub(func() time.Duration { return 0 }),
 	}
 	const address = "127.0.0.1:1"
 	n.settings.Store(&nodefile.Settings{Node: "n", Control: address, Seeds: []string{address}, Bootstrap: true, IP: "127.0.0.1", Ports: [2]int{2, 3}})
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -105,7 +105,7 @@
 func (q *quorum) register(from, to int) {
 	ctx, cancel := context.WithTimeout(q.t.Context(), time.Minute)
 	defer cancel()
-	pool := rpc.NewPool(ctx)
+	pool := rpc.NewPool(ctx, rpc.PoolOptions{})
 	var leader atomic.Pointer[string]
 	first := q.settings[0].Internal()
 	leader.Store(&first)
--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -23,7 +23,7 @@
 			}
 			for what, value := range map[string]float64{"term": float64(s.Term), "commit": float64(s.Commit), "leads": leads, "revision": float64(s.Revision),
 				"members": float64(len(s.Members)), "voters": float64(voters), "servers": float64(len(s.Servers)),
-				"age_seconds": srv.contactAge().Seconds(), "identity_refused": float64(srv.rejectedCalls.Load()), "identity_ends_seconds": srv.pool.Identity.Remaining().Seconds()} {
+				"age_seconds": srv.contactAge().Seconds(), "identity_refused": float64(srv.rejectedCalls.Load()), "identity_ends_seconds": srv.pool.Identity().Remaining().Seconds()} {
 				list = append(list, metrics.Reading{Value: value, Labels: []string{what}})
 			}
 			return list
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -107,16 +107,16 @@
 	if st.Damaged != nil {
 		log.Error("store.damaged", "err", st.Damaged, "moved_to", "log.damaged, beside the new folder")
 	}
+	secured := rpc.PoolOptions{Identity: source}
 	srv := &Server{
 		log:          log,
 		startedAt:    time.Now(),
 		ctx:          ctx,
 		events:       make(chan func(), maxQueuedEvents),
 		replaceSlots: make(chan struct{}, maxReplacing),
-		pool:         rpc.NewPool(ctx),
-		replica:      newReplica(st, rpc.NewPool(ctx)),
+		pool:         rpc.NewPool(ctx, secured),
+		replica:      newReplica(st, rpc.NewPool(ctx, secured)),
 	}
-	srv.pool.Identity, srv.snapshotPool.Identity = source, source
 	srv.settings.Store(settings)
 	srv.contactAt.Store(-int64(raft.MaxContactAge))
 	srv.hub = relay.NewHub(func() time.Duration { return srv.now() - time.Duration(srv.contactAt.Load()) })
@@ -151,7 +151,7 @@
 		return listeners{}, fmt.Errorf("listening to operators: %w", err)
 	}
 	if settings.SecureOperator {
-		operator = tls.NewListener(operator, srv.pool.Identity.Server())
+		operator = tls.NewListener(operator, srv.pool.Identity().Server())
 	}
 	return listeners{internal, operator}, nil
 }
@@ -163,7 +163,7 @@
 	operatorServer := srv.newOperatorServer()
 	if settings.Metrics != "" {
 		srv.metrics = srv.newMetrics()
-		secure := program.Secure(srv.pool.Identity, settings.SecureMetrics)
+		secure := program.Secure(srv.pool.Identity(), settings.SecureMetrics)
 		srv.workers.Go(func() { srv.metrics.Serve(srv.ctx, settings.Metrics, secure, srv.log) })
 	}
 	srv.workers.Go(func() { rpcServer.Serve(srv.ctx, l.internal) })
@@ -175,8 +175,7 @@
 
 // newRPCServer registers the methods that other processes call. Their names are frozen: see the proto files.
 func (srv *Server) newRPCServer() *rpc.Server {
-	s := rpc.NewServer(srv.log)
-	s.Identity, s.Rejected = srv.pool.Identity, &srv.rejectedCalls
+	s := rpc.NewServer(rpc.ServerOptions{Log: srv.log, Identity: srv.pool.Identity(), Rejected: &srv.rejectedCalls})
 	srv.gossip.Register(s)
 	s.Handle("raft", srv.raftStream, identity.QuorumMember)
 	s.Handle("snapshot", srv.snapshotStream, identity.QuorumMember)
--- a/internal/dataplane/proxy/bed_test.go
+++ b/internal/dataplane/proxy/bed_test.go
@@ -114,11 +114,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := rpc.NewServer(log)
+	server := rpc.NewServer(rpc.ServerOptions{Log: log, Identity: source})
 	server.Handle("forward", rpc.Unary(b.in.Forward))
-	server.Identity = source
-	b.out = &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: 10 * time.Second, Pool: rpc.NewPool(ctx), Log: log, Graph: b.in.Graph, CallFailed: b.in.CallFailed}
-	b.out.Pool.Identity = source
+	b.out = &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: 10 * time.Second, Pool: rpc.NewPool(ctx, rpc.PoolOptions{Identity: source}), Log: log, Graph: b.in.Graph, CallFailed: b.in.CallFailed}
 	b.out.Start(1)
 	b.out.Share(1000)
 	handle := func(ctx context.Context, c *Call) *Answer {
--- a/internal/dataplane/proxy/schedule_test.go
+++ b/internal/dataplane/proxy/schedule_test.go
@@ -319,7 +319,7 @@
 func newEntryNode(t *testing.T, cluster *ClusterState) *Outbound {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	out := &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: time.Second, Pool: rpc.NewPool(ctx), Log: slog.New(slog.DiscardHandler)}
+	out := &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: time.Second, Pool: rpc.NewPool(ctx, rpc.PoolOptions{}), Log: slog.New(slog.DiscardHandler)}
 	out.Start(1)
 	out.Update(cluster)
 	return out
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -84,7 +84,7 @@
 	})
 	if set.Metrics != "" {
 		n.workers.Go(func() {
-			n.outbound.Metrics.Serve(running, set.Metrics, program.Secure(n.pool.Identity, set.SecureMetrics), log)
+			n.outbound.Metrics.Serve(running, set.Metrics, program.Secure(n.pool.Identity(), set.SecureMetrics), log)
 		})
 	}
 	log.Info("sidecar.started", "node", set.Node, "service", set.Backend)
@@ -101,11 +101,11 @@
 // newNode makes the parts of a node; none of them runs yet. Connections to other nodes end with the context.
 func newNode(running context.Context, set *nodefile.Settings, log *slog.Logger) (*Node, error) {
 	rng := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), rand.Uint64()))
-	n := &Node{log: log, began: time.Now(), pool: rpc.NewPool(running)}
-	var err error
-	if n.pool.Identity, err = program.Identity(set, log); err != nil {
+	source, err := program.Identity(set, log)
+	if err != nil {
 		return nil, err
 	}
+	n := &Node{log: log, began: time.Now(), pool: rpc.NewPool(running, rpc.PoolOptions{Identity: source})}
 	n.set.Store(set)
 	n.shares.Known = set.Bootstrap
 	n.inbound = proxy.NewInbound(set.Bounds.Drain, set.HeartbeatInterval, log)
@@ -136,8 +136,7 @@
 
 // rpcServer answers other nodes.
 func (n *Node) rpcServer() *rpc.Server {
-	server := rpc.NewServer(n.log)
-	server.Identity, server.Rejected = n.pool.Identity, &n.refused
+	server := rpc.NewServer(rpc.ServerOptions{Log: n.log, Identity: n.pool.Identity(), Rejected: &n.refused})
 	n.agent.Register(server)
 	server.Handle("forward", rpc.Unary(n.inbound.Forward))
 	server.Handle("trace", rpc.Unary(n.trace), identity.QuorumMember)
--- a/internal/dataplane/sidecar/metrics.go
+++ b/internal/dataplane/sidecar/metrics.go
@@ -73,7 +73,7 @@
 		metrics.One("ivydeck_update_age_seconds", "Since the state was known to be the newest.", func() float64 { return n.follower.Age().Seconds() }),
 		metrics.One("ivydeck_update_depth", "Places between this node and the quorum.", func() float64 { return float64(n.hub.Depth()) }),
 		metrics.One("ivydeck_identity_refused", "Connections and calls of others that were refused for their identity.", func() float64 { return float64(n.refused.Load()) }),
-		metrics.One("ivydeck_identity_ends_seconds", "Time that is left of this process's certificate; -1: it has none.", func() float64 { return n.pool.Identity.Remaining().Seconds() }),
+		metrics.One("ivydeck_identity_ends_seconds", "Time that is left of this process's certificate; -1: it has none.", func() float64 { return n.pool.Identity().Remaining().Seconds() }),
 		metrics.One("ivydeck_client_connections", "Open.", func() float64 { return float64(n.front.Open()) }),
 		metrics.One("ivydeck_client_requests", "Without an answer.", func() float64 { return float64(n.front.Pending()) }),
 	)
--- a/internal/distribution/agent/leader_test.go
+++ b/internal/distribution/agent/leader_test.go
@@ -15,7 +15,7 @@
 	set := &nodefile.Settings{Node: "n9", Class: nodefile.SidecarMachine, IP: "127.7.0.9", Zone: "z", Ports: [2]int{1, 1},
 		Seeds: []string{"127.7.0.1:2", "127.7.0.2:2", "127.7.0.3:2"}}
 	a = New(Options{
-		Settings: func() *nodefile.Settings { return set }, Pool: rpc.NewPool(ctx), Seed: 1, Log: slog.New(slog.DiscardHandler),
+		Settings: func() *nodefile.Settings { return set }, Pool: rpc.NewPool(ctx, rpc.PoolOptions{}), Seed: 1, Log: slog.New(slog.DiscardHandler),
 		Servers: func() []localserver.Heartbeat { return nil }, Draining: func() bool { return false },
 	})
 	return a, set.SeedNodes()
--- a/internal/simulation/scale/hollow.go
+++ b/internal/simulation/scale/hollow.go
@@ -135,15 +135,14 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	log := slog.New(slog.DiscardHandler)
-	pool := rpc.NewPool(ctx)
-	pool.Dial = p.network.dialer(machine)
+	pool := rpc.NewPool(ctx, rpc.PoolOptions{Dial: p.network.dialer(machine)})
 	beat := localserver.Heartbeat{ID: serverName(machine), Service: set.Backend, Address: fmt.Sprintf("%s:%d", set.IP, p.job.Ports.Server), Zone: set.Zone, Slots: slots}
 	n := &hollowNode{machine: machine, server: beat, changed: make(chan struct{}, 1), end: end, ended: make(chan struct{})}
 	n.agent = agent.New(agent.Options{
 		Settings: func() *nodefile.Settings { return set }, Pool: pool, Seed: rand.Uint64(), Log: log,
 		Servers: n.servers, ServersChanged: n.changed, Draining: func() bool { return false },
 	})
-	server := rpc.NewServer(log)
+	server := rpc.NewServer(rpc.ServerOptions{Log: log})
 	n.agent.Register(server)
 	var running sync.WaitGroup
 	running.Go(func() { server.Serve(ctx, p.network.listener(machine, listener)) })
--- a/internal/simulation/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -121,7 +121,7 @@
 		return nil, fmt.Errorf("hops: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	c := &chain{HopOptions: o, run: &run{layout: l, dir: dir, core: &operator.Client{}, pool: rpc.NewPool(ctx), began: time.Now(), running: map[int]bool{}, report: new(Report)}}
+	c := &chain{HopOptions: o, run: &run{layout: l, dir: dir, core: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), began: time.Now(), running: map[int]bool{}, report: new(Report)}}
 	defer c.end()
 	report, err := c.play(ctx)
 	if err != nil {
--- a/internal/simulation/scale/run.go
+++ b/internal/simulation/scale/run.go
@@ -67,7 +67,7 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &run{layout: l, dir: dir, core: &operator.Client{}, pool: rpc.NewPool(ctx), began: time.Now(), running: map[int]bool{}}
+	r := &run{layout: l, dir: dir, core: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), began: time.Now(), running: map[int]bool{}}
 	r.report = &Report{
 		Command: o.Command, Began: r.began.UTC().Truncate(time.Second), Cores: runtime.NumCPU(), Nodes: o.Nodes, Real: o.Real,
 		Processes: l.processes(), Routes: o.Routes, Services: o.Services, Zones: o.Zones, Regions: o.Regions,
--- a/internal/transport/rpc/fuzz_test.go
+++ b/internal/transport/rpc/fuzz_test.go
@@ -42,7 +42,7 @@
 	f.Add([]byte{0, 0, 0, 3, 8})
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := NewServer(slog.New(slog.DiscardHandler))
+		s := NewServer(ServerOptions{Log: slog.New(slog.DiscardHandler)})
 		s.Handle("echo", Unary(func(ctx context.Context, p *wire.ProposeRequest) (*wire.ProposeRequest, error) { return p, nil }))
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
--- a/internal/transport/rpc/identity_test.go
+++ b/internal/transport/rpc/identity_test.go
@@ -45,8 +45,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	server := NewServer(log)
-	server.Identity = source(ours, identity.QuorumMember, "")
+	server := NewServer(ServerOptions{Log: log, Identity: source(ours, identity.QuorumMember, "")})
 	var reached atomic.Int32
 	echo := Unary(func(ctx context.Context, p *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 		reached.Add(1)
@@ -76,9 +75,8 @@
 		{"one that does not trust us", "all", source(ours, identity.Node, other.Bundle()), false},
 		{"one without an identity", "all", nil, false},
 	} {
-		pool := NewPool(ctx)
-		pool.Identity = c.who
-		before, refused := reached.Load(), server.Rejected.Load()
+		pool := NewPool(ctx, PoolOptions{Identity: c.who})
+		before, refused := reached.Load(), server.options.Rejected.Load()
 		until := time.Now().Add(10 * time.Second)
 		out := new(wire.ForwardResponse)
 		peer, err := pool.Live(ctx, until, l.Addr().String())
@@ -95,10 +93,10 @@
 			t.Errorf("%s: the handler does not know its caller", c.what)
 		}
 		counted := !c.taken && c.what != "one that does not trust us"
-		for counted && server.Rejected.Load() == refused && time.Now().Before(until) {
+		for counted && server.options.Rejected.Load() == refused && time.Now().Before(until) {
 			runtime.Gosched() // the caller has its error before the server has counted it
 		}
-		if counted && server.Rejected.Load() == refused {
+		if counted && server.options.Rejected.Load() == refused {
 			t.Errorf("%s: not counted", c.what)
 		}
 	}
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -14,16 +14,21 @@
 	"ivydeck/internal/transport/identity"
 )
 
+// PoolOptions configure a Pool. The zero value is a pool of plain TCP connections.
+type PoolOptions struct {
+	// Identity secures the connections, and is shown to peers; nil: connections are not secured.
+	Identity *identity.Source
+	// Dial makes a connection; nil: TCP, as by the host's network. Simulations have networks of their own.
+	Dial func(ctx context.Context, address string) (net.Conn, error)
+}
+
 // Pool makes calls, over one connection to each address. Its methods may be called by any goroutine.
 type Pool struct {
-	Identity *identity.Source // nil: connections are not secured
-	// Dial makes a connection for the pool; nil: a plain TCP connection. To be set before the first call.
-	Dial func(ctx context.Context, address string) (net.Conn, error)
+	options PoolOptions
+	ctx     context.Context
 
-	ctx context.Context
-	mu  sync.Mutex
-	// by address; sweep removes those that are not used
-	conns map[string]*dialResult
+	mu    sync.Mutex
+	conns map[string]*dialResult // by address; sweep removes those that are not used
 	watch watcher
 }
 
@@ -36,11 +41,17 @@
 	used   time.Time
 }
 
-// NewPool returns a pool whose connections end with the context.
-func NewPool(ctx context.Context) *Pool {
-	return &Pool{ctx: ctx, conns: map[string]*dialResult{}}
+// NewPool returns a pool whose connections end with ctx.
+func NewPool(ctx context.Context, options PoolOptions) *Pool {
+	if options.Dial == nil {
+		options.Dial = dialTCP
+	}
+	return &Pool{options: options, ctx: ctx, conns: map[string]*dialResult{}}
 }
 
+// Identity is the identity that the pool shows to peers; nil: connections are not secured.
+func (p *Pool) Identity() *identity.Source { return p.options.Identity }
+
 // get returns the connection to an address, and makes it if there is none.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	p.mu.Lock()
@@ -99,21 +110,17 @@
 
 func (p *Pool) dial(d *dialResult, addr string) {
 	defer close(d.ready)
-	connect := p.Dial
-	if connect == nil {
-		connect = dialTCP
-	}
 	began := time.Now()
-	nc, err := connect(p.ctx, addr)
+	nc, err := p.options.Dial(p.ctx, addr)
 	for isTimeout(err) && time.Since(began) < dialTimeout && p.ctx.Err() == nil { // the machine may be up by now
-		nc, err = connect(p.ctx, addr)
+		nc, err = p.options.Dial(p.ctx, addr)
 	}
 	if err != nil {
 		d.err, d.failed = fmt.Errorf("dialing %s: %w", addr, err), time.Now()
 		return
 	}
-	if p.Identity != nil {
-		secure := tls.Client(nc, p.Identity.Client())
+	if p.options.Identity != nil {
+		secure := tls.Client(nc, p.options.Identity.Client())
 		if err := handshake(p.ctx, secure); err != nil {
 			nc.Close()
 			d.err, d.failed = fmt.Errorf("dialing %s: %w", addr, err), time.Now()
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -31,21 +31,30 @@
 // returns is a PeerError at the caller.
 type Handler func(s *Stream) error
 
-// Server accepts connections of other processes. Its fields must not change after Serve.
-type Server struct {
-	Identity *identity.Source // nil: connections are not secured, and callers not authenticated
-	Rejected *atomic.Int64    // counts connections and calls without a proper identity
+// ServerOptions configure a Server.
+type ServerOptions struct {
+	Log *slog.Logger // required
+	// Identity secures the connections and authenticates callers; nil: connections are not secured.
+	Identity *identity.Source
+	// Rejected counts connections and calls without a proper identity; nil: they are not counted.
+	Rejected *atomic.Int64
+}
 
+// Server accepts connections of other processes.
+type Server struct {
+	options  ServerOptions
 	handlers map[string]method
-	log      *slog.Logger
 	running  sync.WaitGroup
 	workers  *workerpool.Pool // runs the handlers; made by Serve
 	watch    watcher
 }
 
 // NewServer returns a server without methods.
-func NewServer(log *slog.Logger) *Server {
-	return &Server{Rejected: new(atomic.Int64), handlers: map[string]method{}, log: log}
+func NewServer(options ServerOptions) *Server {
+	if options.Rejected == nil {
+		options.Rejected = new(atomic.Int64)
+	}
+	return &Server{options: options, handlers: map[string]method{}}
 }
 
 // method is a handler, with the roles that may call it.
@@ -102,9 +111,9 @@
 	switch peer := st.c.peer; {
 	case !known:
 		err = fmt.Errorf("no method %q", name)
-	case s.Identity != nil && !slices.Contains(m.roles, peer.Role):
-		s.Rejected.Add(1)
-		s.log.Warn("rpc.rejected", "peer", peer.String(), "from", st.c.nc.RemoteAddr().String(), "method", name)
+	case s.options.Identity != nil && !slices.Contains(m.roles, peer.Role):
+		s.options.Rejected.Add(1)
+		s.options.Log.Warn("rpc.rejected", "peer", peer.String(), "from", st.c.nc.RemoteAddr().String(), "method", name)
 		err = fmt.Errorf("%s may not call %s", peer, name)
 	default:
 		err = m.run(st)
@@ -141,7 +150,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return fmt.Errorf("accepting nodes: %w", err)
 			}
-			s.log.Warn("rpc.accept_failed", "err", err)
+			s.options.Log.Warn("rpc.accept_failed", "err", err)
 			select { // out of descriptors, most likely
 			case <-time.After(50 * time.Millisecond):
 			case <-ctx.Done():
@@ -163,11 +172,11 @@
 
 // accept serves a connection until it ends.
 func (s *Server) accept(ctx context.Context, nc net.Conn) {
-	if s.Identity != nil {
-		secure := tls.Server(nc, s.Identity.Server())
+	if s.options.Identity != nil {
+		secure := tls.Server(nc, s.options.Identity.Server())
 		if err := handshake(ctx, secure); err != nil {
-			s.Rejected.Add(1)
-			s.log.Warn("rpc.rejected", "from", nc.RemoteAddr().String(), "err", err)
+			s.options.Rejected.Add(1)
+			s.options.Log.Warn("rpc.rejected", "from", nc.RemoteAddr().String(), "err", err)
 			nc.Close()
 			return
 		}
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	hold = make(chan struct{})
-	s := NewServer(slog.New(slog.DiscardHandler))
+	s := NewServer(ServerOptions{Log: slog.New(slog.DiscardHandler)})
 	s.Handle("echo", Unary(func(_ context.Context, q *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 		return &wire.ForwardResponse{Body: q.Body}, nil
 	}))
@@ -54,14 +54,14 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); s.Serve(ctx, l) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	return l.Addr().String(), NewPool(ctx), hold
+	return l.Addr().String(), NewPool(ctx, PoolOptions{}), hold
 }
 
 // TestTraffic: both sides of a call are in this process, so that each message is counted twice.
 func TestTraffic(t *testing.T) {
 	addr, pool, _ := serve(t)
 	dials := 0
-	pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
+	pool.options.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 		dials++
 		return dialTCP(ctx, address)
 	}
