--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -214,7 +214,7 @@
 		if m.Cancelled.ID == nil {
 			return errors.New("a departure names no request")
 		}
-		h.buf = n.balancer.Gone(h.now, decide.Gone{Request: *m.Cancelled.ID}, h.buf)
+		h.buf = n.balancer.ClientGone(h.now, decide.ClientGone{Request: *m.Cancelled.ID}, h.buf)
 	}
 	if err != nil {
 		return err
@@ -256,7 +256,7 @@
 		return errors.New("a request needs an id and times that are not negative")
 	}
 	h.buf = n.balancer.Request(h.now, decide.Request{
-		ID: *r.ID, Class: class, Tenant: tenant, TTL: r.TTL, Work: r.Work, Repeat: r.Repeat,
+		ID: *r.ID, Class: class, Tenant: tenant, TTL: r.TTL, Work: r.Work, ClientRetry: r.Repeat,
 	}, h.buf)
 	return nil
 }
@@ -301,7 +301,7 @@
 		return h.write("stream_changes", streamChanges{i, true})
 	case decide.Unwatch:
 		return h.write("stream_changes", streamChanges{i, false})
-	case decide.HangUp:
+	case decide.CloseIdle:
 		return h.write("hang_up", toServer{i, a.Server})
 	case decide.Fetch:
 		return h.write("get_list", getList{i})
--- a/cmd/simulator-adapter/wire.go
+++ b/cmd/simulator-adapter/wire.go
@@ -143,7 +143,7 @@
 		"C": decide.Unconnected, "R": decide.Broken, "X": decide.Cancelled, "N": decide.NotSent,
 	}
 	changes = map[string]decide.Change{
-		"diff": decide.ListDiff, "snapshot": decide.ListFull, "disk": decide.ListStored, "error": decide.ListFailed,
+		"diff": decide.ListDelta, "snapshot": decide.ListFull, "disk": decide.ListStored, "error": decide.ListFailed,
 	}
 	states = map[string]decide.Health{
 		"healthy": decide.Healthy, "cordoned": decide.Draining, "deregistered": decide.Removed,
--- a/decide/gate_test.go
+++ b/decide/admission_gate_test.go
@@ -17,28 +17,28 @@
 			g.Begin(now)
 			g.Done(now, time.Duration(r*float64(time.Second)), time.Second)
 		}
-		now += gatePeriod
+		now += gateLatencyPeriod
 	}
 	g.Admit(now, 0)
 	return now
 }
 
 func TestCurvesAreStacked(t *testing.T) {
-	width := (gateTop - gateFoot) / 3
+	width := (gateLatencyMax - gateLatencyMin) / 3
 	for _, c := range []struct{ r, high, middle, low float64 }{
-		{gateFoot - 0.1, 1, 1, 1},
-		{gateFoot + width/4, 1, 1, 0.75},
-		{gateFoot + width, 1, 1, 0},
-		{gateFoot + 1.5*width, 1, 0.5, 0},
-		{gateFoot + 2.75*width, 0.25, 0, 0},
-		{gateTop + 1, 0, 0, 0},
+		{gateLatencyMin - 0.1, 1, 1, 1},
+		{gateLatencyMin + width/4, 1, 1, 0.75},
+		{gateLatencyMin + width, 1, 1, 0},
+		{gateLatencyMin + 1.5*width, 1, 0.5, 0},
+		{gateLatencyMin + 2.75*width, 0.25, 0, 0},
+		{gateLatencyMax + 1, 0, 0, 0},
 	} {
 		g := NewGate(1, 0)
-		g.Priorities([]int{0, 2, 1, 2})
+		g.SetPriorities([]int{0, 2, 1, 2})
 		now := settle(g, c.r)
 		for p, want := range []float64{c.high, c.middle, c.low} {
-			if got := g.Chance(0, p); math.Abs(got-want) > 0.01 {
-				t.Errorf("r %.2f: priority %d has chance %.3f, want %.3f", g.Reading(), p, got, want)
+			if got := g.Probability(0, p); math.Abs(got-want) > 0.01 {
+				t.Errorf("r %.2f: priority %d has chance %.3f, want %.3f", g.NormalizedLatency(), p, got, want)
 			}
 			in := 0
 			for range 2000 {
@@ -47,7 +47,7 @@
 				}
 			}
 			if math.Abs(float64(in)/2000-want) > 0.05 {
-				t.Errorf("r %.2f: %d of 2000 of priority %d are admitted, want %.2f", g.Reading(), in, p, want)
+				t.Errorf("r %.2f: %d of 2000 of priority %d are admitted, want %.2f", g.NormalizedLatency(), in, p, want)
 			}
 		}
 	}
@@ -55,13 +55,13 @@
 
 func TestGateWithNothingInFlight(t *testing.T) {
 	g := NewGate(1, 0)
-	g.Priorities([]int{0})
+	g.SetPriorities([]int{0})
 	now := settle(g, 5)
 	if g.Admit(now, 0) {
 		t.Error("admitted at five aims")
 	}
-	r := g.Reading()
-	if g.Admit(now+10*gatePeriod, 0); g.Reading() != r {
+	r := g.NormalizedLatency()
+	if g.Admit(now+10*gateLatencyPeriod, 0); g.NormalizedLatency() != r {
 		t.Error("periods without outcomes moved r")
 	}
 	g.Done(now, time.Second, 0)
@@ -75,11 +75,11 @@
 func TestGraphsStayOutOfCrowdedServices(t *testing.T) {
 	g, behind := NewGate(1, 0), NewGate(2, 0)
 	for _, x := range []*Gate{g, behind} {
-		x.Priorities([]int{0, 1, 2})
+		x.SetPriorities([]int{0, 1, 2})
 		x.Begin(0)
 	}
 	for i := range 200 {
-		behind.Room(0, i%5 > 2)
+		behind.RecordCapacity(0, i%5 > 2)
 	}
 	in := [3]int{}
 	for range 1000 {
@@ -101,11 +101,11 @@
 		calm bool
 	}{{20, true}, {11, true}, {4, false}, {1, false}} {
 		g := NewGate(1, 0)
-		g.Priorities([]int{0, 1, 2})
+		g.SetPriorities([]int{0, 1, 2})
 		for i := range 400 {
-			g.Room(0, i%c.of > 0)
+			g.RecordCapacity(0, i%c.of > 0)
 		}
-		if g.Calm(0) != c.calm || g.Idle(0) && !c.calm || (g.Chance(0, 2) > 0.99) != c.calm {
+		if g.Calm(0) != c.calm || g.Idle(0) && !c.calm || (g.Probability(0, 2) > 0.99) != c.calm {
 			t.Errorf("one in %d looks in vain: pressure %.2f, calm %v", c.of, g.Pressure(0), g.Calm(0))
 		}
 	}
@@ -115,9 +115,9 @@
 	p := NewPicker(1)
 	var list []Target
 	for i := range 4 {
-		list = append(list, Target{ID: fmt.Sprint("near", i), Near: true}, Target{ID: fmt.Sprint("far", i)})
+		list = append(list, Target{ID: fmt.Sprint("near", i), Local: true}, Target{ID: fmt.Sprint("far", i)})
 	}
-	p.List(0, list, 0)
+	p.SetTargets(0, list, 0)
 	counts := map[string]int{}
 	for range 40 { // none ends: the load has to spread, over this zone first
 		id, _, ok := p.Pick(0, nil)
@@ -133,33 +133,33 @@
 	}
 	// The count of own calls says little where all callers are near: a server that says of late that it has room is
 	// not left for another zone's.
-	for word, far := range map[Word]bool{{Pace: 1, Fill: 0.5}: false, {Pace: 1, Fill: 0.9}: true, {}: true} {
+	for word, far := range map[ServerReport]bool{{RelativeLatency: 1, Utilization: 0.5}: false, {RelativeLatency: 1, Utilization: 0.9}: true, {}: true} {
 		p := NewPicker(1)
-		p.List(0, []Target{{ID: "near", Near: true}, {ID: "far"}}, 0)
-		for range 2 * farStep {
+		p.SetTargets(0, []Target{{ID: "near", Local: true}, {ID: "far"}}, 0)
+		for range 2 * localPreference {
 			p.Begin("near")
 		}
 		p.Begin("near")
 		p.End(time.Second, "near", Served, word)
-		for age, far := range map[time.Duration]bool{0: far, 2 * fillFor: true} {
+		for age, far := range map[time.Duration]bool{0: far, 2 * utilizationWindow: true} {
 			if id, _, _ := p.Pick(time.Second+age, nil); (id == "far") != far {
 				t.Errorf("%v after its word %+v %s was picked", age, word, id)
 			}
 		}
 	}
 	// One that fails again and again is left alone, one with a queue comes last, one that is tried never.
-	for range ejectAfter {
-		p.End(0, "near0", Broken, Word{})
+	for range maxConsecutiveFailures {
+		p.End(0, "near0", Broken, ServerReport{})
 	}
 	for _, id := range []string{"near1", "near2", "near3"} {
-		p.End(0, id, Served, Word{Waiting: true})
+		p.End(0, id, Served, ServerReport{Queued: true})
 	}
 	for range 50 {
 		if id, _, _ := p.Pick(0, []string{"far0"}); id == "far0" || id[0] == 'n' {
 			t.Errorf("picked %s", id)
 		}
 	}
-	p.List(0, list[:1], 0)
+	p.SetTargets(0, list[:1], 0)
 	if id, _, ok := p.Pick(0, nil); !ok || id != "near0" {
 		t.Errorf("the only server, though ejected, is better than none: %q, %v", id, ok)
 	}
@@ -177,11 +177,11 @@
 		p := NewPicker(1)
 		var list []Target
 		for i := range c.all {
-			list = append(list, Target{ID: fmt.Sprint(i), Near: true})
+			list = append(list, Target{ID: fmt.Sprint(i), Local: true})
 		}
-		p.List(0, list, 0)
+		p.SetTargets(0, list, 0)
 		for i := range c.unhealthy {
-			p.End(0, fmt.Sprint(i), Unhealthy, Word{})
+			p.End(0, fmt.Sprint(i), Unhealthy, ServerReport{})
 		}
 		met := 0
 		for range 400 {
@@ -194,13 +194,13 @@
 		if (met == 0) != c.avoided {
 			t.Errorf("%+v: %d of 400 went to unhealthy ones", c, met)
 		}
-		if id, _, _ := p.Pick(failingFor, nil); id == "" {
+		if id, _, _ := p.Pick(unhealthyServerPause, nil); id == "" {
 			t.Errorf("%+v: none later", c)
 		}
 	}
 	p := NewPicker(1)
-	p.List(0, []Target{{ID: "a", Near: true}, {ID: "b", Near: true}, {ID: "c", Near: true}}, 0)
-	p.End(0, "c", Unhealthy, Word{})
+	p.SetTargets(0, []Target{{ID: "a", Local: true}, {ID: "b", Local: true}, {ID: "c", Local: true}}, 0)
+	p.End(0, "c", Unhealthy, ServerReport{})
 	if id, unhealthy, ok := p.Pick(0, []string{"a", "b"}); !ok || id != "c" || !unhealthy {
 		t.Errorf("the last that is left: %q, %v, %v", id, unhealthy, ok)
 	}
@@ -211,19 +211,19 @@
 	const n = 4000
 	for _, c := range []struct {
 		name        string
-		slow, fast  Word
+		slow, fast  ServerReport
 		later       time.Duration
 		least, most float64 // part that the slow one of two has
 	}{
-		{"a slow server", Word{Pace: 1.4}, Word{Pace: 0.7}, time.Second, 0, 0},
-		{"one that was slow long ago", Word{Pace: 1.4}, Word{Pace: 0.7}, time.Hour, 0.45, 0.55},
-		{"one listed long ago that nobody has asked", Word{}, Word{Pace: 1}, time.Hour, 0.45, 0.55},
-		{"a full one", Word{Pace: 1, Fill: 1}, Word{Pace: 1}, 0, 0, 0},
-		{"one that was full long ago", Word{Pace: 1, Fill: 1}, Word{Pace: 1}, time.Minute, 0.45, 0.55},
-		{"one of which nothing is known", Word{}, Word{Pace: 1}, 0, 0, 0},
+		{"a slow server", ServerReport{RelativeLatency: 1.4}, ServerReport{RelativeLatency: 0.7}, time.Second, 0, 0},
+		{"one that was slow long ago", ServerReport{RelativeLatency: 1.4}, ServerReport{RelativeLatency: 0.7}, time.Hour, 0.45, 0.55},
+		{"one listed long ago that nobody has asked", ServerReport{}, ServerReport{RelativeLatency: 1}, time.Hour, 0.45, 0.55},
+		{"a full one", ServerReport{RelativeLatency: 1, Utilization: 1}, ServerReport{RelativeLatency: 1}, 0, 0, 0},
+		{"one that was full long ago", ServerReport{RelativeLatency: 1, Utilization: 1}, ServerReport{RelativeLatency: 1}, time.Minute, 0.45, 0.55},
+		{"one of which nothing is known", ServerReport{}, ServerReport{RelativeLatency: 1}, 0, 0, 0},
 	} {
 		p := NewPicker(1)
-		p.List(0, []Target{{ID: "fast", Near: true}, {ID: "slow", Near: true}}, 0)
+		p.SetTargets(0, []Target{{ID: "fast", Local: true}, {ID: "slow", Local: true}}, 0)
 		p.End(0, "slow", Served, c.slow)
 		p.End(0, "fast", Served, c.fast)
 		slow := 0
@@ -237,9 +237,9 @@
 		}
 	}
 	p := NewPicker(1)
-	p.List(0, []Target{{ID: "fast", Near: true}, {ID: "slow", Near: true}}, 0)
-	p.End(0, "slow", Served, Word{Pace: 1.4})
-	p.End(0, "fast", Served, Word{Pace: 0.7})
+	p.SetTargets(0, []Target{{ID: "fast", Local: true}, {ID: "slow", Local: true}}, 0)
+	p.End(0, "slow", Served, ServerReport{RelativeLatency: 1.4})
+	p.End(0, "fast", Served, ServerReport{RelativeLatency: 0.7})
 	for range 2 {
 		p.Begin("fast")
 	}
@@ -261,25 +261,25 @@
 		for n := range c.nodes {
 			var list []Target
 			for i := range c.servers {
-				list = append(list, Target{ID: fmt.Sprint("i-", i), Near: zone(i) == zone(n)})
+				list = append(list, Target{ID: fmt.Sprint("i-", i), Local: zone(i) == zone(n)})
 			}
 			p := NewPicker(1)
-			p.List(0, list, Place(fmt.Sprint("node", n), names[zone(n)]))
-			if size := len(p.near) + len(p.far); size != meshSubset {
+			p.SetTargets(0, list, SubsetPosition(fmt.Sprint("node", n), names[zone(n)]))
+			if size := len(p.local) + len(p.remote); size != pickerSubsetSize {
 				t.Fatalf("a subset of %d", size)
 			}
-			for _, s := range slices.Concat(p.near, p.far) {
+			for _, s := range slices.Concat(p.local, p.remote) {
 				used[s.ID]++
 			}
 		}
-		mean := float64(c.nodes*meshSubset) / float64(c.servers)
+		mean := float64(c.nodes*pickerSubsetSize) / float64(c.servers)
 		for i := range c.servers {
 			if n := float64(used[fmt.Sprint("i-", i)]); n < mean/2-1 || n > 1.6*mean+1 {
 				t.Errorf("%d nodes, %d servers: server %d is in %g subsets, %.1f on average", c.nodes, c.servers, i, n, mean)
 			}
 		}
 	}
-	if Place("b", []string{"a", "b"}) == Place("a", []string{"a", "b"}) || Place("x", nil) != 0 {
+	if SubsetPosition("b", []string{"a", "b"}) == SubsetPosition("a", []string{"a", "b"}) || SubsetPosition("x", nil) != 0 {
 		t.Error("places are not each node's own")
 	}
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -16,7 +16,7 @@
 		{1.05, 0.55, 1.05, 0},
 		{9, 0.55, 1.05, 0},
 	} {
-		if got := curve(c.r, c.a, c.b); math.Abs(got-c.want) > 1e-9 {
+		if got := linearProbability(c.r, c.a, c.b); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("curve(%v, %v, %v) = %v, want %v", c.r, c.a, c.b, got, c.want)
 		}
 	}
@@ -40,12 +40,12 @@
 func TestChanceIsNoCrowd(t *testing.T) {
 	few, many := node(1), node(100)
 	for b, n := range map[*Balancer]int{few: crowd, many: 100 * crowd} {
-		b.crowd = float64(n)
+		b.meanConcurrency = float64(n)
 	}
-	if c := few.crowding(); c > 0.9 {
+	if c := few.concurrencyRatio(); c > 0.9 {
 		t.Errorf("crowding %v where one server has what it holds on average", c)
 	}
-	if c := many.crowding(); c < 0.9 {
+	if c := many.concurrencyRatio(); c < 0.9 {
 		t.Errorf("crowding %v where a hundred servers have", c)
 	}
 }
@@ -53,16 +53,16 @@
 // A moment with many calls at a node that sees few is chance, and no reason to refuse the highest worth.
 func TestMomentaryCrowdIsAveraged(t *testing.T) {
 	b := node(1)
-	b.crowd = 1
+	b.meanConcurrency = 1
 	for i := range 9 {
 		b.calls[1000+uint64(i)] = &call{}
 	}
 	offer(b, time.Second, 1, 1)
-	if p := b.admits(9); p < 1 {
+	if p := b.admissionProbability(9); p < 1 {
 		t.Errorf("the highest worth is let in with %v after a moment of 9 calls", p)
 	}
 	offer(b, time.Second, 1, 50)
-	if p := b.admits(9); p > 0 {
+	if p := b.admissionProbability(9); p > 0 {
 		t.Errorf("the highest worth is let in with %v where 9 calls and more stay", p)
 	}
 }
@@ -71,23 +71,23 @@
 // the tiers below may be what is short.
 func TestGrownFleetIsNoRoomAtOnce(t *testing.T) {
 	b := node(4)
-	b.crowd = 10
-	before := b.crowding()
+	b.meanConcurrency = 10
+	before := b.concurrencyRatio()
 	var list []Server
 	for i := range 12 {
 		list = append(list, Server{ID: fmt.Sprint("s", i)})
 	}
 	b.Members(2*time.Second, Members{Change: ListFull, Servers: list}, nil)
-	if c := b.crowding(); c < before {
+	if c := b.concurrencyRatio(); c < before {
 		t.Errorf("crowding falls from %v to %v as servers are added", before, c)
 	}
-	b.r = 0.2
-	for now := 3 * time.Second; now < 20*time.Second; now += period {
-		b.limited = true
-		b.begin(now, nil)
+	b.normalizedLatency = 0.2
+	for now := 3 * time.Second; now < 20*time.Second; now += latencyPeriod {
+		b.concurrencyLimited = true
+		b.beginEvent(now, nil)
 	}
-	if b.known != 12 {
-		t.Errorf("%v servers count as room after calm refusals, want 12", b.known)
+	if b.countedServers != 12 {
+		t.Errorf("%v servers count as room after calm refusals, want 12", b.countedServers)
 	}
 }
 
@@ -101,7 +101,7 @@
 			offer(b, time.Second, classes[i%len(classes)], 1)
 		}
 		for p := 0.5; ; p += 0.01 {
-			if b.r, b.crowd = curveFoot+p*(curveTop-curveFoot), 0; b.admits(9) < 1 {
+			if b.normalizedLatency, b.meanConcurrency = admissionLatencyMin+p*(admissionLatencyMax-admissionLatencyMin), 0; b.admissionProbability(9) < 1 {
 				return p
 			}
 		}
@@ -114,10 +114,10 @@
 // Refused clients come back at once; marked repeats must not crowd out the first tries of their worth, nor
 // give way to first tries of a lesser one.
 func TestRepeatsGiveWayToFirstTries(t *testing.T) {
-	b := New(Settings{MarksRepeats: true, Classes: []Class{{Worth: 1}, {Worth: 9}}}, 1, 0)
+	b := New(Settings{MarksClientRetries: true, Classes: []Class{{Value: 1}, {Value: 9}}}, 1, 0)
 	for at := 0.0; at < 1; at += 0.01 {
-		b.r = curveFoot + at*(curveTop-curveFoot)
-		p := []float64{b.admits(1 * repeatWorth), b.admits(1), b.admits(9 * repeatWorth), b.admits(9)}
+		b.normalizedLatency = admissionLatencyMin + at*(admissionLatencyMax-admissionLatencyMin)
+		p := []float64{b.admissionProbability(1 * retryValueFactor), b.admissionProbability(1), b.admissionProbability(9 * retryValueFactor), b.admissionProbability(9)}
 		for i := range 3 {
 			if p[i] > 0 && p[i+1] < 1 {
 				t.Fatalf("at %v of the stack level %d is let in with %v, the next with %v", at, i, p[i], p[i+1])
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-const crowd = 1 + 2*tierCrowd // presumed where there is one tier
+const crowd = 1 + 2*callsPerTier // presumed where there is one tier
 
 // node returns a front proxy, alone before n servers, with a low and a high worth.
 func node(n int) *Balancer {
 	b := New(Settings{
-		Nodes: 1, MaxTries: 3, AnswerGrace: 10 * ms,
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms,
 		Classes: []Class{
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 9},
+			{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1},
+			{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 9},
 		},
 	}, 1, time.Second)
 	var list []Server
@@ -48,8 +48,8 @@
 // twoZones returns a front proxy of zone x among four, before two servers in each of zones x and y.
 func twoZones(price float64) *Balancer {
 	b := New(Settings{
-		Nodes: 4, MaxTries: 3, AnswerGrace: 10 * ms, Zone: "x", Prices: Prices{CrossZone: price},
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Nodes: 4, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x", Prices: Prices{CrossZone: price},
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}},
 	}, 1, time.Second)
 	b.Members(time.Second, Members{Change: ListFull, Servers: []Server{
 		{ID: "x1", Zone: "x"}, {ID: "x2", Zone: "x"}, {ID: "y1", Zone: "y"}, {ID: "y2", Zone: "y"},
@@ -63,8 +63,8 @@
 		price, late, want float64
 	}{{0, 0.4, 1}, {0.2, 0.4, 2}, {0.2, 0.25, 5}, {0.2, 0.1, 1000}, {0.2, 0, 1000}} {
 		b := twoZones(c.price)
-		b.late = c.late
-		if got := b.farCost(); math.Abs(got-c.want) > 1e-6 {
+		b.meanLatency = c.late
+		if got := b.remoteLoadFactor(); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("price %v, response time %v: a far server counts %v times, want %v", c.price, c.late, got, c.want)
 		}
 	}
@@ -74,7 +74,7 @@
 func timeOut(b *Balancer, now time.Duration, server string) {
 	for _, id := range slices.Sorted(maps.Keys(b.calls)) {
 		c := b.calls[id]
-		if n := len(c.attempts) - 1; n >= 0 && c.open > 0 && c.attempts[n].server.ID == server {
+		if n := len(c.attempts) - 1; n >= 0 && c.pendingAttempts > 0 && c.attempts[n].server.ID == server {
 			b.Outcome(now, Outcome{Request: id, Attempt: n, Server: server, Result: TimedOut, Elapsed: time.Second}, nil)
 		}
 	}
@@ -84,7 +84,7 @@
 // keeps a tier full.
 // Those without a connection did not; where servers accept few, a request must find the one that does.
 func TestRetriesDrawOnTheBudget(t *testing.T) {
-	for result, most := range map[Result]int{Full: 8 + retryBurst, TimedOut: 8 + retryBurst, Unconnected: 8 * 3} {
+	for result, most := range map[Result]int{Full: 8 + retryBudgetBurst, TimedOut: 8 + retryBudgetBurst, Unconnected: 8 * 3} {
 		if sends := storm(result); sends > most || result == Unconnected && sends < most {
 			t.Errorf("%d sends of 8 requests that all end with %d, want %d", sends, result, most)
 		}
@@ -122,18 +122,18 @@
 		{"one server hangs", func(id string) bool { return id == "s0" }, false},
 	} {
 		b := node(6)
-		b.set.MaySecondCopy = true
+		b.settings.MayHedge = true
 		now, hung, copies := time.Second, false, 0
 		for range 12 {
 			for range 4 { // leave some idle
 				nextID++
 				b.calls = map[uint64]*call{}
 				for _, a := range b.Request(now, Request{ID: nextID, Class: 1, Tenant: -1, TTL: 2 * time.Second}, nil) {
-					hung = hung || a.Kind == HangUp
+					hung = hung || a.Kind == CloseIdle
 					if a.Kind != Send {
 						continue
 					}
-					if span := b.calls[nextID].attempts[0].span; span < 0 || !c.lost(a.Server) {
+					if span := b.calls[nextID].attempts[0].idleBucket; span < 0 || !c.lost(a.Server) {
 						b.Outcome(now, Outcome{Request: nextID, Server: a.Server, Elapsed: ms, Final: true}, nil)
 						continue
 					}
@@ -163,7 +163,7 @@
 			others++
 		}
 	}
-	b.unmade = 2 * unmadeMost
+	b.connectFailureRate = 2 * maxConnectFailureRate
 	for range 40 {
 		if s := b.pick(&call{}); s.ID != "s3" {
 			t.Fatalf("%s is picked, to which there is no connection", s.ID)
@@ -178,9 +178,9 @@
 func TestAttemptsOfALeftClientAreCancelled(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		b := node(4)
-		b.set.MayCancel = may
+		b.settings.MayCancel = may
 		offer(b, time.Second, 0, 1)
-		out := b.Gone(time.Second, Gone{nextID}, nil)
+		out := b.ClientGone(time.Second, ClientGone{nextID}, nil)
 		if got := len(out) == 1 && out[0] == (Action{Kind: Cancel, Request: nextID}); got != may {
 			t.Errorf("cancels allowed: %v, actions %v", may, out)
 		}
@@ -203,7 +203,7 @@
 	lost.Attempt = 0
 	b.Outcome(time.Second, lost, nil) // goes again
 	b.Outcome(time.Second, lost, nil)
-	if c := b.calls[id]; c == nil || c.open != 1 || len(c.attempts) != 2 {
+	if c := b.calls[id]; c == nil || c.pendingAttempts != 1 || len(c.attempts) != 2 {
 		t.Errorf("an outcome told twice counts twice: %+v", c)
 	}
 }
@@ -212,9 +212,9 @@
 func TestNonsenseIsAnswered(t *testing.T) {
 	for i, set := range []Settings{
 		{},
-		{Node: -7, Nodes: -2, MaxTries: -1, Classes: []Class{{Aim: -time.Second, Deadline: -1, Worth: -3}}},
-		{Tier: 9, Tiers: 2, MayAdviseReturn: true, MaxRetryAfter: -time.Second, Classes: []Class{{Worth: 1}}, MustAsk: true},
-		{Tenants: []Tenant{{Quota: -5}}, Classes: []Class{{Effect: 77, Group: 99, KeyTTL: -1}}, ColdFor: -1, FallFor: -1},
+		{Node: -7, Nodes: -2, MaxAttempts: -1, Classes: []Class{{LatencyTarget: -time.Second, Deadline: -1, Value: -3}}},
+		{Tier: 9, Tiers: 2, MayAdviseReturn: true, MaxRetryAfter: -time.Second, Classes: []Class{{Value: 1}}, ListOnRequest: true},
+		{Tenants: []Tenant{{Quota: -5}}, Classes: []Class{{Effect: 77, Group: 99, KeyTTL: -1}}, SlowStartDuration: -1, FallFor: -1},
 	} {
 		b := New(set, 1, time.Second)
 		b.Members(time.Second, Members{Change: ListFull, Servers: []Server{{}, {ID: "s", Weight: -1, Started: 5}}}, nil)
@@ -245,7 +245,7 @@
 		for range 3 {
 			for _, id := range slices.Sorted(maps.Keys(b.calls)) {
 				take(b.Timer(now, Timer{id}, nil))
-				if c := b.calls[id]; c != nil && c.open > 0 {
+				if c := b.calls[id]; c != nil && c.pendingAttempts > 0 {
 					n := len(c.attempts) - 1
 					take(b.Outcome(now, Outcome{Request: id, Attempt: n, Server: sends[id], Result: TimedOut}, nil))
 				}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,9 +10,9 @@
 // A node keeps one Balancer, hands it each event with the time, and carries out what comes back.
 func Example() {
 	set := decide.Settings{
-		Nodes: 1, MaxTries: 3, AnswerGrace: 10 * time.Millisecond,
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * time.Millisecond,
 		Classes: []decide.Class{{
-			Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: decide.Repeatable,
+			LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Value: 1, Effect: decide.Idempotent,
 		}},
 	}
 	now := time.Duration(0) // the node's own monotonic clock
--- a/decide/picker.go
+++ b/decide/picker.go
@@ -11,187 +11,249 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Word is what the node beside a server says of it; without a Pace it says nothing.
-type Word struct {
-	Pace    float64 // time that a request takes there, in the time of its like elsewhere
-	Fill    float64 // requests that it has and that wait for it, by its slots
-	Waiting bool    // some wait
+// The picker's subset and preferences.
+const (
+	pickerSubsetSize    = 8    // servers of a service that a node keeps to ...
+	pickerRemoteServers = 3    // ... of which so many are in other zones, if there are any
+	localPreference     = 3    // calls in flight that a local server may have more than a remote one ...
+	maxLocalUtilization = 0.75 // ... or any number, as long as it reports less than this
+
+	fullServerPause       = 60 * time.Millisecond  // without calls, for a server without a free slot
+	terminatedServerPause = time.Second            // for one that accepts nothing any more
+	unhealthyServerPause  = 600 * time.Millisecond // for an unhealthy one
+	queuedServerPause     = 200 * time.Millisecond // a report of a queue holds for so long
+
+	utilizationWindow      = 400 * time.Millisecond // over which a reported utilization fades
+	relativeLatencyWindow  = 5 * time.Second        // over which a reported latency fades
+	unknownRelativeLatency = 2                      // of a server without a report
+	maxUnhealthyShare      = 0.4                    // of the subset that is avoided as unhealthy
+)
+
+// ServerReport is what the node beside a server reports of it; without a RelativeLatency it reports nothing.
+type ServerReport struct {
+	RelativeLatency float64 // time that a request takes there, in multiples of the time elsewhere
+	Utilization     float64 // running and queued requests, by its slots
+	Queued          bool    // requests are queued
 }
 
-// Target is a server as the list has it.
+// Target is a server of the registry.
 type Target struct {
-	ID   string
-	Near bool // it stands in this node's zone
+	ID    string
+	Local bool // in this node's zone
 }
 
 // target is a server as this node sees it.
 type target struct {
 	Target
-	health
-	rank      uint64
-	rest      time.Duration // left alone until then
-	busy      time.Duration // requests wait there, until then as far as is known
-	unhealthy time.Duration // it fails too many, the same
-	pace      float64       // time that a request takes there against others; 0: not known
-	fill      float64       // its slots that were taken, as last heard ...
-	toldAt    time.Duration // ... then
+	outlierState
+	ringPosition    uint64
+	pausedUntil     time.Duration // it receives no calls until then
+	queuedUntil     time.Duration // requests are queued there, as far as is known
+	unhealthyUntil  time.Duration // it is unhealthy, as far as is known
+	relativeLatency float64       // as last reported ...
+	utilization     float64       // ... with this ...
+	reportedAt      time.Duration // ... at this time
 }
 
-// Picker picks the servers for one service's calls.
+// Picker picks the servers for the calls to one service. It belongs to one goroutine, or to the holder of a
+// lock.
 type Picker struct {
-	rng       *rand.Rand
-	targets   map[string]*target
-	near, far []*target // the subset
-	scratch   []*target
+	rng        *rand.Rand
+	targets    map[string]*target
+	local      []*target // the subset's part in the own zone
+	remote     []*target // the subset's part in other zones
+	candidates []*target // scratch space of usable
 }
 
 // NewPicker returns a picker without servers.
 func NewPicker(seed uint64) *Picker {
-	return &Picker{rng: rand.New(rand.NewPCG(seed, 0x91c4)), targets: map[string]*target{}}
+	return &Picker{rng: rand.New(rand.NewPCG(seed, pickerStream)), targets: map[string]*target{}}
 }
 
-// Place is a node's place among the nodes of its zone, in [0, 1). Subsets that begin at even places have all
-// servers in nearly as many of them; by a hash of each node's own name some servers were in none.
-func Place(node string, nodes []string) float64 {
+// SubsetPosition is a node's position among the nodes of its zone, in [0, 1). Subsets that begin at even
+// positions have each server in nearly as many of them as any other; by a hash of each node's own name, some
+// servers would be in none.
+func SubsetPosition(node string, nodes []string) float64 {
 	before, all, own := 0, 1, xxhash.Sum64String(node)
 	for _, n := range nodes {
-		if n != node {
-			all++
-			if h := xxhash.Sum64String(n); h < own || h == own && n < node {
-				before++
-			}
+		if n == node {
+			continue
+		}
+		all++
+		if h := xxhash.Sum64String(n); h < own || h == own && n < node {
+			before++
 		}
 	}
 	return float64(before) / float64(all)
 }
 
-// List replaces the list of servers that may be sent to. The place is where the subset begins; see Place.
-func (p *Picker) List(now time.Duration, list []Target, place float64) {
+// SetTargets replaces the servers that may be picked. position is where the subset begins: see
+// SubsetPosition.
+func (p *Picker) SetTargets(now time.Duration, list []Target, position float64) {
 	old := p.targets
-	p.targets, p.near, p.far = make(map[string]*target, len(list)), nil, nil
+	p.targets, p.local, p.remote = make(map[string]*target, len(list)), nil, nil
 	for _, e := range list {
 		t := old[e.ID]
 		if t == nil {
-			t = &target{rank: xxhash.Sum64String(e.ID), pace: untold, toldAt: now - fillFor}
+			t = &target{
+				ringPosition:    xxhash.Sum64String(e.ID),
+				relativeLatency: unknownRelativeLatency,
+				reportedAt:      now - utilizationWindow,
+			}
 		}
 		t.Target = e
 		p.targets[e.ID] = t
-		if e.Near {
-			p.near = append(p.near, t)
+		if e.Local {
+			p.local = append(p.local, t)
 		} else {
-			p.far = append(p.far, t)
+			p.remote = append(p.remote, t)
 		}
 	}
-	byRank := func(a, b *target) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), strings.Compare(a.ID, b.ID))
+	byPosition := func(a, b *target) int {
+		return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), strings.Compare(a.ID, b.ID))
+	}
+	slices.SortFunc(p.local, byPosition)
+	slices.SortFunc(p.remote, byPosition)
+	remote := min(len(p.remote), max(pickerRemoteServers, pickerSubsetSize-len(p.local)))
+	local := min(len(p.local), pickerSubsetSize-remote)
+	p.local, p.remote = ringSegment(p.local, local, position), ringSegment(p.remote, remote, position)
+}
+
+// Pick returns the server for a call: of two random servers of the subset the one with fewer calls in flight,
+// in this zone unless that is much busier. Servers with a queue come after those of any zone without one.
+// Those in attempted are excluded, and so are unhealthy ones, unless so many are that the cause must be
+// elsewhere. If none of the subset is left, any other server is better than no answer.
+func (p *Picker) Pick(now time.Duration, attempted []string) (id string, unhealthy, ok bool) {
+	t := p.pickFromSubset(now, attempted)
+	if t == nil {
+		t = p.pickFromAll(now, attempted)
 	}
-	slices.SortFunc(p.near, byRank)
-	slices.SortFunc(p.far, byRank)
-	far := min(len(p.far), max(meshFar, meshSubset-len(p.near)))
-	p.near, p.far = arc(p.near, min(len(p.near), meshSubset-far), place), arc(p.far, far, place)
-}
-
-// Pick returns the server for a call: of two random members of the subset the one with fewer own calls in
-// flight, in this zone where that is not much busier. Servers before which requests wait come after those of
-// any zone that have room. Those in tried are left out, and those that are unhealthy, unless so many are that
-// the cause must lie elsewhere. Where none of the subset is left, any other server is better than no answer.
-func (p *Picker) Pick(now time.Duration, tried []string) (id string, unhealthy, ok bool) {
-	wave, load := p.wave(now), p.load(now)
-	for _, room := range []bool{true, false} {
-		near := lesser(p.rng, p.usable(now, p.near, tried, room, wave), load)
-		far := lesser(p.rng, p.usable(now, p.far, tried, room, wave), load)
+	if t == nil {
+		return "", false, false
+	}
+	return t.ID, t.unhealthyUntil > now, true
+}
+
+// pickFromSubset returns a server of the subset; nil: none is usable.
+func (p *Picker) pickFromSubset(now time.Duration, attempted []string) *target {
+	ignoreHealth, load := p.mostlyUnhealthy(now), p.load(now)
+	for _, withoutQueue := range []bool{true, false} {
+		local := lessLoaded(p.rng, p.usable(now, p.local, attempted, withoutQueue, ignoreHealth), load)
+		remote := lessLoaded(p.rng, p.usable(now, p.remote, attempted, withoutQueue, ignoreHealth), load)
 		switch {
-		case near != nil && (far == nil || near.inflight < far.inflight+farStep || near.roomy(now)):
-			return near.ID, near.unhealthy > now, true
-		case far != nil:
-			return far.ID, far.unhealthy > now, true
+		case local != nil && (remote == nil || local.preferredTo(remote, now)):
+			return local
+		case remote != nil:
+			return remote
 		}
 	}
-	for _, wave := range []bool{wave, true} {
-		p.scratch = p.scratch[:0]
+	return nil
+}
+
+// pickFromAll returns any server, an unhealthy one if there is no other; nil: none is usable.
+func (p *Picker) pickFromAll(now time.Duration, attempted []string) *target {
+	load := p.load(now)
+	for _, ignoreHealth := range []bool{p.mostlyUnhealthy(now), true} {
+		p.candidates = p.candidates[:0]
 		for _, t := range p.targets {
-			if !slices.Contains(tried, t.ID) && t.rest <= now && (wave || t.unhealthy <= now) {
-				p.scratch = append(p.scratch, t)
+			usable := t.pausedUntil <= now && (ignoreHealth || t.unhealthyUntil <= now)
+			if usable && !slices.Contains(attempted, t.ID) {
+				p.candidates = append(p.candidates, t)
 			}
 		}
-		slices.SortFunc(p.scratch, func(a, b *target) int { return strings.Compare(a.ID, b.ID) })
-		if t := lesser(p.rng, p.scratch, load); t != nil {
-			return t.ID, t.unhealthy > now, true
+		slices.SortFunc(p.candidates, func(a, b *target) int { return strings.Compare(a.ID, b.ID) })
+		if t := lessLoaded(p.rng, p.candidates, load); t != nil {
+			return t
 		}
 	}
-	return "", false, false
+	return nil
 }
 
-// wave reports whether too many of the subset are unhealthy.
-func (p *Picker) wave(now time.Duration) bool {
-	unhealthy, all := 0, len(p.near)+len(p.far)
-	for _, list := range [][]*target{p.near, p.far} {
+// mostlyUnhealthy reports whether too many servers of the subset are unhealthy to avoid them.
+func (p *Picker) mostlyUnhealthy(now time.Duration) bool {
+	unhealthy, all := 0, len(p.local)+len(p.remote)
+	for _, list := range [][]*target{p.local, p.remote} {
 		for _, t := range list {
-			if t.unhealthy > now {
+			if t.unhealthyUntil > now {
 				unhealthy++
 			}
 		}
 	}
-	return unhealthy == all || float64(unhealthy) > max(1, maxFailing*float64(all))
+	return unhealthy == all || float64(unhealthy) > max(1, maxUnhealthyShare*float64(all))
 }
 
-// load is the own calls in flight, weighed by what the node beside the server says of its pace and its load,
-// as long as that is fresh: with one call in flight or none, as on most servers of a large mesh, the count
-// alone is blind. What is old fades, lest a server stay empty that was slow once, or is new.
+// load is the calls in flight, weighed by the reported latency and utilization as long as they are fresh:
+// with one call in flight or none, as on most servers of a large mesh, the count alone says nothing. Reports
+// fade, lest a server stay without calls that was slow once, or is new.
 func (p *Picker) load(now time.Duration) func(t *target) float64 {
 	return func(t *target) float64 {
-		age := float64(now - t.toldAt)
-		pace, fill := 1+(t.pace-1)*math.Exp(-age/float64(paceFor)), t.fill*math.Exp(-age/float64(fillFor))
-		return float64(t.inflight+1) * pace * (1 + fill)
+		age := float64(now - t.reportedAt)
+		latency := 1 + (t.relativeLatency-1)*math.Exp(-age/float64(relativeLatencyWindow))
+		utilization := t.utilization * math.Exp(-age/float64(utilizationWindow))
+		return float64(t.inflight+1) * latency * (1 + utilization)
 	}
 }
 
-// roomy reports whether a server has said of late that it has slots to spare.
-func (t *target) roomy(now time.Duration) bool { return now-t.toldAt < fillFor && t.fill < nearFill }
+// preferredTo reports whether a local server is to be picked rather than a remote one.
+func (t *target) preferredTo(remote *target, now time.Duration) bool {
+	return t.inflight < remote.inflight+localPreference || t.hasCapacity(now)
+}
 
-func (p *Picker) usable(now time.Duration, list []*target, tried []string, room, wave bool) []*target {
-	p.scratch = p.scratch[:0]
+// hasCapacity reports whether a server has lately reported free slots.
+func (t *target) hasCapacity(now time.Duration) bool {
+	return now-t.reportedAt < utilizationWindow && t.utilization < maxLocalUtilization
+}
+
+// usable lists the servers of a list that may be picked.
+func (p *Picker) usable(
+	now time.Duration, list []*target, attempted []string, withoutQueue, ignoreHealth bool,
+) []*target {
+	p.candidates = p.candidates[:0]
 	for _, t := range list {
-		fit := !t.out(now) && t.rest <= now && !(room && t.busy > now) && (wave || t.unhealthy <= now)
-		if fit && !slices.Contains(tried, t.ID) {
-			p.scratch = append(p.scratch, t)
+		switch {
+		case t.avoid(now), t.pausedUntil > now:
+		case withoutQueue && t.queuedUntil > now:
+		case !ignoreHealth && t.unhealthyUntil > now:
+		case slices.Contains(attempted, t.ID):
+		default:
+			p.candidates = append(p.candidates, t)
 		}
 	}
-	return p.scratch
+	return p.candidates
 }
 
-// Begin counts a call sent to a server.
+// Begin counts a call that is sent to a server.
 func (p *Picker) Begin(id string) {
 	if t := p.targets[id]; t != nil {
 		t.inflight++
 	}
 }
 
-// End takes the result of a call. Full is a server without room, NotSent one that takes nothing any more;
-// word is what the node beside it says of it.
-func (p *Picker) End(now time.Duration, id string, r Result, word Word) {
+// End takes the result of a call, with the report of the node beside the server. Full is a server without a
+// free slot, NotSent one that accepts nothing any more.
+func (p *Picker) End(now time.Duration, id string, r Result, report ServerReport) {
 	t := p.targets[id]
 	if t == nil {
 		return
 	}
 	t.inflight = max(0, t.inflight-1)
-	t.busy = 0
-	if word.Waiting {
-		t.busy = now + busyFor
+	t.queuedUntil = 0
+	if report.Queued {
+		t.queuedUntil = now + queuedServerPause
 	}
-	if word.Pace > 0 {
-		t.pace, t.fill, t.toldAt = word.Pace, word.Fill, now
+	if report.RelativeLatency > 0 {
+		t.relativeLatency, t.utilization, t.reportedAt = report.RelativeLatency, report.Utilization, now
 	}
 	switch r {
 	case Unhealthy:
-		t.unhealthy = now + failingFor
+		t.unhealthyUntil = now + unhealthyServerPause
 	case Served, Errored:
-		t.served()
+		t.recordSuccess()
 	case Full:
-		t.rest = now + restFor
+		t.pausedUntil = now + fullServerPause
 	case NotSent:
-		t.rest = now + goneFor
+		t.pausedUntil = now + terminatedServerPause
 	case Unconnected, Broken, TimedOut:
-		t.fail(now, ejectAfter)
+		t.recordFailure(now, maxConsecutiveFailures)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -71,7 +71,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, 3)
-			w.broken, w.set.MaxTries = true, 9
+			w.broken, w.set.MaxAttempts = true, 9
 			w.servers = map[string]*listed{
 				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"}, gone: true},
 				"cold": {Server: Server{ID: "cold", Cell: 1, Started: w.now}},
@@ -113,7 +113,7 @@
 	for now := time.Duration(0); now < length; now += 10 * ms {
 		if started, yes := restart(int(now / (10 * ms))); yes {
 			for _, b := range all {
-				b.Members(now, Members{Change: ListDiff, Servers: []Server{{ID: "s0", Started: started}}}, nil)
+				b.Members(now, Members{Change: ListDelta, Servers: []Server{{ID: "s0", Started: started}}}, nil)
 			}
 		}
 		for len(flying) > 0 && flying[0].at <= now {
@@ -142,8 +142,8 @@
 	const restartAt = 5 * time.Second
 	for _, nodes := range []int{4, 24} {
 		set := Settings{
-			ColdFrom: 0.1, ColdFor: 20 * time.Second, FallMultiple: 2.5, FallFor: time.Second, MaxTries: 2,
-			Tier: 1, AnswerGrace: 10 * ms, Classes: []Class{{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
+			SlowStartMinShare: 0.1, SlowStartDuration: 20 * time.Second, FallMultiple: 2.5, FallFor: time.Second, MaxAttempts: 2,
+			Tier: 1, AnswerGrace: 10 * ms, Classes: []Class{{LatencyTarget: 9 * time.Second, Deadline: 9 * time.Second, Value: 1}},
 		}
 		// Every node takes 100 requests a second; the servers, twice as many, can just do that, and hold so
 		// many calls that a cold one looks idle.
@@ -163,8 +163,8 @@
 					n++
 				}
 			}
-			age := (at - restartAt).Seconds() / set.ColdFor.Seconds()
-			if room := set.FallMultiple * (set.ColdFrom + (1-set.ColdFrom)*age) * capacity; float64(n) > room {
+			age := (at - restartAt).Seconds() / set.SlowStartDuration.Seconds()
+			if room := set.FallMultiple * (set.SlowStartMinShare + (1-set.SlowStartMinShare)*age) * capacity; float64(n) > room {
 				t.Fatalf("%d nodes: %d sends within %v at age %v, room for %.1f", nodes, n, set.FallFor, at-restartAt, room)
 			}
 		}
@@ -178,27 +178,27 @@
 // draining or gone, whatever the order of lists, failures and repeats; and an empty list loses no call.
 func TestStaleListIsFollowed(t *testing.T) {
 	set := Settings{
-		Nodes: 1, MustAsk: true, AskWithin: 4 * time.Second, MaxTries: 3, AnswerGrace: 10 * ms,
-		Classes: []Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}},
+		Nodes: 1, ListOnRequest: true, ListRequestInterval: 4 * time.Second, MaxAttempts: 3, AnswerGrace: 10 * ms,
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Value: 1}},
 	}
 	b := New(set, 1, 0)
 	asked := 0
 	watch := func(actions []Action) {
 		for _, a := range actions {
-			if a.Kind == Watch || a.Kind == After && a.Token == askToken {
+			if a.Kind == Watch || a.Kind == After && a.Token == listTimerToken {
 				asked++
 			}
 		}
 	}
 	watch(b.Members(0, Members{Change: ListStored, Servers: []Server{{ID: "old"}, {ID: "kept"}}}, nil))
-	watch(b.Timer(ms, Timer{askToken}, nil))
+	watch(b.Timer(ms, Timer{listTimerToken}, nil))
 	watch(b.Members(2*ms, Members{Change: ListFailed}, nil))
 	if asked < 3 {
 		t.Errorf("asked %d times after a stored list and a failure", asked)
 	}
 	b.Members(3*ms, Members{Change: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
 	b.Members(3*ms, Members{Change: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
-	b.Members(3*ms, Members{Change: ListDiff, Servers: []Server{{ID: "new", Health: Draining}, {ID: "odd", Health: Removed}}}, nil)
+	b.Members(3*ms, Members{Change: ListDelta, Servers: []Server{{ID: "new", Health: Draining}, {ID: "odd", Health: Removed}}}, nil)
 	for id := range uint64(20) {
 		for _, a := range b.Request(4*ms, Request{ID: id, Tenant: -1, TTL: time.Second}, nil) {
 			if a.Kind == Send && a.Server != "kept" {
--- a/decide/rules_world_test.go
+++ b/decide/rules_world_test.go
@@ -77,16 +77,16 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	zones := []string{"x", "y", "z"}[:1+rng.IntN(3)]
 	set := Settings{
-		Node: rng.IntN(3), Nodes: 3, Tier: rng.IntN(3), Zone: zones[0], MustAsk: rng.IntN(2) == 0,
-		AskWithin: 4 * time.Second, ColdFrom: 0.3, ColdFor: 5 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
-		AnswerGrace: 8 * ms, MaxTries: 1 + rng.IntN(6), MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
-		MaySecondCopy: rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MayAdviseReturn: rng.IntN(2) == 0,
-		OverShareWorth: 0.2,
+		Node: rng.IntN(3), Nodes: 3, Tier: rng.IntN(3), Zone: zones[0], ListOnRequest: rng.IntN(2) == 0,
+		ListRequestInterval: 4 * time.Second, SlowStartMinShare: 0.3, SlowStartDuration: 5 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
+		AnswerGrace: 8 * ms, MaxAttempts: 1 + rng.IntN(6), MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
+		MayHedge: rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MayAdviseReturn: rng.IntN(2) == 0,
+		OverQuotaValue: 0.2,
 	}
-	for effect := Repeatable; effect <= Once; effect++ {
+	for effect := Idempotent; effect <= NonIdempotent; effect++ {
 		for group := GroupAll; group <= GroupCell; group++ {
 			set.Classes = append(set.Classes, Class{
-				Aim: 300 * ms, Deadline: 900 * ms, Worth: float64(1 + rng.IntN(3)), LateWorth: float64(rng.IntN(2)) / 2,
+				LatencyTarget: 300 * ms, Deadline: 900 * ms, Value: float64(1 + rng.IntN(3)), LateValueShare: float64(rng.IntN(2)) / 2,
 				Effect: effect, Group: group, KeyTTL: 400 * ms,
 			})
 		}
@@ -200,7 +200,7 @@
 		w.open[r.ID] = &owed{Request: r, deadline: w.now + r.TTL}
 		w.take(w.balancer.Request(w.now, r, w.buf[:0]))
 	case p < 203:
-		w.members(Members{ListDiff, []Server{w.newServer(zones)}})
+		w.members(Members{ListDelta, []Server{w.newServer(zones)}})
 	case p < 208 && len(w.ids) > 0:
 		if s := w.servers[w.ids[w.rng.IntN(len(w.ids))]]; s != nil {
 			e := s.Server
@@ -208,7 +208,7 @@
 			if e.Health == Healthy {
 				e.Started = w.now
 			}
-			w.members(Members{ListDiff, []Server{e}})
+			w.members(Members{ListDelta, []Server{e}})
 		}
 	case p < 209:
 		var full []Server
@@ -218,15 +218,15 @@
 			}
 		}
 		w.members(Members{ListFull, full})
-	case p < 210 && w.set.MustAsk:
+	case p < 210 && w.set.ListOnRequest:
 		w.members(Members{ListFailed, nil})
 	case p < 215:
 		if ids := slices.Sorted(maps.Keys(w.open)); len(ids) > 0 && ids[0]%7 == 0 {
 			delete(w.open, ids[0])
-			w.take(w.balancer.Gone(w.now, Gone{ids[0]}, w.buf[:0]))
+			w.take(w.balancer.ClientGone(w.now, ClientGone{ids[0]}, w.buf[:0]))
 		}
 	case p < 217: // events for what is not held
-		w.take(w.balancer.Gone(w.now, Gone{1 << 40}, w.buf[:0]))
+		w.take(w.balancer.ClientGone(w.now, ClientGone{1 << 40}, w.buf[:0]))
 		w.take(w.balancer.Timer(w.now, Timer{1 << 41}, w.buf[:0]))
 		w.take(w.balancer.Outcome(w.now, Outcome{Request: 1 << 40, Server: "unknown"}, w.buf[:0]))
 		w.take(w.balancer.Probed(w.now, Probed{Server: "unknown"}, w.buf[:0]))
@@ -261,7 +261,7 @@
 				w.fail("a cancel that is not permitted")
 			}
 		case Watch, Fetch:
-			if !w.set.MustAsk {
+			if !w.set.ListOnRequest {
 				w.fail("asked for a list that comes by itself")
 			}
 		case Probe:
@@ -280,8 +280,8 @@
 		w.fail("a send for request %d, which is not owed", a.Request)
 	case s == nil || s.gone:
 		w.fail("a send to %s, which drains or is gone", a.Server)
-	case len(c.sent) >= w.set.MaxTries:
-		w.fail("more than %d attempts", w.set.MaxTries)
+	case len(c.sent) >= w.set.MaxAttempts:
+		w.fail("more than %d attempts", w.set.MaxAttempts)
 	case a.Wait <= 0 || w.now+a.Wait > c.deadline:
 		w.fail("an attempt of %v, %v are left", a.Wait, c.deadline-w.now)
 	}
@@ -295,7 +295,7 @@
 			continue
 		}
 		switch {
-		case class.Effect == Once:
+		case class.Effect == NonIdempotent:
 			w.fail("an effect could happen twice")
 		case class.Effect == Keyed && w.now-t.at > class.KeyTTL:
 			w.fail("a repeat after the key was forgotten")
@@ -304,11 +304,11 @@
 			w.fail("a repeat outside the group that drops it")
 		}
 	}
-	if open > 1 || open == 1 && !w.set.MaySecondCopy {
+	if open > 1 || open == 1 && !w.set.MayHedge {
 		w.fail("%d attempts at once", open+1)
 	}
 	c.sent = append(c.sent, try{server: s, at: w.now, open: true})
-	if s.Started > 0 && w.now-s.Started < w.set.ColdFor {
+	if s.Started > 0 && w.now-s.Started < w.set.SlowStartDuration {
 		// The budget of one of three nodes, were the server able to do 100 requests a second.
 		w.sends[s.ID] = append(w.sends[s.ID], w.now)
 		n := 0
@@ -317,7 +317,7 @@
 				n++
 			}
 		}
-		if room := w.set.FallMultiple * w.set.ColdFrom * 100 * w.set.FallFor.Seconds() / 3; float64(n) > room+0.5 {
+		if room := w.set.FallMultiple * w.set.SlowStartMinShare * 100 * w.set.FallFor.Seconds() / 3; float64(n) > room+0.5 {
 			w.fail("%d sends to cold %s within %v, room for %.0f", n, s.ID, w.set.FallFor, room)
 		}
 	}
@@ -335,7 +335,7 @@
 		if !t.open && !t.harmful {
 			continue
 		}
-		if class.Effect == Once || class.Effect == Keyed && class.Group != GroupAll {
+		if class.Effect == NonIdempotent || class.Effect == Keyed && class.Group != GroupAll {
 			w.fail("a refusal of what may have run")
 		}
 	}
--- a/decide/servers_test.go
+++ b/decide/subset_test.go
@@ -16,15 +16,15 @@
 	now += time.Second
 	timeOut(b, now, "s0")
 	hung := b.servers["s0"]
-	if hung.outUntil <= now {
+	if hung.ejectedUntil <= now {
 		t.Fatal("a server with nothing but time-outs is not ejected")
 	}
-	if got, want := b.crowding(), b.crowd/(3*crowd+math.Sqrt(3*crowd)/2); math.Abs(got-want) > 1e-9 {
+	if got, want := b.concurrencyRatio(), b.meanConcurrency/(3*crowd+math.Sqrt(3*crowd)/2); math.Abs(got-want) > 1e-9 {
 		t.Errorf("crowding %v, want %v: an ejected server is no room", got, want)
 	}
-	now = hung.outUntil + ms
+	now = hung.ejectedUntil + ms
 	for range 50 {
-		b.r = 0
+		b.normalizedLatency = 0
 		offer(b, now, 1, 1)
 		if hung.inflight > 1 {
 			t.Fatalf("%d calls to a server on trial", hung.inflight)
@@ -39,8 +39,8 @@
 // and each call that cannot connect loses time.
 func TestZoneCutOffIsEjected(t *testing.T) {
 	b := New(Settings{
-		Nodes: 1, MaxTries: 3, AnswerGrace: 10 * ms, Zone: "x",
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x",
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}},
 	}, 1, time.Second)
 	var list []Server
 	for i := range 5 {
@@ -49,19 +49,19 @@
 	now := time.Second
 	b.Members(now, Members{Change: ListFull, Servers: list}, nil)
 	for _, id := range []string{"y0", "y0", "y0", "y0", "y1", "y2", "y3"} {
-		b.judge(b.servers[id], Unconnected)
+		b.recordResult(b.servers[id], Unconnected)
 	}
-	if b.zones["y"].out(now) {
+	if b.zones["y"].avoid(now) {
 		t.Error("a zone is ejected though one of its servers was not tried")
 	}
-	b.judge(b.servers["y4"], Unconnected)
-	if !b.zones["y"].out(now) {
+	b.recordResult(b.servers["y4"], Unconnected)
+	if !b.zones["y"].avoid(now) {
 		t.Fatal("all servers of a zone failed in a row, and it is not ejected")
 	}
 	for id, s := range b.servers {
-		s.served() // leave only what is held against the zone
-		if s.near == (id[0] == 'y') {
-			t.Errorf("%s near: %v", id, s.near)
+		s.recordSuccess() // leave only what is held against the zone
+		if s.local == (id[0] == 'y') {
+			t.Errorf("%s near: %v", id, s.local)
 		}
 	}
 	c := &call{}
@@ -70,8 +70,8 @@
 			t.Fatalf("%s is picked, of a zone that is cut off", s.ID)
 		}
 	}
-	b.judge(b.servers["y0"], Served)
-	if b.zones["y"].out(now) {
+	b.recordResult(b.servers["y0"], Served)
+	if b.zones["y"].avoid(now) {
 		t.Error("a zone that serves again stays ejected")
 	}
 }
@@ -81,16 +81,16 @@
 	b := node(4)
 	s := b.servers["s1"]
 	for range 3 {
-		b.judge(s, Broken)
-		b.learn(s, 5)
+		b.recordResult(s, Broken)
+		b.recordLatency(s, 5)
 	}
 	now := 2 * time.Second
-	b.set.ColdFrom, b.set.ColdFor, b.set.FallFor, b.set.FallMultiple = 1, time.Second, time.Second, 2
-	b.Members(now, Members{Change: ListDiff, Servers: []Server{{ID: "s1", Started: now}}}, nil)
-	if s.out(now) {
+	b.settings.SlowStartMinShare, b.settings.SlowStartDuration, b.settings.FallFor, b.settings.FallMultiple = 1, time.Second, time.Second, 2
+	b.Members(now, Members{Change: ListDelta, Servers: []Server{{ID: "s1", Started: now}}}, nil)
+	if s.avoid(now) {
 		t.Error("a new process is ejected for the old one's failures")
 	}
-	if got := b.slowness(s); got != 1 {
+	if got := b.relativeLatency(s); got != 1 {
 		t.Errorf("a new process counts as %v times as slow, for the old one's answers", got)
 	}
 }
@@ -106,16 +106,16 @@
 	known := map[string]int{}
 	half := map[string]int{} // by the first half of the nodes, as if these were one zone's
 	for i := range nodes {
-		b := New(Settings{Node: i, Nodes: nodes, Classes: []Class{{Worth: 1}}}, uint64(i), 0)
+		b := New(Settings{Node: i, Nodes: nodes, Classes: []Class{{Value: 1}}}, uint64(i), 0)
 		b.Members(0, Members{Change: ListFull, Servers: list}, nil)
-		for k := range len(b.near) + len(b.far) {
+		for k := range len(b.localSubset) + len(b.remoteSubset) {
 			known[b.subset(k).ID]++
 			if i < nodes/2 {
 				half[b.subset(k).ID]++
 			}
 		}
 	}
-	mean := float64(subsetFront*servers/nodes*nodes) / servers
+	mean := float64(frontSubsetSize*servers/nodes*nodes) / servers
 	for _, s := range list {
 		if n := float64(known[s.ID]); math.Abs(n-mean) > 3 {
 			t.Errorf("%s is known by %v nodes, %.1f on average", s.ID, n, mean)
@@ -132,12 +132,12 @@
 	b := node(4)
 	s := b.servers["s0"]
 	for range 20 {
-		b.learn(b.servers["s1"], 0.2)
+		b.recordLatency(b.servers["s1"], 0.2)
 	}
-	b.learn(s, 2)
-	fresh := b.slowness(s) - 1
+	b.recordLatency(s, 2)
+	fresh := b.relativeLatency(s) - 1
 	b.now += 5 * time.Second
-	if left := (b.slowness(s) - 1) / fresh; fresh <= 0 || left > 0.1 {
+	if left := (b.relativeLatency(s) - 1) / fresh; fresh <= 0 || left > 0.1 {
 		t.Errorf("after 5 s %.0f%% of a slowness of %.1f is left", 100*left, fresh)
 	}
 }
@@ -145,9 +145,9 @@
 // A keyed call whose cell has one server may go there again; it must not wait, polling, until its end.
 func TestKeyedCallReturnsToItsOnlyServer(t *testing.T) {
 	b := node(3) // all servers in one cell but for the first
-	b.set.Classes[0].Effect, b.set.Classes[0].Group, b.set.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
+	b.settings.Classes[0].Effect, b.settings.Classes[0].Group, b.settings.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
 	b.servers["s0"].Cell = 1
-	c := &call{Request: Request{ID: 1, TTL: time.Second}, ran: true, ranOn: b.servers["s0"]}
+	c := &call{Request: Request{ID: 1, TTL: time.Second}, mayHaveRun: true, mayHaveRunOn: b.servers["s0"]}
 	c.attempts = []attempt{{server: b.servers["s0"], done: true}}
 	if s := b.pick(c); s == nil || s.ID != "s0" {
 		t.Errorf("picked %v, want the only server that knows the call", s)
--- a/internal/balancer/node/callers.go
+++ b/internal/balancer/node/callers.go
@@ -235,8 +235,8 @@
 	}
 	key := r.Header.Get("Idempotency-Key")
 	switch effect := s.effects[class]; {
-	case effect == decide.Repeatable && r.Method != http.MethodGet,
-		effect != decide.Repeatable && r.Method != http.MethodPost:
+	case effect == decide.Idempotent && r.Method != http.MethodGet,
+		effect != decide.Idempotent && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, "the class does not go with the method"
 	case effect == decide.Keyed && key == "":
 		return nil, http.StatusBadRequest, "the class needs an Idempotency-Key"
@@ -256,7 +256,7 @@
 	p := &pending{
 		answer:   make(chan answer, 1),
 		deadline: now + wait,
-		request:  decide.Request{Class: class, Tenant: -1, Repeat: r.Header.Get("X-Resent") == "1"},
+		request:  decide.Request{Class: class, Tenant: -1, ClientRetry: r.Header.Get("X-Resent") == "1"},
 	}
 	if tenant, ok := s.tenants[r.Header.Get("X-Org")]; ok {
 		p.request.Tenant = tenant
@@ -278,7 +278,7 @@
 		conn.asked = true
 		return p, 0, ""
 	}
-	if s.effects[class] == decide.Repeatable {
+	if s.effects[class] == decide.Idempotent {
 		return nil, http.StatusBadRequest, "the class takes no body"
 	}
 	// The body must be here before the client's time is up, of which anyone may
--- a/internal/balancer/node/limits_test.go
+++ b/internal/balancer/node/limits_test.go
@@ -17,7 +17,7 @@
 func TestMostHeld(t *testing.T) {
 	s := newServer(t, hang)
 	c := testConfig(t, deadAddress(t), listOf(1, true, s.addr()), 1024)
-	c.Settings.MaxHeld = 1
+	c.Settings.MaxPendingRequests = 1
 	n := startNode(t, c)
 	dialRaw(t, n).send(t, rawLook)
 	waitFor(t, "the first is held", func() bool { return s.seen() == 1 })
--- a/internal/balancer/node/loop.go
+++ b/internal/balancer/node/loop.go
@@ -183,7 +183,7 @@
 		case e.list.whole:
 			l.members(e.list, decide.ListFull)
 		default:
-			l.members(e.list, decide.ListDiff)
+			l.members(e.list, decide.ListDelta)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		p.answer <- answer{ending: failed}
 		return
 	}
-	if l.set.MaxHeld > 0 && len(l.pending) >= l.set.MaxHeld {
+	if l.set.MaxPendingRequests > 0 && len(l.pending) >= l.set.MaxPendingRequests {
 		p.answered = true
 		p.answer <- noRoom(l.set)
 		return
@@ -213,7 +213,7 @@
 // leave tells the module that a request is over, whatever it holds, and calls
 // its attempts off.
 func (l *loop) leave(p *pending) {
-	l.carryOut(l.balancer.Gone(l.now, decide.Gone{Request: p.request.ID}, l.actions[:0]))
+	l.carryOut(l.balancer.ClientGone(l.now, decide.ClientGone{Request: p.request.ID}, l.actions[:0]))
 	for _, t := range p.attempts {
 		t.cancel()
 	}
@@ -271,7 +271,7 @@
 
 // members takes a list of servers and tells the module.
 func (l *loop) members(m *list, change decide.Change) {
-	if change != decide.ListDiff {
+	if change != decide.ListDelta {
 		named := make(map[string]bool, len(m.entries))
 		for i := range m.entries {
 			named[m.entries[i].ID] = true
@@ -339,7 +339,7 @@
 			l.discovery.setWatch(false)
 		case decide.Fetch:
 			l.discovery.askOnce()
-		case decide.HangUp:
+		case decide.CloseIdle:
 			l.upstream.hangUp(a.Server)
 		case decide.After:
 			l.after(a.Wait, timer{token: a.Token})
--- a/internal/balancer/settings/settings.go
+++ b/internal/balancer/settings/settings.go
@@ -84,7 +84,7 @@
 }
 
 var (
-	effects = map[string]decide.Effect{"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
+	effects = map[string]decide.Effect{"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.NonIdempotent}
 	weights = map[string]decide.Weights{
 		"none": decide.WeightsNone, "nominal": decide.WeightsNominal, "rough": decide.WeightsRough,
 		"live": decide.WeightsLive,
@@ -113,20 +113,20 @@
 		DrainGrace:     s.Obligations.DrainGrace,
 		Tick:           s.Period,
 		PassesDeadline: s.Family.PassesDeadline,
-		MaxHeld:        s.Limits.MostHeld,
+		MaxPendingRequests:        s.Limits.MostHeld,
 		ConnIdle:       s.Limits.ConnIdle,
 		ConnectTimeout: s.Limits.ConnectTimeout,
 		Streams:        s.Limits.StreamsPerConn,
 		Zone:           s.Zone,
-		OverShareWorth: s.OverShareWorth,
-		MustAsk:        s.RegistryMode == "subscribe",
-		AskWithin:      s.Obligations.AskWithin,
-		ColdFrom:       s.Obligations.ColdFrom,
-		ColdFor:        s.Obligations.ColdFor,
+		OverQuotaValue: s.OverShareWorth,
+		ListOnRequest:        s.RegistryMode == "subscribe",
+		ListRequestInterval:      s.Obligations.AskWithin,
+		SlowStartMinShare:       s.Obligations.ColdFrom,
+		SlowStartDuration:        s.Obligations.ColdFor,
 		FallMultiple:   s.Obligations.FallMultiple,
 		FallFor:        s.Obligations.FallFor,
 		AnswerGrace:    s.Obligations.AnswerGrace,
-		MarksRepeats:   s.Callers.MarksRetry,
+		MarksClientRetries:   s.Callers.MarksRetry,
 		Prices: decide.Prices{
 			CrossZone: s.Deductions.CrossZone,
 			Handshake: s.Deductions.Handshake,
@@ -135,18 +135,18 @@
 			LateFail:  s.Deductions.LateFail,
 		},
 		Goal: decide.Goal{
-			Whole:       s.Objective.Whole,
+			Total:       s.Objective.Whole,
 			WorstWindow: s.Objective.WorstWindow,
 			WorstClass:  s.Objective.WorstClass,
 			WorstTenant: s.Objective.WorstTenant,
 			Nines:       s.Objective.LogLossPart,
 			NinesFull:   s.Objective.TopNines,
 		},
-		MaxTries:        s.Limits.MostTries,
+		MaxAttempts:        s.Limits.MostTries,
 		MaxRetryAfter:   s.Limits.MaxRetryAfter,
 		MayCancel:       s.Limits.Cancel,
 		MayProbe:        s.Limits.MayProbe,
-		MaySecondCopy:   s.Limits.SecondCopies,
+		MayHedge:   s.Limits.SecondCopies,
 		MayAdviseReturn: s.Limits.RetryAfter,
 	}
 	if len(s.Categories) == 0 {
@@ -171,7 +171,7 @@
 			}
 		}
 		set.Classes = append(set.Classes, decide.Class{
-			Aim: c.Aim, AimStretch: c.AimStretch, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth,
+			LatencyTarget: c.Aim, LatencyTargetStretch: c.AimStretch, Deadline: c.Deadline, Value: c.Worth, LateValueShare: c.LateWorth,
 			Effect: effect, Group: group, KeyTTL: c.KeyTTL,
 		})
 	}
--- a/internal/balancer/settings/settings_test.go
+++ b/internal/balancer/settings/settings_test.go
@@ -27,7 +27,7 @@
 	}
 	c := set.Classes[0]
 	if c.Effect != decide.Keyed || c.Group != decide.GroupCell || c.KeyTTL != 10*time.Second ||
-		c.Deadline != 900*time.Millisecond || set.Weights != decide.WeightsLive || set.MaxTries != 4 {
+		c.Deadline != 900*time.Millisecond || set.Weights != decide.WeightsLive || set.MaxAttempts != 4 {
 		t.Errorf("got %+v", set)
 	}
 	for _, word := range []string{"by_key", "cell", "live"} {
--- a/internal/dataplane/entry/cluster_test.go
+++ b/internal/dataplane/entry/cluster_test.go
@@ -160,7 +160,7 @@
 		if g, w := got.reachable(name), want.reachable(name); !slices.Equal(g, w) {
 			t.Fatalf("%s: %s has the servers %v, want %v", where, name, g, w)
 		}
-		if g, w := got.service(0, name).gate.Chance(0, 3), want.service(0, name).gate.Chance(0, 3); g != w {
+		if g, w := got.service(0, name).gate.Probability(0, 3), want.service(0, name).gate.Probability(0, 3); g != w {
 			t.Fatalf("%s: %s admits %v of the last priority, want %v", where, name, g, w)
 		}
 	}
--- a/internal/dataplane/entry/entry_test.go
+++ b/internal/dataplane/entry/entry_test.go
@@ -137,7 +137,7 @@
 	}
 	tab.enter(t, "/safe/") // one in flight: else all are admitted
 	for range 400 {
-		tab.service(0, "s").gate.Room(0, false)
+		tab.service(0, "s").gate.RecordCapacity(0, false)
 	}
 	refused, inner := 0, 0
 	for range 200 {
--- a/internal/dataplane/entry/request.go
+++ b/internal/dataplane/entry/request.go
@@ -117,7 +117,7 @@
 
 // end tells the picker of a try's end.
 func (r *Request) end(now time.Duration, id string, out *wire.ForwardResponse, result decide.Result) {
-	word := decide.Word{Pace: float64(out.RelativeLatency), Fill: float64(out.Utilization), Waiting: out.Queued}
+	word := decide.ServerReport{RelativeLatency: float64(out.RelativeLatency), Utilization: float64(out.Utilization), Queued: out.Queued}
 	r.service.picker.End(now, id, result, word)
 }
 
@@ -160,7 +160,7 @@
 func (r *Request) waits(now time.Duration) {
 	if !r.crowded {
 		r.crowded = true
-		r.service.gate.Room(now, false)
+		r.service.gate.RecordCapacity(now, false)
 	}
 }
 
@@ -220,7 +220,7 @@
 	r.end(now, id, out, result)
 	r.open = slices.DeleteFunc(r.open, func(o string) bool { return o == id })
 	if len(r.reached) == 0 && !r.crowded && out.Result != wire.ForwardResponse_NOT_SENT {
-		r.service.gate.Room(now, true)
+		r.service.gate.RecordCapacity(now, true)
 	}
 	if out.Result == wire.ForwardResponse_NOT_SENT {
 		r.turned++
@@ -288,7 +288,7 @@
 // comeBack is when the client of a request that has not run should try again. One that is told to wait for longer
 // than a third of its time would not heed it.
 func (t *Table) comeBack(now time.Duration, s *service, e *Entrant) time.Duration {
-	odds := s.gate.Odds(now, e.Route.Priority, t.behind(now, e.Route)...)
+	odds := s.gate.GraphProbability(now, e.Route.Priority, t.behind(now, e.Route)...)
 	return s.gate.RetryAfter(e.Route.TargetLatency(), (e.Until-now)/heeded, odds)
 }
 
@@ -296,11 +296,11 @@
 // Where a gate has begun to refuse its like, its service's or that of one behind,
 // repeats would only add to the load.
 func (r *Request) mayRepeat(now time.Duration) bool {
-	if len(r.reached)+len(r.open) >= max(1, r.Route.MaxAttempts) || r.service.gate.Chance(now, r.Route.Priority) < repeatFrom {
+	if len(r.reached)+len(r.open) >= max(1, r.Route.MaxAttempts) || r.service.gate.Probability(now, r.Route.Priority) < repeatFrom {
 		return false
 	}
 	for _, g := range r.table.behind(now, r.Route) {
-		if g.Behind(now, r.Route.Priority) < repeatFrom {
+		if g.DownstreamProbability(now, r.Route.Priority) < repeatFrom {
 			return false
 		}
 	}
--- a/internal/dataplane/entry/table.go
+++ b/internal/dataplane/entry/table.go
@@ -118,7 +118,7 @@
 			g[c.Service] += float64(c.Count) * graphGain
 		}
 		if s != nil {
-			s.gate.Told(now, c.Pressure)
+			s.gate.ReportPressure(now, c.Pressure)
 		}
 	}
 }
@@ -168,9 +168,9 @@
 }
 
 func (t *Table) reading(now time.Duration, name string, s *service, priorities int) Reading {
-	r := Reading{Service: name, R: s.gate.Reading(), Pressure: s.gate.Pressure(now), Left: s.budget.Left(now), Servers: len(t.listed[name])}
+	r := Reading{Service: name, R: s.gate.NormalizedLatency(), Pressure: s.gate.Pressure(now), Left: s.budget.Left(now), Servers: len(t.listed[name])}
 	for p := range priorities {
-		r.Chances = append(r.Chances, s.gate.Chance(now, p))
+		r.Chances = append(r.Chances, s.gate.Probability(now, p))
 	}
 	return r
 }
--- a/internal/dataplane/entry/update.go
+++ b/internal/dataplane/entry/update.go
@@ -30,7 +30,7 @@
 	}
 	for name := range touched {
 		if s := t.services[name]; s != nil {
-			s.picker.List(now, t.listed[name], t.place)
+			s.picker.SetTargets(now, t.listed[name], t.place)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 	if slices.Equal(nodes, old.Nodes[t.opt.Zone]) {
 		return t.place
 	}
-	return decide.Place(t.opt.Node, nodes)
+	return decide.SubsetPosition(t.opt.Node, nodes)
 }
 
 // updateServers brings the lists of servers up to date, and returns the services whose lists have changed.
@@ -56,7 +56,7 @@
 			touched[c.Old.Service] = true
 		}
 		if c.Has {
-			target := decide.Target{ID: c.New.Member, Near: c.New.Zone == t.opt.Zone}
+			target := decide.Target{ID: c.New.Member, Local: c.New.Zone == t.opt.Zone}
 			t.listed[c.New.Service] = append(t.listed[c.New.Service], target)
 			touched[c.New.Service] = true
 		}
@@ -88,7 +88,7 @@
 	if newLevels {
 		levels := slices.Collect(maps.Keys(t.levels))
 		for _, s := range t.services {
-			s.gate.Priorities(levels)
+			s.gate.SetPriorities(levels)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 		budget: budget.New(t.opt.Ratio, t.opt.Window), hedges: hedgeSaved,
 	}
 	s.budget.Share(t.slack)
-	s.gate.Priorities(slices.Collect(maps.Keys(t.levels)))
-	s.picker.List(now, t.listed[name], t.place)
+	s.gate.SetPriorities(slices.Collect(maps.Keys(t.levels)))
+	s.picker.SetTargets(now, t.listed[name], t.place)
 	return s
 }
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -77,7 +77,7 @@
 	Bundle string // the authorities that it trusts
 }
 
-// current is what the files had when they were last read.
+// credentials are the content of the files.
 type credentials struct {
 	cert  *tls.Certificate
 	name  Name
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -120,7 +120,7 @@
 	return c.writeLocked(f)
 }
 
-// partial is a piece of a message under way.
+// dataChunk is what one frame carries of a message.
 type dataChunk struct {
 	stream    uint32
 	method    string // with the first
