--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"ivydeck/decide"
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/http1"
 	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/pkg/timerpool"
 	"ivydeck/internal/transport/rpc"
 	"ivydeck/internal/transport/wire"
@@ -25,7 +25,7 @@
 }
 
 // serve makes tries until there is a final answer.
-func (o *Outbound) serve(client context.Context, c *Call, cluster *ClusterState, r *entry.Request) *Answer {
+func (o *Outbound) serve(client context.Context, c *Call, cluster *ClusterState, r *router.Request) *Answer {
 	for {
 		o.mu.Lock()
 		step := r.Next(o.now())
@@ -40,10 +40,10 @@
 }
 
 // take does what a step says, and returns the final answer where that brings it.
-func (o *Outbound) take(client context.Context, c *Call, cluster *ClusterState, r *entry.Request, step entry.Step) *Answer {
+func (o *Outbound) take(client context.Context, c *Call, cluster *ClusterState, r *router.Request, step router.Action) *Answer {
 	switch {
-	case step.Final != nil:
-		return say(step.Final)
+	case step.Response != nil:
+		return say(step.Response)
 	case step.Server == "":
 		timer := timerpool.Get(step.Wait)
 		defer timerpool.Put(timer)
@@ -52,7 +52,7 @@
 		case <-client.Done():
 		}
 		return nil
-	case r.Once():
+	case r.NonIdempotent():
 		return o.done(c, r, o.attempt(client, c, cluster, r, step))
 	}
 	// What a server works on when the answer is there goes on: its work would be lost, not saved.
@@ -65,11 +65,11 @@
 
 // race waits for a try that is under way, with a second one beside it where it takes far longer than its like. It
 // returns the final answer; nil: there is none yet, and no try is left.
-func (o *Outbound) race(client context.Context, c *Call, cluster *ClusterState, r *entry.Request, call *rpc.Stream, first try) (final *Answer) {
+func (o *Outbound) race(client context.Context, c *Call, cluster *ClusterState, r *router.Request, call *rpc.Stream, first try) (final *Answer) {
 	o.mu.Lock()
-	hedge := r.HedgeAfter()
+	hedge := r.HedgeDelay()
 	o.mu.Unlock()
-	until := o.began.Add(r.Until)
+	until := o.began.Add(r.Deadline)
 	wait := time.Until(until)
 	if hedge > 0 {
 		wait = min(wait, hedge)
@@ -129,7 +129,7 @@
 }
 
 // aside makes a second try beside the first, and returns what calls it off.
-func (o *Outbound) aside(c *Call, cluster *ClusterState, r *entry.Request, step entry.Step, end chan<- try) context.CancelFunc {
+func (o *Outbound) aside(c *Call, cluster *ClusterState, r *router.Request, step router.Action, end chan<- try) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	o.strays.Go(func() {
 		defer cancel()
@@ -139,9 +139,9 @@
 }
 
 // done books the end of a try, and returns the final answer where it is one.
-func (o *Outbound) done(c *Call, r *entry.Request, t try) *Answer {
+func (o *Outbound) done(c *Call, r *router.Request, t try) *Answer {
 	o.mu.Lock()
-	final, pass := r.Done(o.now(), t.server, t.out, t.result)
+	final, pass := r.HandleOutcome(o.now(), t.server, t.out, t.result)
 	o.mu.Unlock()
 	switch {
 	case final != nil:
@@ -153,14 +153,14 @@
 }
 
 // late books the end of a try after the final answer.
-func (o *Outbound) late(r *entry.Request, t try) {
+func (o *Outbound) late(r *router.Request, t try) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r.Late(o.now(), t.server, t.out, t.result)
+	r.HandleLateOutcome(o.now(), t.server, t.out, t.result)
 }
 
 // attempt asks the node beside a server to pass the request on, and waits for what becomes of it.
-func (o *Outbound) attempt(ctx context.Context, c *Call, cluster *ClusterState, r *entry.Request, step entry.Step) try {
+func (o *Outbound) attempt(ctx context.Context, c *Call, cluster *ClusterState, r *router.Request, step router.Action) try {
 	call, t := o.begin(ctx, ctx, c, cluster, r, step)
 	if call == nil {
 		return t
@@ -172,7 +172,7 @@
 
 // begin asks the node beside a server to pass the request on. Where there is no call then, the try has ended. dial is
 // the context of the way there, ctx that of the call.
-func (o *Outbound) begin(dial, ctx context.Context, c *Call, cluster *ClusterState, r *entry.Request, step entry.Step) (*rpc.Stream, try) {
+func (o *Outbound) begin(dial, ctx context.Context, c *Call, cluster *ClusterState, r *router.Request, step router.Action) (*rpc.Stream, try) {
 	t := try{server: step.Server}
 	server, _ := cluster.Servers.Get(t.server)
 	if server == nil { // the list is newer than the request's
@@ -182,15 +182,15 @@
 		t.out, t.result = unsent(true, "not listed"), decide.NotSent
 		return nil, t
 	}
-	until := o.began.Add(r.Until)
+	until := o.began.Add(r.Deadline)
 	peer, err := o.Pool.Live(dial, until, server.Address)
 	if err == nil {
 		q := forwards.Get().(*wire.ForwardRequest)
 		fields := messages.Get().(*[]byte)
 		q.Member, q.Service, q.Method, q.Target, q.Body, q.Caller = t.server, r.Service, c.Method, c.Target, c.Body, o.Backend
-		q.Priority, q.Attempt, q.Retry = r.Rank, c.Headers.Get("Attempt-Id"), step.Repeat
-		q.TimeLeftMs = uint32(max(1, (r.Until - o.now()).Milliseconds()))
-		q.Zone, q.NonIdempotent, q.TypicalLatencyMs, q.IgnoreEjection, q.MayQueue = o.Zone, r.Once(), uint32(step.Usual.Milliseconds()), step.Insist, step.Queue
+		q.Priority, q.Attempt, q.Retry = r.Priority, c.Headers.Get("Attempt-Id"), step.Retry
+		q.TimeLeftMs = uint32(max(1, (r.Deadline - o.now()).Milliseconds()))
+		q.Zone, q.NonIdempotent, q.TypicalLatencyMs, q.IgnoreEjection, q.MayQueue = o.Zone, r.NonIdempotent(), uint32(step.TypicalLatency.Milliseconds()), step.IgnoreEjection, step.MayQueue
 		q.Fields = http1.AppendEndToEnd((*fields)[:0], c.Headers, "Attempt-Id", "Time-Budget", "Target-Instance", "Caller-Service")
 		line := q.Fields
 		if server.ProtocolVersion < localserver.SpeaksFields {
@@ -218,7 +218,7 @@
 	if err := call.Response(out); err != nil {
 		return o.lost(ctx, c, t, err)
 	}
-	t.out, t.result = out, entry.Result(out)
+	t.out, t.result = out, router.Result(out)
 	return t
 }
 
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/http1"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/dataplane/trace"
 	"ivydeck/internal/metrics"
 	"ivydeck/internal/transport/rpc"
@@ -26,7 +26,7 @@
 )
 
 // ClusterState is what a node has been told.
-type ClusterState = entry.ClusterState
+type ClusterState = router.ClusterState
 
 // Outbound answers the requests that begin on this machine. It is the driver of
 // package entry.
@@ -48,7 +48,7 @@
 
 	strays   sync.WaitGroup // tries
 	mu       sync.Mutex
-	table    *entry.Table
+	table    *router.Table
 	refusing map[string]*refusals // by service; guarded by mu
 }
 
@@ -57,7 +57,7 @@
 	o.began = time.Now()
 	o.ready = make(chan struct{})
 	o.refusing = map[string]*refusals{}
-	o.table = entry.NewTable(entry.Options{Node: o.Node, Zone: o.Zone, Ratio: o.Ratio, Window: o.Window, Seed: seed})
+	o.table = router.NewTable(router.Options{Node: o.Node, Zone: o.Zone, RetryRatio: o.Ratio, RetryWindow: o.Window, Seed: seed})
 }
 
 func (o *Outbound) now() time.Duration { return time.Since(o.began) }
@@ -75,14 +75,14 @@
 func (o *Outbound) Share(slack float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.table.Share(slack)
+	o.table.SetRetrySlack(slack)
 }
 
 // Readings are what the node knows of its services, for those who look on.
-func (o *Outbound) Readings(priorities int) []entry.Reading {
+func (o *Outbound) Readings(priorities int) []router.ServiceState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.table.Readings(o.now(), priorities)
+	return o.table.ServiceStates(o.now(), priorities)
 }
 
 // Priorities is how many there are in the configuration.
@@ -145,10 +145,10 @@
 }
 
 // say makes an answer of a final one of the node's own.
-func say(f *entry.Final) *Answer {
-	a := text(f.Status, f.Why)
-	if f.After > 0 {
-		a.Fields = http1.AppendField(a.Fields, "Retry-After", strconv.FormatFloat(f.After.Seconds(), 'f', 3, 64))
+func say(f *router.Response) *Answer {
+	a := text(f.Status, f.Reason)
+	if f.RetryAfter > 0 {
+		a.Fields = http1.AppendField(a.Fields, "Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 3, 64))
 		a.Back = true
 	}
 	return a
@@ -191,7 +191,7 @@
 	}
 	cluster := o.cluster()
 	if cluster.Config == nil {
-		return say(&entry.Final{Status: 503, Why: "no configuration yet", After: 500 * time.Millisecond})
+		return say(&router.Response{Status: 503, Reason: "no configuration yet", RetryAfter: 500 * time.Millisecond})
 	}
 	route := cluster.Config.Find(c.Host, c.Path())
 	if route == nil {
@@ -213,17 +213,17 @@
 	default:
 		return text(400, "more than one Time-Budget")
 	}
-	e := entry.Entrant{Route: route, Arrived: c.Arrived.Sub(o.began)}
-	e.Until = e.Arrived + wait - answerMargin
+	e := router.Arrival{Route: route, At: c.Arrived.Sub(o.began)}
+	e.Deadline = e.At + wait - answerMargin
 	o.mu.Lock()
-	e.Service = o.table.Choose(route)
+	e.Service = o.table.ChooseService(route)
 	o.mu.Unlock()
 	rec.Service = e.Service
 	if o.Graph != nil {
-		e.Inner, e.Again = o.Graph(c.Headers.Get("Attempt-Id"), e.Service)
+		e.Inner, e.OfRetry = o.Graph(c.Headers.Get("Attempt-Id"), e.Service)
 	}
 	o.mu.Lock()
-	r, refused := o.table.Enter(o.now(), e)
+	r, refused := o.table.Admit(o.now(), e)
 	o.mu.Unlock()
 	if refused != nil {
 		o.logRefusal(e.Service, false)
@@ -237,8 +237,8 @@
 		o.CallFailed(c.Headers.Get("Attempt-Id"))
 	}
 	o.mu.Lock()
-	rec.Tries = r.Tries()
-	r.Leave(o.now())
+	rec.Tries = r.Attempts()
+	r.End(o.now())
 	o.mu.Unlock()
 	return a
 }
@@ -252,9 +252,9 @@
 		o.refusing[service] = r
 	}
 	counts, due := r.count(o.now(), admitted)
-	reading, known := entry.Reading{}, false
+	reading, known := router.ServiceState{}, false
 	if due {
-		reading, known = o.table.Reading(o.now(), service, loggedPriorities)
+		reading, known = o.table.ServiceState(o.now(), service, loggedPriorities)
 	}
 	o.mu.Unlock()
 	if known {
--- a/internal/dataplane/proxy/pressure.go
+++ b/internal/dataplane/proxy/pressure.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/router"
 )
 
 // pressureEvery is the shortest time between two records of refusals for one service or by one server.
@@ -33,9 +33,9 @@
 }
 
 // log writes what the node knows of the service.
-func (r refusals) log(log *slog.Logger, now entry.Reading) {
+func (r refusals) log(log *slog.Logger, now router.ServiceState) {
 	log.Info("admission.rejecting", "service", now.Service, "gates", r.gates, "no_capacity", r.noRoom,
-		"normalized_latency", now.R, "pressure", now.Pressure, "servers", now.Servers, "probabilities", now.Chances)
+		"normalized_latency", now.NormalizedLatency, "pressure", now.Pressure, "servers", now.Servers, "probabilities", now.Probabilities)
 }
 
 // serverLoad sums up how busy a server beside the node was between two records of requests that it had no room for.
--- a/internal/dataplane/entry/cluster.go
+++ b/internal/dataplane/router/cluster.go
@@ -1,4 +1,4 @@
-package entry
+package router
 
 import (
 	"maps"
@@ -10,31 +10,31 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// ClusterState is what a node has been told: a configuration and the servers. It is
-// not changed once made; versions share what they have in common.
+// ClusterState is a node's view of the cluster: the configuration and the servers that may receive requests. It is immutable;
+// versions share what they have in common.
 type ClusterState struct {
 	Config  *meshconfig.Config
-	Servers cowmap.Map[*wire.Server] // by member, those that may be sent to
-	Nodes   map[string][]string      // sidecar machines that are there, by zone
+	Servers cowmap.Map[*wire.Server] // by member: those that may receive requests
+	Nodes   map[string][]string      // sidecar machines that are alive, by zone
 }
 
-// ClusterStateBuilder keeps a ClusterState up to date, at the cost of what changes. Servers that drain, or whose machines
-// are not alive, are not sent to. Its zero value has been told nothing.
+// ClusterStateBuilder keeps a ClusterState up to date, at the cost of what changes. Draining servers, and those on machines
+// that are not alive, receive no requests. The zero value is empty.
 type ClusterStateBuilder struct {
-	cluster ClusterState
-	listed  map[string]*wire.Server // by member, all that are registered
-	members []*wire.Member          // as they were last, by name
-	silent  map[string]bool         // those of them that are not alive, by name
-	absent  map[string]bool         // machines with registered servers that are no members
-	gone    func(node string) bool
-	index   uint64
+	cluster    ClusterState
+	registered map[string]*wire.Server // by member
+	members    []*wire.Member          // of the cluster, by name
+	notAlive   map[string]bool         // members, by name
+	absent     map[string]bool         // machines with registered servers that are no members
+	isDead     func(node string) bool
+	index      uint64
 }
 
-// Index of the latest update that was applied.
+// Index is the index of the latest update that was applied.
 func (b *ClusterStateBuilder) Index() uint64 { return b.index }
 
-// Listed is how many servers are registered.
-func (b *ClusterStateBuilder) Listed() int { return len(b.listed) }
+// Registered is the number of registered servers.
+func (b *ClusterStateBuilder) Registered() int { return len(b.registered) }
 
 // ClusterState returns the newest version.
 func (b *ClusterStateBuilder) ClusterState() *ClusterState {
@@ -42,14 +42,14 @@
 	return &w
 }
 
-// Apply takes the changes after Index, and the configuration with them; nil changes: there are none.
+// Apply applies the changes after Index, with the configuration after them; nil changes: there are none.
 func (b *ClusterStateBuilder) Apply(c *wire.Changes, config *meshconfig.Config) {
 	b.cluster.Config = config
 	if c == nil {
 		return
 	}
 	b.index = c.To
-	if b.listed == nil || c.Full {
+	if b.registered == nil || c.Full {
 		b.replace(c)
 		return
 	}
@@ -59,17 +59,17 @@
 		case *wire.Resource_Server:
 			b.register(edit, v.Server)
 		case *wire.Resource_RemovedServer:
-			delete(b.listed, v.RemovedServer)
+			delete(b.registered, v.RemovedServer)
 			edit.Delete(v.RemovedServer)
 		}
 	}
 	b.cluster.Servers = edit.Map()
 }
 
-// replace takes a whole state.
+// replace takes a full state.
 func (b *ClusterStateBuilder) replace(c *wire.Changes) {
-	before := b.listed
-	b.listed = map[string]*wire.Server{}
+	before := b.registered
+	b.registered = map[string]*wire.Server{}
 	edit := b.cluster.Servers.Edit()
 	for _, r := range c.Resources {
 		if s := r.GetServer(); s != nil {
@@ -77,34 +77,34 @@
 		}
 	}
 	for member := range before {
-		if b.listed[member] == nil {
+		if b.registered[member] == nil {
 			edit.Delete(member)
 		}
 	}
 	b.cluster.Servers = edit.Map()
 }
 
-// isMember reports whether a machine was among the members last.
+// isMember reports whether a machine is a member of the cluster.
 func (b *ClusterStateBuilder) isMember(node string) bool {
 	_, found := slices.BinarySearchFunc(b.members, node, func(m *wire.Member, name string) int { return strings.Compare(m.Name, name) })
 	return found
 }
 
-// register books a registered server.
+// register adds a registered server, or replaces it.
 func (b *ClusterStateBuilder) register(edit *cowmap.Editor[*wire.Server], s *wire.Server) {
-	b.listed[s.Member] = s
+	b.registered[s.Member] = s
 	if !b.isMember(s.Node) {
 		if b.absent == nil {
 			b.absent = map[string]bool{}
 		}
 		b.absent[s.Node] = true
 	}
-	b.place(edit, s)
+	b.updateUsable(edit, s)
 }
 
-// place lists a server among those that may be sent to, or takes it off.
-func (b *ClusterStateBuilder) place(edit *cowmap.Editor[*wire.Server], s *wire.Server) {
-	usable := !s.Draining && !s.NodeLeaving && !b.silent[s.Node] && !(b.gone != nil && b.gone(s.Node))
+// updateUsable adds a server to those that may receive requests, or removes it from them.
+func (b *ClusterStateBuilder) updateUsable(edit *cowmap.Editor[*wire.Server], s *wire.Server) {
+	usable := !s.Draining && !s.NodeLeaving && !b.notAlive[s.Node] && !(b.isDead != nil && b.isDead(s.Node))
 	now, there := edit.Get(s.Member)
 	switch {
 	case usable && now != s:
@@ -114,13 +114,13 @@
 	}
 }
 
-// Members takes the members as they are now, in the order of their names. gone tells of a machine that it has died or left,
-// from now on. Servers on machines of which nothing has changed stay as they are.
-func (b *ClusterStateBuilder) Members(members []*wire.Member, gone func(node string) bool) {
+// SetMembers takes the present members of the cluster, ordered by name. isDead reports, also later, whether a machine is dead
+// or has left. Servers on machines of which nothing has changed stay as they are.
+func (b *ClusterStateBuilder) SetMembers(members []*wire.Member, isDead func(node string) bool) {
 	before := b.members
-	b.members, b.gone = members, gone
-	if b.silent == nil {
-		b.silent = map[string]bool{}
+	b.members, b.isDead = members, isDead
+	if b.notAlive == nil {
+		b.notAlive = map[string]bool{}
 	}
 	nodes, zones := map[string]bool{}, map[string]bool{}
 	eachChange(before, members, func(old, now *wire.Member) {
@@ -129,9 +129,9 @@
 			m = old
 		}
 		nodes[m.Name] = true
-		delete(b.silent, m.Name)
+		delete(b.notAlive, m.Name)
 		if now != nil && now.State != wire.Member_ALIVE {
-			b.silent[m.Name] = true
+			b.notAlive[m.Name] = true
 		}
 		if old != nil {
 			zones[old.Zone] = true
@@ -142,20 +142,20 @@
 		b.cluster.Nodes = nodesOf(b.cluster.Nodes, members, zones)
 	}
 	if len(nodes) > 0 || len(b.absent) > 0 {
-		b.placeOn(nodes)
+		b.updateUsableOn(nodes)
 	}
 }
 
-// placeOn looks again at the servers on some machines, and on those that are no members: what is known of them may have
+// updateUsableOn updates the servers on some machines, and those on machines that are no members, whose state may have
 // changed as well.
-func (b *ClusterStateBuilder) placeOn(nodes map[string]bool) {
+func (b *ClusterStateBuilder) updateUsableOn(nodes map[string]bool) {
 	absent := map[string]bool{}
 	edit := b.cluster.Servers.Edit()
-	for _, s := range b.listed {
+	for _, s := range b.registered {
 		if !nodes[s.Node] && !b.absent[s.Node] {
 			continue
 		}
-		b.place(edit, s)
+		b.updateUsable(edit, s)
 		if !b.isMember(s.Node) {
 			absent[s.Node] = true
 		}
@@ -183,7 +183,7 @@
 	}
 }
 
-// nodesOf returns the living nodes by zone. Only the lists of some zones are made anew.
+// nodesOf returns the nodes that are alive, by zone. Only the lists of the given zones are made anew.
 func nodesOf(before map[string][]string, members []*wire.Member, zones map[string]bool) map[string][]string {
 	nodes := maps.Clone(before)
 	if nodes == nil {
--- a/internal/dataplane/entry/cluster_test.go
+++ b/internal/dataplane/router/cluster_test.go
@@ -1,4 +1,4 @@
-package entry
+package router
 
 import (
 	"fmt"
@@ -90,7 +90,7 @@
 
 func (s *stateSource) tellMembers(b *ClusterStateBuilder) {
 	members := slices.SortedFunc(maps.Values(s.members), func(a, b *wire.Member) int { return strings.Compare(a.Name, b.Name) })
-	b.Members(members, func(node string) bool { return s.gone[node] })
+	b.SetMembers(members, func(node string) bool { return s.gone[node] })
 }
 
 // reachable are the servers that a service's picker knows.
@@ -111,7 +111,7 @@
 	for seed := range uint64(20) {
 		s := newStateSource(seed)
 		var steady ClusterStateBuilder
-		table := NewTable(Options{Node: "n0", Zone: "z0", Ratio: 1, Window: time.Second})
+		table := NewTable(Options{Node: "n0", Zone: "z0", RetryRatio: 1, RetryWindow: time.Second})
 		for round := range 120 {
 			if s.rng.IntN(3) == 0 {
 				s.shuffle()
@@ -125,15 +125,15 @@
 			table.Update(0, steady.ClusterState())
 
 			var anew ClusterStateBuilder
-			fresh := NewTable(Options{Node: "n0", Zone: "z0", Ratio: 1, Window: time.Second})
+			fresh := NewTable(Options{Node: "n0", Zone: "z0", RetryRatio: 1, RetryWindow: time.Second})
 			s.tellMembers(&anew)
 			anew.Apply(s.whole(), s.config)
 			fresh.Update(0, anew.ClusterState())
 
 			use := func() bool { return s.rng.IntN(40) == 0 || round == 119 }
 			compareTables(t, fmt.Sprintf("seed %d, round %d", seed, round), table, fresh, use)
-			if steady.Listed() != len(s.servers) || steady.Index() != s.index {
-				t.Fatalf("seed %d: %d servers at %d, want %d at %d", seed, steady.Listed(), steady.Index(), len(s.servers), s.index)
+			if steady.Registered() != len(s.servers) || steady.Index() != s.index {
+				t.Fatalf("seed %d: %d servers at %d, want %d at %d", seed, steady.Registered(), steady.Index(), len(s.servers), s.index)
 			}
 		}
 	}
@@ -142,8 +142,8 @@
 // compareTables compares what two tables know, of the services that one of them has used or uses now.
 func compareTables(t *testing.T, where string, got, want *Table, use func() bool) {
 	t.Helper()
-	if !maps.Equal(got.levels, want.levels) || !maps.Equal(got.routes, want.routes) || got.place != want.place {
-		t.Fatalf("%s: %v, %v, %v, want %v, %v, %v", where, got.levels, got.routes, got.place, want.levels, want.routes, want.place)
+	if !maps.Equal(got.levels, want.levels) || !maps.Equal(got.routes, want.routes) || got.subsetPosition != want.subsetPosition {
+		t.Fatalf("%s: %v, %v, %v, want %v, %v, %v", where, got.levels, got.routes, got.subsetPosition, want.levels, want.routes, want.subsetPosition)
 	}
 	if !maps.Equal(got.backends, want.backends) {
 		t.Fatalf("%s: services %v, want %v", where, got.backends, want.backends)
@@ -189,9 +189,9 @@
 			whole.Resources = append(whole.Resources, benchServer(i, services, nodes, 1))
 		}
 		w := new(ClusterStateBuilder)
-		w.Members(members, gone)
+		w.SetMembers(members, gone)
 		w.Apply(whole, config)
-		table := NewTable(Options{Node: "node-00000", Zone: "z0", Ratio: 0.2, Window: 10 * time.Second})
+		table := NewTable(Options{Node: "node-00000", Zone: "z0", RetryRatio: 0.2, RetryWindow: 10 * time.Second})
 		table.Update(0, w.ClusterState())
 		return w, table, config
 	}
@@ -215,7 +215,7 @@
 			now := slices.Clone(members)
 			i := n*4%nodes + 1
 			now[i] = &wire.Member{Name: now[i].Name, Zone: now[i].Zone, State: wire.Member_SUSPECT}
-			w.Members(now, gone)
+			w.SetMembers(now, gone)
 			table.Update(0, w.ClusterState())
 		}
 	})
--- a/internal/dataplane/entry/entry_test.go
+++ b/internal/dataplane/router/router_test.go
@@ -1,4 +1,4 @@
-package entry
+package router
 
 import (
 	"fmt"
@@ -36,16 +36,16 @@
 		edit.Set(id, &wire.Server{Member: id, Service: "s"})
 	}
 	w := &ClusterState{Config: config, Servers: edit.Map()}
-	tab := NewTable(Options{Node: "n", Ratio: 1, Window: time.Second, Seed: 1})
+	tab := NewTable(Options{Node: "n", RetryRatio: 1, RetryWindow: time.Second, Seed: 1})
 	tab.Update(0, w)
-	tab.Share(100)
+	tab.SetRetrySlack(100)
 	return tab
 }
 
 func (t *Table) enter(test *testing.T, path string) *Request {
 	test.Helper()
 	route := t.ClusterState().Config.Find("h", path)
-	r, refused := t.Enter(0, Entrant{Route: route, Service: t.Choose(route), Until: 2 * time.Second})
+	r, refused := t.Admit(0, Arrival{Route: route, Service: t.ChooseService(route), Deadline: 2 * time.Second})
 	if refused != nil {
 		test.Fatalf("refused: %v", refused)
 	}
@@ -82,19 +82,19 @@
 	} {
 		r := table(t, 6).enter(t, c.path)
 		asked := map[string]bool{}
-		var final *Final
+		var final *Response
 		pass := false
 		for i, out := range c.outs {
 			step := r.Next(time.Duration(i) * ms)
 			if step.Server == "" || asked[step.Server] {
-				t.Fatalf("%s: try %d goes to %q after %v: %v", c.name, i, step.Server, asked, step.Final)
+				t.Fatalf("%s: try %d goes to %q after %v: %v", c.name, i, step.Server, asked, step.Response)
 			}
 			asked[step.Server] = true
-			if final, pass = r.Done(time.Duration(i)*ms, step.Server, out, Result(out)); (final != nil || pass) != (i == len(c.outs)-1) {
+			if final, pass = r.HandleOutcome(time.Duration(i)*ms, step.Server, out, Result(out)); (final != nil || pass) != (i == len(c.outs)-1) {
 				t.Fatalf("%s: over after %d tries: %v, %v", c.name, i+1, final, pass)
 			}
 		}
-		if pass != c.pass || !pass && (final.Status != c.status || (final.After > 0) != c.promise) {
+		if pass != c.pass || !pass && (final.Status != c.status || (final.RetryAfter > 0) != c.promise) {
 			t.Errorf("%s: %v, passed %v", c.name, final, pass)
 		}
 	}
@@ -104,7 +104,7 @@
 func TestNoServer(t *testing.T) {
 	r := table(t, 0).enter(t, "/once/")
 	now := time.Duration(0)
-	for step := r.Next(now); step.Final == nil; step = r.Next(now) {
+	for step := r.Next(now); step.Response == nil; step = r.Next(now) {
 		if step.Wait <= 0 {
 			t.Fatalf("at %v: %+v", now, step)
 		}
@@ -113,13 +113,13 @@
 	if now > 100*ms {
 		t.Errorf("given up after %v", now)
 	}
-	if f := r.Next(now).Final; f.Status != 503 || f.After <= 0 {
+	if f := r.Next(now).Response; f.Status != 503 || f.RetryAfter <= 0 {
 		t.Errorf("%+v", f)
 	}
 	late := table(t, 2).enter(t, "/safe/")
 	id := late.Next(0).Server
 	out := &wire.ForwardResponse{Result: wire.ForwardResponse_DEADLINE_EXCEEDED}
-	if f, _ := late.Done(2*time.Second, id, out, Result(out)); f == nil || f.Status != 504 {
+	if f, _ := late.HandleOutcome(2*time.Second, id, out, Result(out)); f == nil || f.Status != 504 {
 		t.Errorf("at its deadline: %v", f)
 	}
 }
@@ -130,10 +130,10 @@
 	tab := table(t, 4)
 	route := tab.ClusterState().Config.Find("h", "/safe/")
 	for range 40 {
-		tab.learn(0, route.Name, &wire.ForwardResponse{Calls: []*wire.CallCount{{Service: "s", Count: 2}}})
+		tab.recordRun(0, route.Name, &wire.ForwardResponse{Calls: []*wire.CallCount{{Service: "s", Count: 2}}})
 	}
-	if len(tab.behind(0, route)) != 1 {
-		t.Fatalf("%d services behind", len(tab.behind(0, route)))
+	if len(tab.downstreamGates(0, route)) != 1 {
+		t.Fatalf("%d services behind", len(tab.downstreamGates(0, route)))
 	}
 	tab.enter(t, "/safe/") // one in flight: else all are admitted
 	for range 400 {
@@ -141,10 +141,10 @@
 	}
 	refused, inner := 0, 0
 	for range 200 {
-		if _, f := tab.Enter(0, Entrant{Route: route, Service: "s", Until: time.Second}); f != nil {
+		if _, f := tab.Admit(0, Arrival{Route: route, Service: "s", Deadline: time.Second}); f != nil {
 			refused++
 		}
-		if _, f := tab.Enter(0, Entrant{Route: route, Service: "s", Until: time.Second, Inner: true}); f != nil {
+		if _, f := tab.Admit(0, Arrival{Route: route, Service: "s", Deadline: time.Second, Inner: true}); f != nil {
 			inner++
 		}
 	}
@@ -173,36 +173,36 @@
 		{"both break", fate(wire.ForwardResponse_BROKEN), fate(wire.ForwardResponse_BROKEN), false, 502},
 	} {
 		tab := table(t, 4)
-		tab.learn(0, "safe", &wire.ForwardResponse{Status: 200, TookMs: 60})
+		tab.recordRun(0, "safe", &wire.ForwardResponse{Status: 200, TookMs: 60})
 		r := tab.enter(t, "/safe/")
 		r.Route.MaxAttempts = 2
-		if after := r.HedgeAfter(); after != 120*ms {
+		if after := r.HedgeDelay(); after != 120*ms {
 			t.Fatalf("a second server after %v", after)
 		}
 		one := r.Next(0)
 		two, ok := r.Hedge(120 * ms)
-		if !ok || two.Server == one.Server || !two.Repeat || one.Repeat {
+		if !ok || two.Server == one.Server || !two.Retry || one.Retry {
 			t.Fatalf("%s: %+v behind %+v", c.name, two, one)
 		}
 		if _, ok := r.Hedge(121 * ms); ok {
 			t.Errorf("%s: a third server", c.name)
 		}
-		if final, pass := r.Done(130*ms, one.Server, c.first, Result(c.first)); final != nil || pass {
+		if final, pass := r.HandleOutcome(130*ms, one.Server, c.first, Result(c.first)); final != nil || pass {
 			t.Errorf("%s: over while the second is at work: %v, %v", c.name, final, pass)
 		}
-		final, pass := r.Done(140*ms, two.Server, c.second, Result(c.second))
+		final, pass := r.HandleOutcome(140*ms, two.Server, c.second, Result(c.second))
 		if pass != c.pass || !pass && final.Status != c.status {
 			t.Errorf("%s: %v, passed %v", c.name, final, pass)
 		}
 	}
 	tab := table(t, 4)
-	tab.learn(0, "once", &wire.ForwardResponse{Status: 200, TookMs: 60})
-	if after := tab.enter(t, "/once/").HedgeAfter(); after != 0 {
+	tab.recordRun(0, "once", &wire.ForwardResponse{Status: 200, TookMs: 60})
+	if after := tab.enter(t, "/once/").HedgeDelay(); after != 0 {
 		t.Errorf("one that may run once has a second server after %v", after)
 	}
 	r := tab.enter(t, "/safe/")
-	tab.Share(0)
-	for r.service.budget.Left(0) >= hedgeReserve {
+	tab.SetRetrySlack(0)
+	for r.service.budget.Left(0) >= hedgeBudgetReserve {
 		r.service.budget.Charge(0, 1)
 	}
 	r.Next(0)
@@ -219,16 +219,16 @@
 		for range c.requests {
 			r := tab.enter(t, "/safe/")
 			for range c.turned {
-				r.Done(0, r.Next(0).Server, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Queued: true}, decide.Unhealthy)
+				r.HandleOutcome(0, r.Next(0).Server, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Queued: true}, decide.Unhealthy)
 			}
 			step := r.Next(0)
-			if queue := c.turned >= looks; step.Queue != queue && tab.service(0, "s").gate.Calm(0) {
-				t.Errorf("turned away %d times it may wait: %v", c.turned, step.Queue)
+			if queue := c.turned >= immediateAttempts; step.MayQueue != queue && tab.service(0, "s").gate.Calm(0) {
+				t.Errorf("turned away %d times it may wait: %v", c.turned, step.MayQueue)
 			}
-			r.Done(0, step.Server, &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: 200}, decide.Served)
-			r.Leave(0)
+			r.HandleOutcome(0, step.Server, &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: 200}, decide.Served)
+			r.End(0)
 		}
-		if crowd := c.turned >= looks; tab.service(0, "s").gate.Calm(0) == crowd {
+		if crowd := c.turned >= immediateAttempts; tab.service(0, "s").gate.Calm(0) == crowd {
 			t.Errorf("all are turned away %d times, and the gate's pressure is %.2f", c.turned, tab.Pressure(0, "s"))
 		}
 	}
--- a/internal/dataplane/entry/update.go
+++ b/internal/dataplane/router/update.go
@@ -1,4 +1,4 @@
-package entry
+package router
 
 import (
 	"maps"
@@ -12,14 +12,14 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Update takes a newer version of the cluster. It costs what has changed: a change of the configuration touches no list of
-// servers, and one of the servers those of their services alone.
+// Update takes a newer ClusterState, at the cost of what has changed: a change of the configuration touches no list of
+// servers, and one of the servers only the lists of their services.
 func (t *Table) Update(now time.Duration, w *ClusterState) {
 	old := t.cluster
 	t.cluster = w
 	touched := t.updateServers(old, w)
-	if place := t.placeIn(old, w); place != t.place {
-		t.place = place
+	if position := t.newSubsetPosition(old, w); position != t.subsetPosition {
+		t.subsetPosition = position
 		for name := range t.services {
 			touched[name] = true
 		}
@@ -30,18 +30,18 @@
 	}
 	for name := range touched {
 		if s := t.services[name]; s != nil {
-			s.picker.SetTargets(now, t.listed[name], t.place)
+			s.picker.SetTargets(now, t.targets[name], t.subsetPosition)
 		}
 	}
 }
 
-// placeIn is where this node's subsets begin.
-func (t *Table) placeIn(old, w *ClusterState) float64 {
-	nodes := w.Nodes[t.opt.Zone]
-	if slices.Equal(nodes, old.Nodes[t.opt.Zone]) {
-		return t.place
+// newSubsetPosition is where this node's subsets begin.
+func (t *Table) newSubsetPosition(old, w *ClusterState) float64 {
+	nodes := w.Nodes[t.options.Zone]
+	if slices.Equal(nodes, old.Nodes[t.options.Zone]) {
+		return t.subsetPosition
 	}
-	return decide.SubsetPosition(t.opt.Node, nodes)
+	return decide.SubsetPosition(t.options.Node, nodes)
 }
 
 // updateServers brings the lists of servers up to date, and returns the services whose lists have changed.
@@ -56,24 +56,24 @@
 			touched[c.Old.Service] = true
 		}
 		if c.Has {
-			target := decide.Target{ID: c.New.Member, Local: c.New.Zone == t.opt.Zone}
-			t.listed[c.New.Service] = append(t.listed[c.New.Service], target)
+			target := decide.Target{ID: c.New.Member, Local: c.New.Zone == t.options.Zone}
+			t.targets[c.New.Service] = append(t.targets[c.New.Service], target)
 			touched[c.New.Service] = true
 		}
 	})
 	return touched
 }
 
-// unlist takes a server off the list of its service.
+// unlist removes a server from the list of its service.
 func (t *Table) unlist(s *wire.Server) {
-	list := t.listed[s.Service]
+	list := t.targets[s.Service]
 	i := slices.IndexFunc(list, func(x decide.Target) bool { return x.ID == s.Member })
 	list[i] = list[len(list)-1]
 	if list = list[:len(list)-1]; len(list) == 0 {
-		delete(t.listed, s.Service)
+		delete(t.targets, s.Service)
 		return
 	}
-	t.listed[s.Service] = list
+	t.targets[s.Service] = list
 }
 
 // updateConfig takes what differs between two configurations; the old one may be nil.
@@ -109,7 +109,7 @@
 		if t.routes[r.Name]--; t.routes[r.Name] == 0 {
 			delete(t.routes, r.Name)
 			delete(t.graphs, r.Name)
-			delete(t.usual, r.Name)
+			delete(t.typicalLatency, r.Name)
 		}
 	}
 	return newLevels
@@ -120,7 +120,7 @@
 	return slices.EqualFunc(a, b, func(x, y meshconfig.Backend) bool { return x.Name == y.Name })
 }
 
-// updateServices drops what is kept of the services that are gone.
+// updateServices drops the state of services that are no longer configured.
 func (t *Table) updateServices(config *meshconfig.Config) {
 	t.backends = make(map[string]bool, len(config.Backends))
 	for _, b := range config.Backends {
@@ -129,14 +129,14 @@
 	maps.DeleteFunc(t.services, func(name string, _ *service) bool { return !t.backends[name] })
 }
 
-// newService begins what is kept of a service.
+// newService begins the state of a service.
 func (t *Table) newService(now time.Duration, name string) *service {
 	s := &service{
 		gate: decide.NewGate(t.rng.Uint64(), now), picker: decide.NewPicker(t.rng.Uint64()),
-		budget: budget.New(t.opt.Ratio, t.opt.Window), hedges: hedgeSaved,
+		budget: budget.New(t.options.RetryRatio, t.options.RetryWindow), hedgeTokens: maxHedgeTokens,
 	}
-	s.budget.Share(t.slack)
+	s.budget.Share(t.retrySlack)
 	s.gate.SetPriorities(slices.Collect(maps.Keys(t.levels)))
-	s.picker.SetTargets(now, t.listed[name], t.place)
+	s.picker.SetTargets(now, t.targets[name], t.subsetPosition)
 	return s
 }
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -15,8 +15,8 @@
 	"ivydeck/internal/cluster/gossip"
 	"ivydeck/internal/config/nodefile"
 	"ivydeck/internal/dataplane/budget"
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/proxy"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/dataplane/trace"
 	"ivydeck/internal/distribution/agent"
 	"ivydeck/internal/distribution/relay"
@@ -49,7 +49,7 @@
 	served   atomic.Bool   // there is a configuration and a server
 	shares   budget.Shares // the upkeep's own
 
-	cluster entry.ClusterStateBuilder // watch's own
+	cluster router.ClusterStateBuilder // watch's own
 }
 
 // Run is a sidecar's process from its start to its end. It returns some time after the
--- a/internal/dataplane/sidecar/look.go
+++ b/internal/dataplane/sidecar/look.go
@@ -16,7 +16,7 @@
 		UpdateIndex: n.hub.Index(), UpdateAgeMs: uint32(min(n.follower.Age(), time.Hour).Milliseconds()), UpMs: uint32(time.Since(n.began).Milliseconds()),
 	}
 	for _, r := range n.outbound.Readings(n.outbound.Priorities()) {
-		l.Services = append(l.Services, &wire.ServiceStatus{Service: r.Service, NormalizedLatency: r.R, AdmissionProbabilities: r.Chances, RetryBudgetLeft: r.Left})
+		l.Services = append(l.Services, &wire.ServiceStatus{Service: r.Service, NormalizedLatency: r.NormalizedLatency, AdmissionProbabilities: r.Probabilities, RetryBudgetLeft: r.RetryBudgetLeft})
 	}
 	unhealthy := n.inbound.Unhealthy()
 	servers, running, waiting := n.inbound.Load()
--- a/internal/dataplane/sidecar/metrics.go
+++ b/internal/dataplane/sidecar/metrics.go
@@ -23,13 +23,13 @@
 		metrics.Gauge{Name: "ivydeck_admission_r", Help: "Period average of the node's own requests, in aims.", Labels: []string{"service"},
 			Read: ofServices(func(emit func(float64, ...string)) {
 				for _, r := range n.outbound.Readings(0) {
-					emit(r.R, r.Service)
+					emit(r.NormalizedLatency, r.Service)
 				}
 			})},
 		metrics.Gauge{Name: "ivydeck_admission_chance", Help: "Of a new graph to be admitted.", Labels: []string{"service", "priority"},
 			Read: ofServices(func(emit func(float64, ...string)) {
 				for _, r := range n.outbound.Readings(shownPriorities) {
-					for p, chance := range r.Chances {
+					for p, chance := range r.Probabilities {
 						emit(chance, r.Service, fmt.Sprint(p))
 					}
 				}
@@ -37,7 +37,7 @@
 		metrics.Gauge{Name: "ivydeck_repeats_left", Help: "Of this node's part of the retry budget.", Labels: []string{"service"},
 			Read: ofServices(func(emit func(float64, ...string)) {
 				for _, r := range n.outbound.Readings(0) {
-					emit(r.Left, r.Service)
+					emit(r.RetryBudgetLeft, r.Service)
 				}
 			})},
 		metrics.Gauge{Name: "ivydeck_server_requests", Help: "At a server beside this node, and waiting for it.", Labels: []string{"server", "state"},
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -26,7 +26,7 @@
 			began := time.Now()
 			if version != members {
 				members = version
-				n.cluster.Members(n.gossip.Members(), func(node string) bool { return n.gossip.DeadFor(node) > 0 })
+				n.cluster.SetMembers(n.gossip.Members(), func(node string) bool { return n.gossip.DeadFor(node) > 0 })
 			}
 			n.update()
 			// An update of a service with thousands of servers costs milliseconds, one of the members of a large mesh too:
@@ -51,7 +51,7 @@
 	n.cluster.Apply(changes, config)
 	n.adopt(changes)
 	n.outbound.Update(n.cluster.ClusterState())
-	n.served.Store(config != nil && n.cluster.Listed() > 0)
+	n.served.Store(config != nil && n.cluster.Registered() > 0)
 	if config != nil && config != before {
 		n.log.Info("config.applied", "revision", config.Revision, "index", n.cluster.Index(), "resources", len(changes.GetResources()))
 	}
--- a/internal/simulation/lab/client.go
+++ b/internal/simulation/lab/client.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/router"
 )
 
 // request is what a client wants; it may take several tries.
@@ -40,13 +40,13 @@
 }
 
 // answered books the final answer, and checks what it promises.
-func (t *try) answered(f entry.Final) {
+func (t *try) answered(f router.Response) {
 	if f.Status == 429 || f.Status == 503 || f.Status == 408 || f.Status == 421 {
 		t.promised = true
 		if t.ran > 0 {
 			t.req.s.broken("%s was promised not to have run, and had", t.id)
 		}
-		if f.After <= 0 {
+		if f.RetryAfter <= 0 {
 			t.req.s.broken("%s was refused and not told when to come back", t.id)
 		}
 	}
@@ -84,24 +84,24 @@
 	s.tries++
 	t := &try{id: fmt.Sprintf("c%d", s.tries), req: q, until: until}
 	over := false
-	finish := func(f entry.Final) {
+	finish := func(f router.Response) {
 		if over {
 			return
 		}
 		over = true
 		t.answered(f)
-		if t.promised && n < s.w.Clients.Tries && s.now+f.After < until {
+		if t.promised && n < s.w.Clients.Tries && s.now+f.RetryAfter < until {
 			s.m.refused(q.route)
-			s.after(f.After, func() { s.ask(q, n+1) })
+			s.after(f.RetryAfter, func() { s.ask(q, n+1) })
 			return
 		}
 		s.m.done(s.now, q, f)
 	}
 	if !nd.up {
-		finish(entry.Final{Status: 502, Why: "no node"})
+		finish(router.Response{Status: 502, Reason: "no node"})
 		return
 	}
-	s.at(until, func() { finish(entry.Final{Status: 504, Why: "the client has given up"}) })
+	s.at(until, func() { finish(router.Response{Status: 504, Reason: "the client has given up"}) })
 	nd.handle(t, finish)
 }
 
--- a/internal/simulation/lab/delivery_test.go
+++ b/internal/simulation/lab/delivery_test.go
@@ -5,7 +5,7 @@
 // TestChangesCostWhatTheyChange: what a change of one route costs each node, and the links between zones, does not depend
 // on the size of the configuration, and it is everywhere within a second at fifty changes a second.
 func TestChangesCostWhatTheyChange(t *testing.T) {
-	w, err := Load("../../lab/changes.toml")
+	w, err := Load("../../../lab/changes.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/distribution/relay"
 )
 
 func town(t *testing.T) *Scenario {
 	t.Helper()
-	w, err := Load("../../lab/town.toml")
+	w, err := Load("../../../lab/town.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,16 +70,16 @@
 		},
 		"after a promise": func(s *sim) {
 			x := &try{id: "a", req: &request{s: s, route: s.route("browse")}}
-			x.answered(entry.Final{Status: 503, After: 1})
+			x.answered(router.Response{Status: 503, RetryAfter: 1})
 			x.executed()
 		},
 		"promised not to have run": func(s *sim) {
 			x := &try{id: "a", req: &request{s: s, route: s.route("browse")}}
 			x.executed()
-			x.answered(entry.Final{Status: 503, After: 1})
+			x.answered(router.Response{Status: 503, RetryAfter: 1})
 		},
 		"when to come back": func(s *sim) {
-			(&try{id: "a", req: &request{s: s, route: s.route("browse")}}).answered(entry.Final{Status: 503})
+			(&try{id: "a", req: &request{s: s, route: s.route("browse")}}).answered(router.Response{Status: 503})
 		},
 		"after the acknowledgement of its drain": func(s *sim) {
 			v := s.servers[0]
@@ -170,7 +170,7 @@
 // TestIllServers: a sixth of the servers fails half of its runs, fast, so that it looks idle. Without the health core a
 // seventeenth of all requests fails; the application's own errors are 2 in 1,000.
 func TestIllServers(t *testing.T) {
-	w, err := Load("../../lab/ill.toml")
+	w, err := Load("../../../lab/ill.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 // TestAllStart: a thousand nodes start at once and turn to the core, which feeds no more of them than it has room for;
 // the others are fed by those.
 func TestAllStart(t *testing.T) {
-	w, err := Load("../../lab/ill.toml")
+	w, err := Load("../../../lab/ill.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/lab/measure.go
+++ b/internal/simulation/lab/measure.go
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ivydeck/internal/dataplane/entry"
+	"ivydeck/internal/dataplane/router"
 )
 
 // What a request is worth to its client.
@@ -150,7 +150,7 @@
 }
 
 // done books the end of a request, in the second in which it began.
-func (m *measures) done(now time.Duration, q *request, f entry.Final) {
+func (m *measures) done(now time.Duration, q *request, f router.Response) {
 	sec := m.second(q.begun)
 	all := []*Counts{&sec.Counts, m.route(q.route.Name), &m.total}
 	took := now - q.begun
@@ -169,7 +169,7 @@
 		} else {
 			book(func(c *Counts) { c.Late++; c.Worth += worthInTime })
 		}
-	case f.After > 0:
+	case f.RetryAfter > 0:
 		book(func(c *Counts) { c.Refused++ })
 		for len(sec.ByPriority) <= q.route.Priority {
 			sec.ByPriority = append(sec.ByPriority, 0)
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -8,8 +8,8 @@
 
 	"ivydeck/internal/controlplane/catalog"
 	"ivydeck/internal/dataplane/budget"
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/transport/wire"
 )
@@ -38,12 +38,12 @@
 	freshAt   time.Duration
 	readiness relay.Readiness
 
-	table     *entry.Table
+	table     *router.Table
 	admission *localserver.Admission[*ticket]
 	shares    budget.Shares
 	server    *server
 	began     time.Duration
-	cluster   entry.ClusterStateBuilder
+	cluster   router.ClusterStateBuilder
 	listed    catalog.NodeServers
 	members   uint64 // the version of them that the table has been told
 	proposes  bool
@@ -57,9 +57,9 @@
 	n.incarnation, n.up, n.powered, n.began = s.lives, true, true, s.now
 	n.place = relay.ParentCache{Self: n.name, Zone: n.zone}
 	n.selector, n.parent, n.freshAt, n.proposes = relay.Selector{}, nil, -time.Hour, false
-	n.cluster, n.listed, n.members = entry.ClusterStateBuilder{}, catalog.NodeServers{Node: n.name}, 0
+	n.cluster, n.listed, n.members = router.ClusterStateBuilder{}, catalog.NodeServers{Node: n.name}, 0
 	n.hub = relay.NewHub(func() time.Duration { return s.now - n.freshAt })
-	n.table = entry.NewTable(entry.Options{Node: n.name, Zone: n.zone, Ratio: s.w.Retry.Ratio, Window: sec(s.w.Retry.WindowS), Seed: s.rng.Uint64()})
+	n.table = router.NewTable(router.Options{Node: n.name, Zone: n.zone, RetryRatio: s.w.Retry.Ratio, RetryWindow: sec(s.w.Retry.WindowS), Seed: s.rng.Uint64()})
 	n.admission = localserver.New[*ticket](ms(s.w.DrainMs), ms(s.w.BeatMs))
 	n.shares = budget.Shares{Slack: s.w.Retry.Slack, Window: sec(s.w.Retry.WindowS), Known: s.now == 0}
 	n.peerView.start(s, &n.machine)
@@ -221,7 +221,7 @@
 	_, v := n.admission.Sweep(n.s.now)
 	n.deliver(v)
 	nodes := len(n.group.Members()) - len(n.s.cores)
-	n.table.Share(n.shares.Part(n.s.now-n.began, nodes))
+	n.table.SetRetrySlack(n.shares.Part(n.s.now-n.began, nodes))
 	if n.server != nil && !n.proposes {
 		n.register()
 	}
--- a/internal/simulation/lab/request.go
+++ b/internal/simulation/lab/request.go
@@ -5,9 +5,9 @@
 
 	"ivydeck/decide"
 	"ivydeck/internal/config/meshconfig"
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/health"
 	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/transport/wire"
 )
 
@@ -25,7 +25,7 @@
 func (n *node) refresh() bool {
 	members := n.group.Version()
 	if members != n.members {
-		n.cluster.Members(n.group.Members(), func(name string) bool { return n.group.DeadFor(n.s.now, name) > 0 })
+		n.cluster.SetMembers(n.group.Members(), func(name string) bool { return n.group.DeadFor(n.s.now, name) > 0 })
 	}
 	if n.hub.Index() != n.cluster.Index() || members != n.members {
 		n.members = members
@@ -37,34 +37,34 @@
 
 // handle gives one request its final answer; the answer's After is positive where
 // it promises that the request has not run.
-func (n *node) handle(t *try, done func(f entry.Final)) {
+func (n *node) handle(t *try, done func(f router.Response)) {
 	s := n.s
 	if !n.refresh() {
-		done(entry.Final{Status: 503, Why: "no configuration", After: 500 * time.Millisecond})
+		done(router.Response{Status: 503, Reason: "no configuration", RetryAfter: 500 * time.Millisecond})
 		return
 	}
 	var route *meshconfig.Route
 	if route = n.table.ClusterState().Config.Find(host, "/"+t.req.route.Name+"/"); route == nil {
-		done(entry.Final{Status: 404, Why: "no route"})
+		done(router.Response{Status: 404, Reason: "no route"})
 		return
 	}
-	e := entry.Entrant{Route: route, Service: n.table.Choose(route), Arrived: s.now}
-	e.Until = s.now + min(route.Timeout(), t.until-s.now) - answerMargin
-	e.Inner, e.Again = n.admission.Graph(t.id, e.Service)
+	e := router.Arrival{Route: route, Service: n.table.ChooseService(route), At: s.now}
+	e.Deadline = s.now + min(route.Timeout(), t.until-s.now) - answerMargin
+	e.Inner, e.OfRetry = n.admission.Graph(t.id, e.Service)
 	s.m.entered(s.now, e.Service)
-	if e.Again {
+	if e.OfRetry {
 		s.m.repeated(s.now, e.Service)
 	}
-	r, refused := n.table.Enter(s.now, e)
+	r, refused := n.table.Admit(s.now, e)
 	if refused != nil {
 		done(*refused)
 		return
 	}
 	incarnation := n.incarnation
 	over := false
-	end := func(f entry.Final) {
+	end := func(f router.Response) {
 		over = true
-		r.Leave(s.now)
+		r.End(s.now)
 		if e.Inner && f.Status >= 400 {
 			n.admission.CallFailed(t.id)
 		}
@@ -72,20 +72,20 @@
 	}
 	open := 0
 	var step func()
-	try := func(next entry.Step) {
+	try := func(next router.Action) {
 		open++
 		n.attempt(t, r, next, func(out *wire.ForwardResponse, result decide.Result) {
 			open--
 			if over {
-				r.Late(s.now, next.Server, out, result)
+				r.HandleLateOutcome(s.now, next.Server, out, result)
 				return
 			}
-			final, pass := r.Done(s.now, next.Server, out, result)
+			final, pass := r.HandleOutcome(s.now, next.Server, out, result)
 			switch {
 			case final != nil:
 				end(*final)
 			case pass:
-				end(entry.Final{Status: int(out.Status)})
+				end(router.Response{Status: int(out.Status)})
 			case open == 0:
 				step()
 			}
@@ -96,13 +96,13 @@
 			return
 		}
 		switch next := r.Next(s.now); {
-		case next.Final != nil:
-			end(*next.Final)
+		case next.Response != nil:
+			end(*next.Response)
 		case next.Server == "":
 			s.after(next.Wait, step)
 		default:
 			try(next)
-			if after := r.HedgeAfter(); after > 0 {
+			if after := r.HedgeDelay(); after > 0 {
 				s.after(after, func() {
 					if !over && open == 1 && n.up && n.incarnation == incarnation {
 						if next, ok := r.Hedge(s.now); ok {
@@ -117,7 +117,7 @@
 }
 
 // attempt asks the node beside a server.
-func (n *node) attempt(t *try, r *entry.Request, step entry.Step, done func(*wire.ForwardResponse, decide.Result)) {
+func (n *node) attempt(t *try, r *router.Request, step router.Action, done func(*wire.ForwardResponse, decide.Result)) {
 	id := step.Server
 	s := n.s
 	listed, _ := n.table.ClusterState().Servers.Get(id)
@@ -126,13 +126,13 @@
 		return
 	}
 	to := s.nodes[s.index[listed.Node]]
-	ask := localserver.Ask{Member: id, Service: r.Service, Attempt: t.id, Priority: r.Rank, Repeat: step.Repeat, Wait: step.Queue,
-		Call: health.Call{Zone: n.zone, Usual: step.Usual, Once: r.Once(), Insist: step.Insist}}
-	until := r.Until
-	tries := r.Tries()
+	ask := localserver.Ask{Member: id, Service: r.Service, Attempt: t.id, Priority: r.Priority, Repeat: step.Retry, Wait: step.MayQueue,
+		Call: health.Call{Zone: n.zone, Usual: step.TypicalLatency, Once: r.NonIdempotent(), Insist: step.IgnoreEjection}}
+	until := r.Deadline
+	tries := r.Attempts()
 	s.call(&n.machine, &to.machine, headBytes, max(0, until-s.now), func(answer func(int, func())) {
 		to.forward(t, ask, until, tries, func(out *wire.ForwardResponse) {
-			answer(headBytes, func() { done(out, entry.Result(out)) })
+			answer(headBytes, func() { done(out, router.Result(out)) })
 		})
 	}, func(sent bool) {
 		switch {
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/localserver"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/transport/wire"
 )
 
@@ -196,7 +196,7 @@
 			return
 		}
 		inner := &try{id: fmt.Sprintf("%s.%d", t.id, i), until: until, req: &request{s: s, route: s.route(calls[i])}}
-		v.node.handle(inner, func(f entry.Final) {
+		v.node.handle(inner, func(f router.Response) {
 			inner.answered(f)
 			s.after(part, func() {
 				if f.Status != 200 {
--- a/internal/simulation/mutation/mutation_test.go
+++ b/internal/simulation/mutation/mutation_test.go
@@ -9,7 +9,7 @@
 
 // TestBugsHaveTheirPlaces: each bug of the list can still be put in.
 func TestBugsHaveTheirPlaces(t *testing.T) {
-	bugs, err := Load("../../lab/mutations.toml", "../..")
+	bugs, err := Load("../../../lab/mutations.toml", "../../..")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/mutation/run.go
+++ b/internal/simulation/mutation/run.go
@@ -18,7 +18,7 @@
 // packages have the tests that speak of what is decided, beside those of the changed file's own package and those that a
 // bug names; the drivers' take long and find little more.
 var packages = []string{
-	"./decide", "./internal/controlplane/catalog", "./internal/dataplane/entry", "./internal/station", "./internal/distribution/relay",
+	"./decide", "./internal/controlplane/catalog", "./internal/dataplane/router", "./internal/dataplane/localserver", "./internal/distribution/relay",
 	"./internal/cluster/membership", "./internal/dataplane/budget", "./internal/dataplane/health", "./internal/controlplane/store",
 }
 
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -16,8 +16,8 @@
 
 	"ivydeck/internal/cluster/membership"
 	"ivydeck/internal/controlplane/catalog"
-	"ivydeck/internal/dataplane/entry"
 	"ivydeck/internal/dataplane/proxy"
+	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/distribution/relay"
 	"ivydeck/internal/transport/wire"
 )
@@ -67,7 +67,7 @@
 type nodeState struct {
 	hub      *relay.Hub
 	group    *membership.Memberlist
-	cluster  entry.ClusterStateBuilder
+	cluster  router.ClusterStateBuilder
 	outbound *proxy.Outbound
 }
 
@@ -163,7 +163,7 @@
 		return err
 	}
 	n.group.Merge(now, answer.Updates...)
-	n.cluster.Members(n.group.Members(), func(node string) bool { return n.group.DeadFor(now, node) > 0 })
+	n.cluster.SetMembers(n.group.Members(), func(node string) bool { return n.group.DeadFor(now, node) > 0 })
 	n.outbound.Update(n.cluster.ClusterState())
 	return nil
 }
