--- a/internal/balancer/node/shutdown_test.go
+++ b/internal/balancer/node/shutdown_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// At a planned end the code must answer what it has, take the connections that
+// TestPlannedEnd: at a planned end the code must answer what it has, take the connections that
 // go on coming for a while, and ask clients to leave. Closing the listener at
 // once would reset those that wait in its backlog.
 func TestPlannedEnd(t *testing.T) {
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -29,12 +29,12 @@
 	return &Budget{ratio: ratio * Caution, width: max(time.Millisecond, window/buckets)}
 }
 
-// Share sets this node's part of the slack.
+// SetSlack sets this node's part of the slack.
 //
 // A process that has just started does not know what its last life spent, and
 // neither does one that joined know what others spent of a larger share: both
 // have none until a window has passed.
-func (b *Budget) Share(slack float64) { b.slack = slack * Caution }
+func (b *Budget) SetSlack(slack float64) { b.slack = slack * Caution }
 
 // roll moves on to the bucket of a time.
 func (b *Budget) roll(now time.Duration) int {
@@ -53,8 +53,8 @@
 // Request notes a request for the service.
 func (b *Budget) Request(now time.Duration) { b.earned[b.roll(now)]++ }
 
-// Left returns how many repeats may be sent at this moment.
-func (b *Budget) Left(now time.Duration) float64 {
+// Available returns how many repeats may be sent at this moment.
+func (b *Budget) Available(now time.Duration) float64 {
 	b.roll(now)
 	spent, earned := 0.0, 0.0
 	for i := range b.spent {
@@ -68,7 +68,7 @@
 
 // Spend takes a repeat out of the budget, if it has one left.
 func (b *Budget) Spend(now time.Duration) bool {
-	if b.Left(now) < 1 {
+	if b.Available(now) < 1 {
 		return false
 	}
 	b.spent[b.roll(now)]++
@@ -91,10 +91,10 @@
 	at    time.Duration
 }
 
-// Part returns a node's part of the slack. age is the process's, nodes the number
+// Share returns a node's part of the slack. age is the process's, nodes the number
 // of those known now, this one among them. All that were lately there count, as
 // they may have spent theirs.
-func (s *Shares) Part(age time.Duration, nodes int) float64 {
+func (s *Shares) Share(age time.Duration, nodes int) float64 {
 	if nodes >= s.nodes || age-s.at > 2*s.Window {
 		s.nodes, s.at = nodes, age
 	}
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -21,7 +21,7 @@
 		var asked, again [steps]float64
 		for i := range budgets {
 			budgets[i] = New(ratio/Caution, window) // the whole bound, as if no call followed
-			budgets[i].Share(slack / Caution / nodes)
+			budgets[i].SetSlack(slack / Caution / nodes)
 		}
 		for s := range steps {
 			now := time.Duration(s) * step
@@ -30,7 +30,7 @@
 					budgets[i], born[i] = New(ratio/Caution, window), now
 				}
 				if now-born[i] > window {
-					budgets[i].Share(slack / Caution / nodes)
+					budgets[i].SetSlack(slack / Caution / nodes)
 				}
 				busy := s/500%nodes == i || rng.IntN(10) == 0
 				for busy && rng.IntN(3) > 0 {
@@ -68,9 +68,9 @@
 	if b.Spend(time.Second) {
 		t.Error("a new life without a share spent")
 	}
-	b.Share(20)
-	if !b.Spend(time.Second) || b.Left(time.Second) != 20*Caution-1 {
-		t.Errorf("%v left", b.Left(time.Second))
+	b.SetSlack(20)
+	if !b.Spend(time.Second) || b.Available(time.Second) != 20*Caution-1 {
+		t.Errorf("%v left", b.Available(time.Second))
 	}
 	b.Charge(time.Second, 100)
 	if b.Spend(2*time.Second) || !b.Spend(12*time.Second) {
--- a/internal/dataplane/health/health.go
+++ b/internal/dataplane/health/health.go
@@ -1,10 +1,6 @@
-// Package health judges a server by what becomes of the requests that it is given: whether it may have the next
-// one, and how slow it is. It believes no health answer, which may be false either way, and sends no probes, which
-// would take a slot: requests tell more.
-//
-// A Server is kept by the node that stands beside it, which sees all of its callers, so that what one request has
-// shown holds for all of them at once. It is a pure state machine: it takes the time and an event. Times are durations
-// since a moment of the driver's choice. It is not for use by several goroutines.
+// Package health is passive outlier detection: it judges one server by the outcomes of the requests that it receives, for all
+// callers together and by their zone, and measures its relative latency. It sends no health checks, which may be wrong and
+// would take a slot: requests tell more. Package localserver drives it. It is pure.
 package health
 
 import (
@@ -13,120 +9,134 @@
 	"time"
 )
 
+// Outlier detection by the share of failures.
 const (
-	memory     = 2 * time.Second // after which what was seen counts for a third
-	confidence = 1.64            // one-sided 95 %: how sure a share of failures has to be ...
-	limit      = 0.1             // ... before one over this ejects a server
-	minBad     = 1.5             // failures, fading, below which none is ejected: two of late, never one
-	rowBad     = 3               // failures in a row that eject one, whatever was before
+	outcomeWindow          = 2 * time.Second // over which outcomes fade
+	confidence             = 1.64            // z value, one-sided 95 %: the share of failures is surely ...
+	maxFailureShare        = 0.1             // ... over this if a server is ejected
+	minFailures            = 1.5             // fading failures: two recent ones eject, one never does
+	maxConsecutiveFailures = 3               // eject whatever was before
+)
 
-	holdFirst = 800 * time.Millisecond // ejected for so long at first, doubled each time it is ejected again ...
-	holdMost  = 6 * time.Second
-	calmFor   = 20 * time.Second        // ... until it has been healthy for so long
-	probeGap  = 120 * time.Millisecond  // between probes of one that is ejected
-	probesDue = 4                       // good ones in a row that bring it back
-	onceAfter = 1500 * time.Millisecond // a request that may run once is a probe only where no other has come for so long
+// Ejection and return.
+const (
+	baseEjectionTime        = 800 * time.Millisecond  // doubled with each further ejection ...
+	maxEjectionTime         = 6 * time.Second         // ... up to this ...
+	ejectionResetAfter      = 20 * time.Second        // ... until the server has been healthy for so long
+	maxEjectionDoublings    = 4                       // of baseEjectionTime
+	probeInterval           = 120 * time.Millisecond  // between probes of an ejected server
+	probesToRestore         = 4                       // successful probes in a row that restore it
+	nonIdempotentProbeAfter = 1500 * time.Millisecond // such a request is a probe only if no other came for so long
+)
 
-	stallAfter = 700 * time.Millisecond // without any answer, with several under way, a server hangs
-	stallCalls = 3
-	stallProbe = 500 * time.Millisecond
+// Servers that hang, and requests that are overdue.
+const (
+	hangTimeout          = 700 * time.Millisecond // without any answer, with several requests running, a server hangs
+	minHangingCalls      = 3                      // running requests of a server that hangs
+	hangProbeInterval    = 500 * time.Millisecond
+	overdueLatencyFactor = 6 // typical latencies after which a running request counts as failed ...
+	minOverdueTime       = 600 * time.Millisecond
+	lateLatencyFactor    = 3 // typical latencies that a server must have had before a deadline counts as its failure
+)
 
-	overdueX   = 6 // usual times after which a request that still runs counts as failed
-	overdueMin = 600 * time.Millisecond
-	lateX      = 3    // usual times that a server must have had for what is late to be its doing
-	paceGain   = 0.05 // of the newest run; the first count for more
-	relearn    = 3    // runs that its pace counts for, once it is warm
-	paceLeast  = 0.4
-	paceMost   = 4
-	maxZones   = 16
-	maxRunning = 4096
+// The relative latency of a server.
+const (
+	relativeLatencyGain = 0.05 // weight of the newest run; the first ones have more
+	relearnRuns         = 3    // runs that the latency of a slow start counts for after it
+	minRelativeLatency  = 0.4
+	maxRelativeLatency  = 4
+)
+
+const (
+	maxZones   = 16   // of callers that are told apart
+	maxRunning = 4096 // requests that are tracked
 )
 
 // Call is a request for a server.
 type Call struct {
-	Zone   string        // where its graph has begun: some ills are met from one zone alone
-	Usual  time.Duration // the usual time of its like at all servers, as its entry sees it; 0: not known
-	Once   bool          // it may run once only
-	Insist bool          // its entry knows of no better server
+	Zone           string        // where its call graph entered the mesh: some faults affect one zone alone
+	TypicalLatency time.Duration // of its route at all servers, as its entry observes it; 0: not known
+	NonIdempotent  bool          // it must not run twice
+	IgnoreEjection bool          // its entry knows of no better server
 }
 
-// Verdict says whether a server may have a request.
+// Verdict says whether a server may receive a request.
 type Verdict int
 
 // The verdicts.
 const (
 	Healthy   Verdict = iota
-	Unhealthy         // it fails too many
+	Unhealthy         // ejected
 	Hangs             // it answers nothing
 )
 
-// End is how a request came out.
-type End int
+// Outcome is how a request has ended.
+type Outcome int
 
-// The ends.
+// The outcomes.
 const (
-	Served End = iota // with an answer that is no failure
-	Erred             // with the server's own failure, or turned away although it had room
-	Broken            // without a whole answer, or with one that was no answer of its own
-	Late              // with the end of its time
-	Void              // called off, or full: it says nothing of the server
+	Served Outcome = iota // an answer that is no failure
+	Erred                 // a failure of the server itself, or a rejection although it had a free slot
+	Broken                // no complete answer, or one that was not the server's own
+	Late                  // the deadline
+	Void                  // cancelled, or no free slot: it says nothing of the server
 )
 
-// Server is what is known of one incarnation of a server.
+// Server is the state of one incarnation of a server.
 type Server struct {
-	all      record
-	zones    map[string]*record
-	running  map[string]*run
-	spare    []*run // that have ended, for those to come
-	pace     float64
-	paced    int           // runs that it is of
-	warm     time.Duration // until then it is slow from its start
-	answered time.Duration // when it last answered anything
-	many     time.Duration // since when several are under way
-	probedAt time.Duration // of one that hangs
-	looked   time.Duration // when overdue ones were last looked for
+	all             record
+	zones           map[string]*record
+	running         map[string]*run
+	spare           []*run // ended ones, to be reused
+	relativeLatency float64
+	latencyRuns     int           // runs in relativeLatency
+	warmAt          time.Duration // end of its slow start
+	answered        time.Duration // last answer
+	severalSince    time.Duration // since when minHangingCalls are running
+	probedAt        time.Duration // while it hangs
+	checkedAt       time.Duration // last check for overdue requests
 }
 
-// run is a request at the server.
+// run is a running request.
 type run struct {
 	Call
 	began   time.Duration
-	overdue bool      // it has been counted
-	probes  []*record // for which it is one
+	overdue bool      // it was counted
+	probes  []*record // for which it is a probe
 }
 
-// record is what was seen of a server by some callers.
+// record is the outlier detection for some callers.
 type record struct {
-	bad, total float64 // fading
-	row        int     // failures since one that was none
-	at         time.Duration
-	ejected    bool
-	until      time.Duration // no probe before
-	probedAt   time.Duration // of the last
-	probing    int           // probes under way
-	good       int           // probes in a row
-	outs       int
-	backAt     time.Duration
+	failures, total     float64 // fading
+	consecutiveFailures int     // in a row
+	at                  time.Duration
+	ejected             bool
+	ejectedUntil        time.Duration // no probe before
+	probedAt            time.Duration // last probe
+	probing             int           // probes in flight
+	goodProbes          int           // successful probes in a row
+	ejections           int
+	restoredAt          time.Duration
 }
 
-// New returns a server of which nothing is known.
+// New returns a server without history.
 func New(now time.Duration) *Server {
 	return &Server{
-		zones: map[string]*record{}, running: map[string]*run{}, pace: 1, answered: now, probedAt: now - stallProbe,
+		zones: map[string]*record{}, running: map[string]*run{}, relativeLatency: 1, answered: now, probedAt: now - hangProbeInterval,
 	}
 }
 
-// Warm says how much longer the server is slow from its start. What its pace was until then says little of later.
-func (s *Server) Warm(now, left time.Duration) {
+// SetWarmup says how much longer the server is slow from its start. What its pace was until then says little of later.
+func (s *Server) SetWarmup(now, left time.Duration) {
 	if left > 0 {
-		s.warm = now + left
-	} else if s.warm > 0 {
-		s.warm, s.paced = 0, min(s.paced, relearn)
+		s.warmAt = now + left
+	} else if s.warmAt > 0 {
+		s.warmAt, s.latencyRuns = 0, min(s.latencyRuns, relearnRuns)
 	}
 }
 
-// Pace is how long the server takes for a request, in the time that others take for its like.
-func (s *Server) Pace() float64 { return s.pace }
+// RelativeLatency is how long the server takes for a request, in the time that others take for its like.
+func (s *Server) RelativeLatency() float64 { return s.relativeLatency }
 
 // Everywhere stands for all zones in what Ejected returns.
 const Everywhere = "*"
@@ -145,21 +155,21 @@
 	return zones
 }
 
-// Judge says whether the server may have a request. A Healthy one that is given to it is told with Begin.
-func (s *Server) Judge(now time.Duration, c Call) Verdict {
+// Check says whether the server may have a request. A Healthy one that is given to it is told with Begin.
+func (s *Server) Check(now time.Duration, c Call) Verdict {
 	s.overdue(now)
 	if s.Hangs(now) {
-		if now-s.probedAt < stallProbe {
+		if now-s.probedAt < hangProbeInterval {
 			return Hangs
 		}
 		s.probedAt = now
 		return Healthy
 	}
-	if c.Insist {
+	if c.IgnoreEjection {
 		return Healthy
 	}
 	zone := s.zones[c.Zone]
-	if !s.all.takes(now, c) || !zone.takes(now, c) {
+	if !s.all.accepts(now, c) || !zone.accepts(now, c) {
 		return Unhealthy
 	}
 	s.all.probedAt = now
@@ -171,7 +181,7 @@
 
 // Hangs reports whether the server has stopped answering.
 func (s *Server) Hangs(now time.Duration) bool {
-	return len(s.running) >= stallCalls && now-max(s.answered, s.many) > stallAfter
+	return len(s.running) >= minHangingCalls && now-max(s.answered, s.severalSince) > hangTimeout
 }
 
 // Begin notes a request that is given to the server, by its id.
@@ -180,24 +190,24 @@
 		return
 	}
 	if twin := s.running[id]; twin != nil { // two clients have given their requests one id: only one of them is watched
-		twin.tried()
+		twin.recordTime()
 	}
 	r := s.fresh()
 	r.Call, r.began, r.overdue = c, now, false
 	for _, rec := range []*record{&s.all, s.zones[c.Zone]} {
-		if rec != nil && rec.ejected && now >= rec.until {
+		if rec != nil && rec.ejected && now >= rec.ejectedUntil {
 			rec.probing++
 			r.probes = append(r.probes, rec)
 		}
 	}
 	s.running[id] = r
-	if len(s.running) == stallCalls {
-		s.many = now
+	if len(s.running) == minHangingCalls {
+		s.severalSince = now
 	}
 }
 
 // End takes the end of a request. It reports whether the server was ejected by it, or has come back.
-func (s *Server) End(now time.Duration, id string, how End) (ejected, restored bool) {
+func (s *Server) End(now time.Duration, id string, how Outcome) (ejected, restored bool) {
 	r := s.running[id]
 	delete(s.running, id)
 	if how == Served || how == Erred {
@@ -207,24 +217,24 @@
 		return false, false
 	}
 	defer func() { s.spare = append(s.spare, r) }()
-	r.tried()
+	r.recordTime()
 	// One that came with little time left would have been late anywhere.
-	if how == Late && r.Usual > 0 && now-r.began < lateX*r.Usual {
+	if how == Late && r.TypicalLatency > 0 && now-r.began < lateLatencyFactor*r.TypicalLatency {
 		how = Void
 	}
 	if r.overdue || how == Void {
 		return false, false
 	}
-	if how == Served && r.Usual > 0 {
-		ratio := min(paceMost, float64(now-r.began)/float64(r.Usual))
-		s.paced++
-		s.pace = max(paceLeast, s.pace+(ratio-s.pace)*max(paceGain, 1/float64(s.paced+1)))
+	if how == Served && r.TypicalLatency > 0 {
+		ratio := min(maxRelativeLatency, float64(now-r.began)/float64(r.TypicalLatency))
+		s.latencyRuns++
+		s.relativeLatency = max(minRelativeLatency, s.relativeLatency+(ratio-s.relativeLatency)*max(relativeLatencyGain, 1/float64(s.latencyRuns+1)))
 	}
-	return s.note(now, r, how == Served)
+	return s.recordOutcome(now, r, how == Served)
 }
 
-// tried ends a probe.
-func (r *run) tried() {
+// recordTime ends a probe.
+func (r *run) recordTime() {
 	for _, rec := range r.probes {
 		rec.probing--
 	}
@@ -242,8 +252,8 @@
 	return r
 }
 
-// note books what one request has shown: for the callers of its zone, and for all unless it is that zone's affair.
-func (s *Server) note(now time.Duration, r *run, good bool) (ejected, restored bool) {
+// recordOutcome books what one request has shown: for the callers of its zone, and for all unless it is that zone's affair.
+func (s *Server) recordOutcome(now time.Duration, r *run, good bool) (ejected, restored bool) {
 	if !s.all.ejected {
 		z := s.zones[r.Zone]
 		if z == nil && len(s.zones) < maxZones {
@@ -251,12 +261,12 @@
 			s.zones[r.Zone] = z
 		}
 		if z != nil {
-			if ejected, restored = z.note(now, r.began, good); z.ejected || restored {
+			if ejected, restored = z.recordOutcome(now, r.began, good); z.ejected || restored {
 				return ejected, restored
 			}
 		}
 	}
-	ejected, restored = s.all.note(now, r.began, good)
+	ejected, restored = s.all.recordOutcome(now, r.began, good)
 	if ejected {
 		clear(s.zones) // it is everybody's
 	}
@@ -266,69 +276,69 @@
 // overdue counts requests that run for too long as failed, before their end: one that hangs ends with its caller's
 // patience, and until then the server would go on being sent others.
 func (s *Server) overdue(now time.Duration) {
-	if now-s.looked < overdueMin/8 {
+	if now-s.checkedAt < minOverdueTime/8 {
 		return
 	}
-	s.looked = now
+	s.checkedAt = now
 	for _, r := range s.running {
-		if !r.overdue && r.Usual > 0 && now-r.began > max(overdueMin, overdueX*r.Usual) {
+		if !r.overdue && r.TypicalLatency > 0 && now-r.began > max(minOverdueTime, overdueLatencyFactor*r.TypicalLatency) {
 			r.overdue = true
-			r.tried()
-			s.note(now, r, false)
+			r.recordTime()
+			s.recordOutcome(now, r, false)
 		}
 	}
 }
 
-// takes reports whether a request may go; of those to a server that is ejected, a few are probes.
-func (r *record) takes(now time.Duration, c Call) bool {
+// accepts reports whether a request may be sent; to an ejected server, only a few may, as probes.
+func (r *record) accepts(now time.Duration, c Call) bool {
 	if r == nil || !r.ejected {
 		return true
 	}
-	return r.probing == 0 && now >= r.until && now-r.probedAt >= probeGap && !(c.Once && now-max(r.until, r.probedAt) < onceAfter)
+	return r.probing == 0 && now >= r.ejectedUntil && now-r.probedAt >= probeInterval && !(c.NonIdempotent && now-max(r.ejectedUntil, r.probedAt) < nonIdempotentProbeAfter)
 }
 
-// note books one end.
-func (r *record) note(now, began time.Duration, good bool) (ejected, restored bool) {
-	fade := math.Exp(-float64(now-r.at) / float64(memory))
-	r.bad, r.total, r.at = r.bad*fade, r.total*fade+1, now
-	r.row++
+// recordOutcome books one end.
+func (r *record) recordOutcome(now, began time.Duration, good bool) (ejected, restored bool) {
+	fade := math.Exp(-float64(now-r.at) / float64(outcomeWindow))
+	r.failures, r.total, r.at = r.failures*fade, r.total*fade+1, now
+	r.consecutiveFailures++
 	if good {
-		r.row = 0
+		r.consecutiveFailures = 0
 	} else {
-		r.bad++
+		r.failures++
 	}
 	if !r.ejected {
-		if now-r.backAt > calmFor {
-			r.outs = 0
+		if now-r.restoredAt > ejectionResetAfter {
+			r.ejections = 0
 		}
-		if !good && (r.row >= rowBad || r.bad > minBad && low(r.bad, r.total) > limit) {
-			r.leave(now)
+		if !good && (r.consecutiveFailures >= maxConsecutiveFailures || r.failures > minFailures && lowerBound(r.failures, r.total) > maxFailureShare) {
+			r.eject(now)
 			return true, false
 		}
 		return false, false
 	}
 	switch {
-	case began < r.until: // given to it before
+	case began < r.ejectedUntil: // sent before the ejection
 	case !good:
-		r.leave(now)
+		r.eject(now)
 	default:
-		if r.good++; r.good >= probesDue {
-			r.ejected, r.backAt, r.bad, r.total, r.row = false, now, 0, 0, 0
+		if r.goodProbes++; r.goodProbes >= probesToRestore {
+			r.ejected, r.restoredAt, r.failures, r.total, r.consecutiveFailures = false, now, 0, 0, 0
 			return false, true
 		}
 	}
 	return false, false
 }
 
-// leave ejects the server for the callers of this record, each time for longer.
-func (r *record) leave(now time.Duration) {
-	r.ejected, r.good = true, 0
-	r.until = now + min(holdMost, holdFirst<<min(r.outs, 4))
-	r.outs++
+// eject ejects the server for the callers of this record, each time for longer.
+func (r *record) eject(now time.Duration) {
+	r.ejected, r.goodProbes = true, 0
+	r.ejectedUntil = now + min(maxEjectionTime, baseEjectionTime<<min(r.ejections, maxEjectionDoublings))
+	r.ejections++
 }
 
-// low is the lower end of Wilson's interval for a share.
-func low(bad, total float64) float64 {
+// lowerBound is the lower bound of the Wilson score interval of a share (Wilson, 1927).
+func lowerBound(bad, total float64) float64 {
 	const z = confidence
 	p := bad / total
 	return (p + z*z/(2*total) - z*math.Sqrt(p*(1-p)/total+z*z/(4*total*total))) / (1 + z*z/total)
--- a/internal/dataplane/health/health_test.go
+++ b/internal/dataplane/health/health_test.go
@@ -25,11 +25,11 @@
 }
 
 // run plays for a time; end says what becomes of a request, and after how long.
-func (w *world) run(d time.Duration, once bool, end func(zone string) (End, time.Duration)) {
+func (w *world) run(d time.Duration, once bool, end func(zone string) (Outcome, time.Duration)) {
 	type ending struct {
 		at  time.Duration
 		id  string
-		how End
+		how Outcome
 	}
 	var open []ending
 	for until := w.now + d; w.now < until; w.now += 10 * ms {
@@ -46,8 +46,8 @@
 		}
 		open = keep
 		w.n++
-		c := Call{Zone: fmt.Sprint("z", w.n%4), Usual: 100 * ms, Once: once}
-		if w.s.Judge(w.now, c) != Healthy {
+		c := Call{Zone: fmt.Sprint("z", w.n%4), TypicalLatency: 100 * ms, NonIdempotent: once}
+		if w.s.Check(w.now, c) != Healthy {
 			continue
 		}
 		id := fmt.Sprint(w.n)
@@ -62,8 +62,8 @@
 }
 
 // share fails a part of the requests.
-func (w *world) share(x float64, zone string) func(string) (End, time.Duration) {
-	return func(z string) (End, time.Duration) {
+func (w *world) share(x float64, zone string) func(string) (Outcome, time.Duration) {
+	return func(z string) (Outcome, time.Duration) {
 		if (zone == "" || z == zone) && w.rng.Float64() < x {
 			return Erred, ms
 		}
@@ -138,7 +138,7 @@
 	w.run(5*time.Second, false, w.share(0, ""))
 	before := w.given["z0"] + w.given["z1"] + w.given["z2"] + w.given["z3"]
 	n := 0
-	w.run(3*time.Second, false, func(string) (End, time.Duration) {
+	w.run(3*time.Second, false, func(string) (Outcome, time.Duration) {
 		if n++; n%2 == 0 {
 			return Broken, 10 * time.Second
 		}
@@ -148,18 +148,18 @@
 		t.Errorf("a server that lets every second request hang had %d of 300 in 3 s", got)
 	}
 	s := New(0)
-	for i := range stallCalls {
+	for i := range minHangingCalls {
 		s.Begin(0, fmt.Sprint(i), Call{})
 	}
-	now := stallAfter + ms
-	if got := s.Judge(now, Call{Insist: true}); got != Healthy {
+	now := hangTimeout + ms
+	if got := s.Check(now, Call{IgnoreEjection: true}); got != Healthy {
 		t.Errorf("the probe: %v", got)
 	}
-	if got := s.Judge(now+ms, Call{Insist: true}); got != Hangs {
+	if got := s.Check(now+ms, Call{IgnoreEjection: true}); got != Hangs {
 		t.Errorf("right behind the probe: %v", got)
 	}
 	s.End(now+2*ms, "0", Served)
-	if got := s.Judge(now+3*ms, Call{}); got != Healthy {
+	if got := s.Check(now+3*ms, Call{}); got != Healthy {
 		t.Errorf("after an answer: %v", got)
 	}
 }
@@ -171,7 +171,7 @@
 		for i := range 8 {
 			id := fmt.Sprint(i)
 			now := time.Duration(i) * time.Second
-			s.Begin(now, id, Call{Usual: 100 * ms})
+			s.Begin(now, id, Call{TypicalLatency: 100 * ms})
 			s.End(now+took, id, Late)
 		}
 		if zones := s.Ejected(); (len(zones) > 0) != out {
@@ -184,10 +184,10 @@
 func TestPace(t *testing.T) {
 	for _, x := range []float64{0.7, 1, 1.5} {
 		w := play(4)
-		w.run(10*time.Second, false, func(string) (End, time.Duration) {
+		w.run(10*time.Second, false, func(string) (Outcome, time.Duration) {
 			return Served, time.Duration(x * 100 * float64(ms))
 		})
-		if got := w.s.Pace(); got < 0.9*x || got > 1.2*x {
+		if got := w.s.RelativeLatency(); got < 0.9*x || got > 1.2*x {
 			t.Errorf("a server of %v usual times a request says %v", x, got)
 		}
 	}
@@ -197,23 +197,23 @@
 // again all the same once they have ended.
 func TestTwoProbesOfOneId(t *testing.T) {
 	s := New(0)
-	call := Call{Usual: 100 * ms}
-	for i := range rowBad {
+	call := Call{TypicalLatency: 100 * ms}
+	for i := range maxConsecutiveFailures {
 		id := fmt.Sprint(i)
 		s.Begin(0, id, call)
 		s.End(0, id, Broken)
 	}
-	now := holdFirst + ms
-	if s.Judge(0, call) != Unhealthy || s.Judge(now, call) != Healthy {
+	now := baseEjectionTime + ms
+	if s.Check(0, call) != Unhealthy || s.Check(now, call) != Healthy {
 		t.Fatal("the server is not ejected, or gets no probe")
 	}
 	insists := call
-	insists.Insist = true
+	insists.IgnoreEjection = true
 	s.Begin(now, "one", call)
 	s.Begin(now, "one", insists)
 	s.End(now, "one", Void)
 	s.End(now, "one", Void)
-	if v := s.Judge(now+probeGap, call); v != Healthy {
+	if v := s.Check(now+probeInterval, call); v != Healthy {
 		t.Errorf("no further probe: %v", v)
 	}
 }
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	queuePart       = 0.5             // requests that wait, by slots, at most: a longer queue keeps no slot busier ...
-	queueLeast      = 2               // ... but so many may
-	beatsMissed     = 3               // after which a server is taken for gone
-	forgetAfter     = 2 * time.Minute // incarnations that ended are remembered for as long
-	maxIncarnations = 64              // remembered at a time
-	maxCalled       = 16              // services that are told apart in the calls of one run
-	defaultSlots    = 8
+	maxQueuePerSlot     = 0.5             // requests that wait, by slots, at most: a longer queue keeps no slot busier ...
+	minQueueLimit       = 2               // ... but so many may
+	maxMissedHeartbeats = 3               // after which a server is taken for gone
+	forgetAfter         = 2 * time.Minute // incarnations that ended are remembered for as long
+	maxIncarnations     = 64              // remembered at a time
+	maxCalledServices   = 16              // services that are told apart in the calls of one run
+	defaultSlots        = 8
 )
 
 // Heartbeat is what a server says of itself.
@@ -31,26 +31,26 @@
 	ID, Service, Address, Zone string
 	Slots                      int
 	Draining                   bool
-	Warm                       time.Duration // for so much longer it is slow from its start
+	WarmupLeft                 time.Duration // for so much longer it is slow from its start
 	Seq                        uint64
 }
 
-// Place is what a request gets on its arrival.
-type Place int
+// Decision is what a request gets on its arrival.
+type Decision int
 
 // The places. A request that is turned away has not reached the server.
 const (
-	Slot      Place = iota // it goes to the server at once
-	Queue                  // a Verdict on its ticket follows
-	Full                   // no room
-	Hangs                  // the server does not answer
-	Unhealthy              // it fails too many
-	Gone                   // that incarnation of the server takes nothing any more
+	Slot       Decision = iota // it goes to the server at once
+	Queue                      // a Verdict on its ticket follows
+	Full                       // no room
+	Hangs                      // the server does not answer
+	Unhealthy                  // it fails too many
+	Terminated                 // that incarnation of the server takes nothing any more
 )
 
-// Admission is the state beside the servers of one machine. T names a request to
+// Registry is the state beside the servers of one machine. T names a request to
 // its driver.
-type Admission[T comparable] struct {
+type Registry[T comparable] struct {
 	drain, heartbeat time.Duration
 	incarnations     map[string]*incarnation[T]
 	runs             map[string]*run // by the Attempt-Ids at servers here
@@ -60,37 +60,37 @@
 // incarnation is one incarnation of a server.
 type incarnation[T comparable] struct {
 	Heartbeat
-	heartbeatAt time.Duration
-	heard       bool // it has spoken for itself to this process
-	drained     bool
-	drainedAt   time.Duration // when its draining status was first acknowledged
-	gone        bool
-	silent      bool // it is gone for its silence alone, which its next heartbeat ends
+	heartbeatAt   time.Duration
+	lastHeartbeat bool // it has spoken for itself to this process
+	drained       bool
+	drainedAt     time.Duration // when its draining status was first acknowledged
+	terminated    bool
+	unresponsive  bool // it is gone for its silence alone, which its next heartbeat ends
 
 	inflight int
-	queue    []waiter[T]   // in the order in which they are to be served
-	answered time.Duration // when it last answered anything
+	queue    []queuedRequest[T] // in the order in which they are to be served
+	answered time.Duration      // when it last answered anything
 	health   *health.Server
 }
 
 // New returns an Admission without servers. After drain from the acknowledgement of
 // a draining status nothing may arrive; servers speak every heartbeat.
-func New[T comparable](drain, heartbeat time.Duration) *Admission[T] {
-	return &Admission[T]{drain: drain, heartbeat: heartbeat, incarnations: map[string]*incarnation[T]{}, runs: map[string]*run{}}
+func New[T comparable](drain, heartbeat time.Duration) *Registry[T] {
+	return &Registry[T]{drain: drain, heartbeat: heartbeat, incarnations: map[string]*incarnation[T]{}, runs: map[string]*run{}}
 }
 
-// Heard is what a heartbeat meant.
-type Heard[T comparable] struct {
-	OK       bool     // false: the incarnation has ended, or the heartbeat came late
-	New      bool     // an incarnation that was not known
-	Back     bool     // an incarnation that was taken for gone, for its silence
-	Drains   bool     // its draining status is new
-	Ended    []string // incarnations that this one has ended, having their address
-	Verdicts []Verdict[T]
+// HeartbeatResult is what a heartbeat meant.
+type HeartbeatResult[T comparable] struct {
+	OK        bool     // false: the incarnation has ended, or the heartbeat came late
+	New       bool     // an incarnation that was not known
+	Recovered bool     // an incarnation that was taken for gone, for its silence
+	Drains    bool     // its draining status is new
+	Ended     []string // incarnations that this one has ended, having their address
+	Verdicts  []SlotGrant[T]
 }
 
 // Heartbeat takes a server's word.
-func (s *Admission[T]) Heartbeat(now time.Duration, b Heartbeat) (h Heard[T]) {
+func (s *Registry[T]) Heartbeat(now time.Duration, b Heartbeat) (h HeartbeatResult[T]) {
 	m := s.incarnations[b.ID]
 	if m == nil {
 		if len(s.incarnations) >= maxIncarnations {
@@ -105,41 +105,41 @@
 			if id == b.ID || old.Address != b.Address {
 				continue
 			}
-			old.silent = false
-			if !old.gone {
+			old.unresponsive = false
+			if !old.terminated {
 				h.Ended = append(h.Ended, id)
 				h.Verdicts = append(h.Verdicts, old.end()...)
 			}
 		}
-	} else if b.Seq < m.Seq || m.gone && !m.silent {
-		h.OK = !m.gone
+	} else if b.Seq < m.Seq || m.terminated && !m.unresponsive {
+		h.OK = !m.terminated
 		return h
-	} else if m.silent { // it was held up, and is the incarnation that it was
-		h.Back = true
-		m.gone, m.silent, m.answered, m.health = false, false, now, health.New(now)
+	} else if m.unresponsive { // it was held up, and is the incarnation that it was
+		h.Recovered = true
+		m.terminated, m.unresponsive, m.answered, m.health = false, false, now, health.New(now)
 	}
 	if b.Slots <= 0 {
 		b.Slots = defaultSlots
 	}
 	b.Draining = b.Draining || m.Draining // it never comes back from that
 	m.Heartbeat, m.heartbeatAt = b, now
-	m.health.Warm(now, b.Warm)
+	m.health.SetWarmup(now, b.WarmupLeft)
 	if b.Draining && !m.drained {
 		m.drained, m.drainedAt, h.Drains = true, now, true
-		if !m.heard {
+		if !m.lastHeartbeat {
 			// The mark may have been acknowledged by an earlier incarnation of this process, nobody knows when: its time
 			// counts as over.
 			m.drainedAt = now - s.drain
 		}
 	}
-	m.heard, h.OK = true, true
+	m.lastHeartbeat, h.OK = true, true
 	return h
 }
 
 // Adopt takes over a server that the list has for this machine, until it speaks
 // for itself: a process that starts anew need not wait for the next heartbeat. What it
 // is sent names the incarnation that is meant, so that another at its address turns it away.
-func (s *Admission[T]) Adopt(now time.Duration, b Heartbeat) bool {
+func (s *Registry[T]) Adopt(now time.Duration, b Heartbeat) bool {
 	if len(s.incarnations) > 0 || b.Slots <= 0 {
 		return false
 	}
@@ -148,35 +148,35 @@
 }
 
 // Deregister takes a server's last word.
-func (s *Admission[T]) Deregister(id string) (ended bool, v []Verdict[T]) {
+func (s *Registry[T]) Deregister(id string) (ended bool, v []SlotGrant[T]) {
 	m := s.incarnations[id]
 	if m == nil {
 		return false, nil
 	}
-	m.silent = false
-	if m.gone {
+	m.unresponsive = false
+	if m.terminated {
 		return false, nil
 	}
 	return true, m.end()
 }
 
 // end takes an incarnation out of service.
-func (m *incarnation[T]) end() (v []Verdict[T]) {
-	m.gone = true
+func (m *incarnation[T]) end() (v []SlotGrant[T]) {
+	m.terminated = true
 	return m.clear()
 }
 
 // clear turns all away that wait.
-func (m *incarnation[T]) clear() (v []Verdict[T]) {
+func (m *incarnation[T]) clear() (v []SlotGrant[T]) {
 	for _, w := range m.queue {
-		v = append(v, Verdict[T]{w.ticket, false})
+		v = append(v, SlotGrant[T]{w.ticket, false})
 	}
 	m.queue = nil
 	return v
 }
 
 // ids are the incarnations in one order, so that runs repeat.
-func (s *Admission[T]) ids() []string {
+func (s *Registry[T]) ids() []string {
 	list := make([]string, 0, len(s.incarnations))
 	for id := range s.incarnations {
 		list = append(list, id)
@@ -187,27 +187,27 @@
 
 // Sweep takes servers that have been silent for long for gone, and forgets incarnations
 // that ended. It returns the ids of those that it ended.
-func (s *Admission[T]) Sweep(now time.Duration) (silent []string, v []Verdict[T]) {
+func (s *Registry[T]) Sweep(now time.Duration) (unresponsive []string, v []SlotGrant[T]) {
 	for _, id := range s.ids() {
 		m := s.incarnations[id]
 		silence := now - m.heartbeatAt
-		if m.gone && silence > forgetAfter {
+		if m.terminated && silence > forgetAfter {
 			delete(s.incarnations, id)
 		}
-		if !m.gone && silence > beatsMissed*s.heartbeat+time.Second && now-m.answered > s.heartbeat {
-			silent = append(silent, id)
+		if !m.terminated && silence > maxMissedHeartbeats*s.heartbeat+time.Second && now-m.answered > s.heartbeat {
+			unresponsive = append(unresponsive, id)
 			v = append(v, m.end()...)
-			m.silent = true
+			m.unresponsive = true
 		}
 	}
-	return silent, v
+	return unresponsive, v
 }
 
 // Servers returns the servers of this machine as they should be registered.
-func (s *Admission[T]) Servers() []Heartbeat {
+func (s *Registry[T]) Servers() []Heartbeat {
 	var list []Heartbeat
 	for _, m := range s.incarnations {
-		if !m.gone {
+		if !m.terminated {
 			list = append(list, m.Heartbeat)
 		}
 	}
@@ -216,7 +216,7 @@
 }
 
 // Busy is the number of requests that servers here hold, or that wait for them.
-func (s *Admission[T]) Busy() int {
+func (s *Registry[T]) Busy() int {
 	n := 0
 	for _, m := range s.incarnations {
 		n += m.inflight + len(m.queue)
@@ -225,7 +225,7 @@
 }
 
 // Load is the number of requests at one server, and of those that wait for it.
-func (s *Admission[T]) Load(id string) (inflight, waiting int) {
+func (s *Registry[T]) Load(id string) (inflight, queued int) {
 	if m := s.incarnations[id]; m != nil {
 		return m.inflight, len(m.queue)
 	}
@@ -233,7 +233,7 @@
 }
 
 // Unhealthy tells for the callers of which zones a server is out for its failures; see health.
-func (s *Admission[T]) Unhealthy(id string) []string {
+func (s *Registry[T]) Unhealthy(id string) []string {
 	if m := s.incarnations[id]; m != nil {
 		return m.health.Ejected()
 	}
@@ -241,8 +241,8 @@
 }
 
 // Server returns what is known of an incarnation; ok is false where it has ended.
-func (s *Admission[T]) Server(id string) (b Heartbeat, ok bool) {
-	if m := s.incarnations[id]; m != nil && !m.gone {
+func (s *Registry[T]) Server(id string) (b Heartbeat, ok bool) {
+	if m := s.incarnations[id]; m != nil && !m.terminated {
 		return m.Heartbeat, true
 	}
 	return b, false
--- a/internal/dataplane/localserver/register.go
+++ b/internal/dataplane/localserver/register.go
@@ -11,21 +11,21 @@
 // Machine is where the servers of a admission are registered.
 type Machine struct {
 	Node, Address, Zone string // Address: where the node beside them listens
-	Leaving             bool   // the node goes, so its servers take nothing new
+	Draining            bool   // the node goes, so its servers take nothing new
 }
 
 // What a node understands, as the list of servers says it (wire.Server); each includes those before.
 const (
-	SpeaksFields = 1 // Forward.fields
-	speaks       = SpeaksFields
+	ProtocolFields  = 1 // Forward.fields
+	protocolVersion = ProtocolFields
 )
 
 // Difference is what has to change in the core's list, so that it says of a
 // machine what stands there. A node that has just started keeps what is listed
 // until its server has called: then whatever else is listed was before it.
-func Difference(m Machine, servers []Heartbeat, listed []*wire.Server, started bool) []*wire.Command {
+func Difference(m Machine, servers []Heartbeat, registered []*wire.Server, started bool) []*wire.Command {
 	old := map[string]*wire.Server{}
-	for _, s := range listed {
+	for _, s := range registered {
 		if s.Node == m.Node {
 			old[s.Member] = s
 		}
@@ -34,7 +34,7 @@
 	for _, b := range servers {
 		want := &wire.Server{
 			Member: b.ID, Service: b.Service, Node: m.Node, Address: m.Address, Zone: m.Zone,
-			Slots: uint32(b.Slots), Draining: b.Draining, NodeLeaving: m.Leaving, ProtocolVersion: speaks,
+			Slots: uint32(b.Slots), Draining: b.Draining, NodeLeaving: m.Draining, ProtocolVersion: protocolVersion,
 		}
 		if !proto.Equal(want, old[b.ID]) {
 			todo = append(todo, &wire.Command{Change: &wire.Command_Server{Server: want}})
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -8,8 +8,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Called counts the calls that a run made to a service.
-type Called struct {
+// CallCount counts the calls that a run made to a service.
+type CallCount struct {
 	Service string
 	Times   uint32
 }
@@ -17,7 +17,7 @@
 // run is a request that a server here works on.
 type run struct {
 	repeat bool
-	called []Called
+	called []CallCount
 	failed bool // a call that it made
 }
 
@@ -26,15 +26,15 @@
 // run. Servers give their calls ids that begin with the id of the run; whoever
 // can name a run that is in flight here has been admitted with it. One who makes
 // up an id is a new entry.
-func (s *Admission[T]) Graph(attempt, service string) (inner, repeat bool) {
+func (s *Registry[T]) Graph(attempt, service string) (inner, repeat bool) {
 	r := s.caller(attempt)
 	if r == nil {
 		return false, false
 	}
-	at := slices.IndexFunc(r.called, func(c Called) bool { return c.Service == service })
-	if at < 0 && len(r.called) < maxCalled {
+	at := slices.IndexFunc(r.called, func(c CallCount) bool { return c.Service == service })
+	if at < 0 && len(r.called) < maxCalledServices {
 		at = len(r.called)
-		r.called = append(r.called, Called{Service: service})
+		r.called = append(r.called, CallCount{Service: service})
 	}
 	if at >= 0 {
 		r.called[at].Times++
@@ -43,7 +43,7 @@
 }
 
 // caller is the run here whose call has this Attempt-Id; nil: there is none.
-func (s *Admission[T]) caller(attempt string) *run {
+func (s *Registry[T]) caller(attempt string) *run {
 	for i := len(attempt) - 1; i > 0; i-- {
 		c := attempt[i]
 		if c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' {
@@ -57,7 +57,7 @@
 }
 
 // Run books a request that waited and now goes to its server.
-func (s *Admission[T]) Run(now time.Duration, q Ask) {
+func (s *Registry[T]) Run(now time.Duration, q Request) {
 	r := new(run)
 	if n := len(s.freeRuns); n > 0 {
 		r, s.freeRuns = s.freeRuns[n-1], s.freeRuns[:n-1]
@@ -70,26 +70,26 @@
 }
 
 // CallFailed notes that a call of a run here has failed: what the run comes to is not its server's fault then.
-func (s *Admission[T]) CallFailed(attempt string) {
+func (s *Registry[T]) CallFailed(attempt string) {
 	if r := s.caller(attempt); r != nil {
 		r.failed = true
 	}
 }
 
-// EndOf says what an outcome shows of the server. Its own 504 says that the time was up, which may be its callers' or
+// ResultOf says what an outcome shows of the server. Its own 504 says that the time was up, which may be its callers' or
 // its calls' doing; runs that take far too long are counted while they last.
-func EndOf(out *wire.ForwardResponse) health.End {
-	switch out.Result {
+func ResultOf(response *wire.ForwardResponse) health.Outcome {
+	switch response.Result {
 	case wire.ForwardResponse_ANSWERED:
-		if out.Status == 504 {
+		if response.Status == 504 {
 			return health.Void
 		}
-		if out.Status >= 500 {
+		if response.Status >= 500 {
 			return health.Erred
 		}
 		return health.Served
 	case wire.ForwardResponse_NOT_RUN: // it has turned away what it had a slot for
-		if out.Terminated {
+		if response.Terminated {
 			return health.Void
 		}
 		return health.Erred
@@ -101,17 +101,17 @@
 
 // Finished is what the end of a run means.
 type Finished[T comparable] struct {
-	Called   []Called // by the run
-	Waiting  bool     // the server has no slot left
-	Pace     float64  // time that a request takes there, in the usual time of its like
-	Fill     float64  // requests that it has and that wait for it, by its slots
-	Ejected  bool     // its server was ejected for its failures, for some callers at least ...
-	Restored bool     // ... or has work again
-	Verdicts []Verdict[T]
+	Called          []CallCount // by the run
+	Queued          bool        // the server has no slot left
+	RelativeLatency float64     // time that a request takes there, in the usual time of its like
+	Utilization     float64     // requests that it has and that wait for it, by its slots
+	Ejected         bool        // its server was ejected for its failures, for some callers at least ...
+	Restored        bool        // ... or has work again
+	Verdicts        []SlotGrant[T]
 }
 
 // Finish books the end of a run, and gives its slot to the next.
-func (s *Admission[T]) Finish(now time.Duration, member, attempt string, how health.End) (f Finished[T]) {
+func (s *Registry[T]) Finish(now time.Duration, member, attempt string, how health.Outcome) (f Finished[T]) {
 	if r := s.runs[attempt]; r != nil {
 		f.Called = r.called
 		if r.failed && how == health.Erred {
@@ -128,11 +128,11 @@
 		m.answered = now
 	}
 	f.Ejected, f.Restored = m.health.End(now, attempt, how)
-	f.Verdicts = s.next(now, m)
+	f.Verdicts = s.grantSlots(now, m)
 	if f.Ejected || m.health.Hangs(now) { // those who wait are better served elsewhere
 		f.Verdicts = append(f.Verdicts, m.clear()...)
 	}
-	f.Waiting = len(m.queue) > 0 || m.inflight >= m.Slots
-	f.Pace, f.Fill = m.health.Pace(), float64(m.inflight+len(m.queue))/float64(m.Slots)
+	f.Queued = len(m.queue) > 0 || m.inflight >= m.Slots
+	f.RelativeLatency, f.Utilization = m.health.RelativeLatency(), float64(m.inflight+len(m.queue))/float64(m.Slots)
 	return f
 }
--- a/internal/dataplane/localserver/slots.go
+++ b/internal/dataplane/localserver/slots.go
@@ -8,8 +8,8 @@
 	"ivydeck/internal/dataplane/health"
 )
 
-// Ask is a request for a server here.
-type Ask struct {
+// Request is a request for a server here.
+type Request struct {
 	Member, Service, Attempt string
 	Priority                 uint32 // 0 is the highest
 	Repeat                   bool   // an earlier try of it may have run
@@ -17,23 +17,23 @@
 	health.Call
 }
 
-// Verdict is the answer to a request that waited: it may go, or is turned away.
-type Verdict[T comparable] struct {
+// SlotGrant is the answer to a request that waited: it may go, or is turned away.
+type SlotGrant[T comparable] struct {
 	Ticket T
 	Go     bool
 }
 
-type waiter[T comparable] struct {
+type queuedRequest[T comparable] struct {
 	ticket   T
 	priority uint32
 }
 
 // Arrive gives a request its place; why says what was against it. A higher
 // request may take the place of the last in the queue, which is turned away.
-func (s *Admission[T]) Arrive(now time.Duration, q Ask, ticket T) (place Place, why string, v []Verdict[T]) {
+func (s *Registry[T]) Arrive(now time.Duration, q Request, ticket T) (decision Decision, reason string, v []SlotGrant[T]) {
 	m := s.incarnations[q.Member]
-	if place, why = s.against(now, m, q); why != "" {
-		return place, why, nil
+	if decision, reason = s.rejection(now, m, q); reason != "" {
+		return decision, reason, nil
 	}
 	if m.inflight < m.Slots && len(m.queue) == 0 {
 		m.inflight++
@@ -43,34 +43,34 @@
 	if !q.Wait { // another server may have a slot, and a further hop is shorter than any wait
 		return Full, "no slot", nil
 	}
-	if len(m.queue) >= max(queueLeast, int(queuePart*float64(m.Slots))) {
+	if len(m.queue) >= max(minQueueLimit, int(maxQueuePerSlot*float64(m.Slots))) {
 		last := m.queue[len(m.queue)-1]
 		if last.priority <= q.Priority {
 			return Full, "no room", nil
 		}
 		m.queue = m.queue[:len(m.queue)-1]
-		v = append(v, Verdict[T]{last.ticket, false})
+		v = append(v, SlotGrant[T]{last.ticket, false})
 	}
-	at, _ := slices.BinarySearchFunc(m.queue, q.Priority, func(w waiter[T], p uint32) int {
+	at, _ := slices.BinarySearchFunc(m.queue, q.Priority, func(w queuedRequest[T], p uint32) int {
 		return cmp.Or(cmp.Compare(w.priority, p), -1)
 	})
-	m.queue = slices.Insert(m.queue, at, waiter[T]{ticket, q.Priority})
+	m.queue = slices.Insert(m.queue, at, queuedRequest[T]{ticket, q.Priority})
 	return Queue, "", v
 }
 
-// against tells why an incarnation may not be sent a request; no why: it may.
-func (s *Admission[T]) against(now time.Duration, m *incarnation[T], q Ask) (Place, string) {
+// rejection tells why an incarnation may not be sent a request; no why: it may.
+func (s *Registry[T]) rejection(now time.Duration, m *incarnation[T], q Request) (Decision, string) {
 	switch {
-	case m == nil || m.gone:
-		return Gone, "no such server here"
+	case m == nil || m.terminated:
+		return Terminated, "no such server here"
 	case m.Service != q.Service:
-		return Gone, "it serves " + m.Service
+		return Terminated, "it serves " + m.Service
 	case m.drained && now-m.drainedAt > s.drain/2:
 		// Its last requests stay well within the bound, which runs from the
 		// acknowledgement to the arrival.
-		return Gone, "it is draining"
+		return Terminated, "it is draining"
 	}
-	switch m.health.Judge(now, q.Call) {
+	switch m.health.Check(now, q.Call) {
 	case health.Hangs:
 		return Hangs, "it does not answer"
 	case health.Unhealthy:
@@ -79,14 +79,14 @@
 	return Slot, ""
 }
 
-// Leave takes a request out of the queue. It reports false where it is no longer
+// Dequeue takes a request out of the queue. It reports false where it is no longer
 // in it: its Verdict has been given.
-func (s *Admission[T]) Leave(member string, ticket T) bool {
+func (s *Registry[T]) Dequeue(member string, ticket T) bool {
 	m := s.incarnations[member]
 	if m == nil {
 		return false
 	}
-	at := slices.IndexFunc(m.queue, func(w waiter[T]) bool { return w.ticket == ticket })
+	at := slices.IndexFunc(m.queue, func(w queuedRequest[T]) bool { return w.ticket == ticket })
 	if at < 0 {
 		return false
 	}
@@ -95,24 +95,24 @@
 }
 
 // Release gives back a slot that was given to a request that has left meanwhile.
-func (s *Admission[T]) Release(now time.Duration, member string) []Verdict[T] {
+func (s *Registry[T]) Release(now time.Duration, member string) []SlotGrant[T] {
 	if m := s.incarnations[member]; m != nil {
-		return s.next(now, m)
+		return s.grantSlots(now, m)
 	}
 	return nil
 }
 
-// next gives a slot that has become free to the first in the queue.
-func (s *Admission[T]) next(now time.Duration, m *incarnation[T]) (v []Verdict[T]) {
+// grantSlots gives a slot that has become free to the first in the queue.
+func (s *Registry[T]) grantSlots(now time.Duration, m *incarnation[T]) (v []SlotGrant[T]) {
 	m.inflight--
 	for len(m.queue) > 0 && m.inflight < m.Slots {
 		w := m.queue[0]
 		m.queue = m.queue[1:]
-		pass := !m.gone && !(m.drained && now-m.drainedAt > s.drain*3/4)
+		pass := !m.terminated && !(m.drained && now-m.drainedAt > s.drain*3/4)
 		if pass {
 			m.inflight++
 		}
-		v = append(v, Verdict[T]{w.ticket, pass})
+		v = append(v, SlotGrant[T]{w.ticket, pass})
 	}
 	return v
 }
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -193,7 +193,7 @@
 		q.Zone, q.NonIdempotent, q.TypicalLatencyMs, q.IgnoreEjection, q.MayQueue = o.Zone, r.NonIdempotent(), uint32(step.TypicalLatency.Milliseconds()), step.IgnoreEjection, step.MayQueue
 		q.Fields = http1.AppendEndToEnd((*fields)[:0], c.Headers, "Attempt-Id", "Time-Budget", "Target-Instance", "Caller-Service")
 		line := q.Fields
-		if server.ProtocolVersion < localserver.SpeaksFields {
+		if server.ProtocolVersion < localserver.ProtocolFields {
 			q.Headers, q.Fields = spell(q.Fields, q.Attempt), nil
 		}
 		var call *rpc.Stream
--- a/internal/dataplane/proxy/bed_test.go
+++ b/internal/dataplane/proxy/bed_test.go
@@ -148,7 +148,7 @@
 	edit := list.Edit()
 	for _, id := range []string{"i-1", "i-2"} {
 		b.in.Heartbeat(Heartbeat{ID: id, Service: "s", Address: b.app(id, gate), Zone: "z", Slots: 8}, time.Now())
-		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: nodes.Addr().String(), Zone: "z", ProtocolVersion: localserver.SpeaksFields})
+		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: nodes.Addr().String(), Zone: "z", ProtocolVersion: localserver.ProtocolFields})
 	}
 	w := &ClusterState{Config: config, Servers: edit.Map()}
 	b.out.Update(w)
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -24,9 +24,9 @@
 // Forward passes a request to the server that it names, or turns it away.
 func (in *Inbound) Forward(ctx context.Context, q *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 	until := time.Now().Add(time.Duration(q.TimeLeftMs) * time.Millisecond)
-	ask := localserver.Ask{
+	ask := localserver.Request{
 		Member: q.Member, Service: q.Service, Attempt: q.Attempt, Priority: q.Priority, Repeat: q.Retry, Wait: q.MayQueue,
-		Call: health.Call{Zone: q.Zone, Usual: time.Duration(q.TypicalLatencyMs) * time.Millisecond, Once: q.NonIdempotent, Insist: q.IgnoreEjection},
+		Call: health.Call{Zone: q.Zone, TypicalLatency: time.Duration(q.TypicalLatencyMs) * time.Millisecond, NonIdempotent: q.NonIdempotent, IgnoreEjection: q.IgnoreEjection},
 	}
 	a, refused := in.admit(ctx, ask, until)
 	if refused != nil {
@@ -34,7 +34,7 @@
 	}
 	began := in.now()
 	out, calledOff := a.send(ctx, q, until)
-	end := localserver.EndOf(out)
+	end := localserver.ResultOf(out)
 	if calledOff {
 		end = health.Void
 	}
@@ -44,7 +44,7 @@
 
 // admit waits for a slot of the server that a request names. It returns the server, or the outcome of a request that is
 // turned away.
-func (in *Inbound) admit(ctx context.Context, ask localserver.Ask, until time.Time) (*app, *wire.ForwardResponse) {
+func (in *Inbound) admit(ctx context.Context, ask localserver.Request, until time.Time) (*app, *wire.ForwardResponse) {
 	in.mu.Lock()
 	t := in.spare
 	if in.spare = nil; t == nil {
@@ -68,7 +68,7 @@
 		load.log(in.Log, in.now(), ask.Member, a.slots)
 	}
 	switch place {
-	case localserver.Gone:
+	case localserver.Terminated:
 		return nil, unsent(true, "%s", why)
 	case localserver.Hangs:
 		return nil, unsent(false, "%s", why)
@@ -85,17 +85,17 @@
 }
 
 // finish books the end of a run, and adds to its outcome what the node has learnt from it.
-func (in *Inbound) finish(a *app, q *wire.ForwardRequest, out *wire.ForwardResponse, end health.End, began time.Duration) {
+func (in *Inbound) finish(a *app, q *wire.ForwardRequest, out *wire.ForwardResponse, end health.Outcome, began time.Duration) {
 	in.mu.Lock()
 	now := in.now()
 	f := in.admission.Finish(now, q.Member, q.Attempt, end)
 	deliver(f.Verdicts)
 	a.load.busy += now - began
 	in.mu.Unlock()
-	out.Queued, out.RelativeLatency, out.Utilization = f.Waiting, float32(f.Pace), float32(f.Fill)
+	out.Queued, out.RelativeLatency, out.Utilization = f.Queued, float32(f.RelativeLatency), float32(f.Utilization)
 	out.TookMs = uint32((now - began).Milliseconds())
 	if in.Trace != nil {
-		in.Trace(trace.Record{Attempt: q.Attempt, Began: began, Took: now - began, Service: q.Service, Server: q.Member, Status: int(out.Status), Why: out.Reason})
+		in.Trace(trace.Record{Attempt: q.Attempt, Began: began, Took: now - began, Service: q.Service, Server: q.Member, Status: int(out.Status), Reason: out.Reason})
 	}
 	if f.Ejected {
 		in.Log.Warn("server.ejected", "member", q.Member, "zone", q.Zone, "result", out.Result.String(), "status", out.Status, "reason", out.Reason)
@@ -116,7 +116,7 @@
 const calledOffText = "called off"
 
 // await waits for a slot; it says why there is none.
-func (in *Inbound) await(ctx context.Context, ask localserver.Ask, t *ticket, until time.Time) (why string) {
+func (in *Inbound) await(ctx context.Context, ask localserver.Request, t *ticket, until time.Time) (why string) {
 	timer := timerpool.Get(time.Until(until) - minLeft)
 	defer timerpool.Put(timer)
 	select {
@@ -135,7 +135,7 @@
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if !in.admission.Leave(ask.Member, t) && <-t.verdict { // the slot came at the same moment
+	if !in.admission.Dequeue(ask.Member, t) && <-t.verdict { // the slot came at the same moment
 		deliver(in.admission.Release(in.now(), ask.Member))
 	}
 	return why
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -36,7 +36,7 @@
 	changed chan struct{} // has room for one: what Servers returns has changed
 
 	mu        sync.Mutex
-	admission *localserver.Admission[*ticket]
+	admission *localserver.Registry[*ticket]
 	spare     *ticket         // of a request that had no need to wait
 	apps      map[string]*app // by member, those in service
 }
@@ -69,7 +69,7 @@
 func (in *Inbound) Since(t time.Time) time.Duration { return in.began.Sub(t) }
 
 // deliver hands out verdicts. Each ticket gets one, for which it has room.
-func deliver(verdicts []localserver.Verdict[*ticket]) {
+func deliver(verdicts []localserver.SlotGrant[*ticket]) {
 	for _, v := range verdicts {
 		v.Ticket.verdict <- v.Go
 	}
@@ -111,7 +111,7 @@
 	if h.New {
 		in.Log.Info("server.registered", "member", b.ID, "service", b.Service, "address", b.Address)
 	}
-	if h.Back {
+	if h.Recovered {
 		in.Log.Info("server.recovered", "member", b.ID)
 	}
 	if h.Drains {
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -171,7 +171,7 @@
 	if o.Trace != nil {
 		rec.Attempt, rec.Began = c.Headers.Get("Attempt-Id"), c.Arrived.Sub(o.began)
 		if a.Own {
-			rec.Why = strings.TrimSpace(string(a.Body))
+			rec.Reason = strings.TrimSpace(string(a.Body))
 		}
 		o.Trace(rec)
 	}
@@ -237,7 +237,7 @@
 		o.CallFailed(c.Headers.Get("Attempt-Id"))
 	}
 	o.mu.Lock()
-	rec.Tries = r.Attempts()
+	rec.Attempts = r.Attempts()
 	r.End(o.now())
 	o.mu.Unlock()
 	return a
--- a/internal/dataplane/proxy/schedule_test.go
+++ b/internal/dataplane/proxy/schedule_test.go
@@ -276,7 +276,7 @@
 	cut := newCutter(t, address(&cluster), address(successor.out.cluster()))
 	edit := cluster.Servers.Edit()
 	for _, id := range []string{"i-1", "i-2"} {
-		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: cut.l.Addr().String(), Zone: "z", ProtocolVersion: localserver.SpeaksFields})
+		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: cut.l.Addr().String(), Zone: "z", ProtocolVersion: localserver.ProtocolFields})
 	}
 	cluster.Servers = edit.Map()
 	statuses := map[int]int{}
--- a/internal/dataplane/router/hedge.go
+++ b/internal/dataplane/router/hedge.go
@@ -31,7 +31,7 @@
 // first answer of the two is the final one.
 func (r *Request) Hedge(now time.Duration) (Action, bool) {
 	s := r.service
-	if r.NonIdempotent() || len(r.inFlight) != 1 || s.hedgeTokens < 1 || !s.gate.Idle(now) || s.budget.Left(now) < hedgeBudgetReserve || !r.mayRetry(now) {
+	if r.NonIdempotent() || len(r.inFlight) != 1 || s.hedgeTokens < 1 || !s.gate.Idle(now) || s.budget.Available(now) < hedgeBudgetReserve || !r.mayRetry(now) {
 		return Action{}, false
 	}
 	s.hedgeTokens--
--- a/internal/dataplane/router/router_test.go
+++ b/internal/dataplane/router/router_test.go
@@ -202,7 +202,7 @@
 	}
 	r := tab.enter(t, "/safe/")
 	tab.SetRetrySlack(0)
-	for r.service.budget.Left(0) >= hedgeBudgetReserve {
+	for r.service.budget.Available(0) >= hedgeBudgetReserve {
 		r.service.budget.Charge(0, 1)
 	}
 	r.Next(0)
--- a/internal/dataplane/router/service_state.go
+++ b/internal/dataplane/router/service_state.go
@@ -25,7 +25,7 @@
 }
 
 func (t *Table) serviceState(now time.Duration, name string, s *service, priorities int) ServiceState {
-	r := ServiceState{Service: name, NormalizedLatency: s.gate.NormalizedLatency(), Pressure: s.gate.Pressure(now), RetryBudgetLeft: s.budget.Left(now), Servers: len(t.targets[name])}
+	r := ServiceState{Service: name, NormalizedLatency: s.gate.NormalizedLatency(), Pressure: s.gate.Pressure(now), RetryBudgetLeft: s.budget.Available(now), Servers: len(t.targets[name])}
 	for p := range priorities {
 		r.Probabilities = append(r.Probabilities, s.gate.Probability(now, p))
 	}
--- a/internal/dataplane/router/table.go
+++ b/internal/dataplane/router/table.go
@@ -94,7 +94,7 @@
 func (t *Table) SetRetrySlack(slack float64) {
 	t.retrySlack = slack
 	for _, s := range t.services {
-		s.budget.Share(slack)
+		s.budget.SetSlack(slack)
 	}
 }
 
--- a/internal/dataplane/router/update.go
+++ b/internal/dataplane/router/update.go
@@ -135,7 +135,7 @@
 		gate: decide.NewGate(t.rng.Uint64(), now), picker: decide.NewPicker(t.rng.Uint64()),
 		budget: budget.New(t.options.RetryRatio, t.options.RetryWindow), hedgeTokens: maxHedgeTokens,
 	}
-	s.budget.Share(t.retrySlack)
+	s.budget.SetSlack(t.retrySlack)
 	s.gate.SetPriorities(slices.Collect(maps.Keys(t.levels)))
 	s.picker.SetTargets(now, t.targets[name], t.subsetPosition)
 	return s
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -42,12 +42,12 @@
 	began    time.Time
 	workers  sync.WaitGroup
 
-	leaving  atomic.Bool
-	emptying atomic.Bool   // the server beside the node takes nothing more: the node is about to end
-	traces   *trace.Ring   // nil: none are kept
-	refused  atomic.Int64  // connections and calls of others, for their identity
-	served   atomic.Bool   // there is a configuration and a server
-	shares   budget.Shares // the upkeep's own
+	shuttingDown atomic.Bool
+	emptying     atomic.Bool   // the server beside the node takes nothing more: the node is about to end
+	traces       *trace.Ring   // nil: none are kept
+	refused      atomic.Int64  // connections and calls of others, for their identity
+	served       atomic.Bool   // there is a configuration and a server
+	shares       budget.Shares // the upkeep's own
 
 	cluster router.ClusterStateBuilder // watch's own
 }
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer l.close()
-	server, heartbeats, readiness := n.rpcServer(), n.httpServer(n.beat), n.httpServer(n.ready)
+	server, heartbeats, readiness := n.rpcServer(), n.httpServer(n.serveHeartbeat), n.httpServer(n.ready)
 	n.workers.Go(func() { server.Serve(running, l.internal) })
 	n.workers.Go(func() {
 		if err := n.front.Serve(running, l.outbound); err != nil {
@@ -126,7 +126,7 @@
 		n.outbound.Trace, n.inbound.Trace = n.record(n.outbound.Since(n.began)), n.record(n.inbound.Since(n.began))
 	}
 	if set.Metrics != "" {
-		n.outbound.Metrics = n.figures()
+		n.outbound.Metrics = n.newMetrics()
 	}
 	n.front = &proxy.Front{
 		Handle: n.outbound.Handle, Bounds: n.outbound.Bounds, Memory: int64(set.MemoryMB) << 20 / 4, Log: log,
@@ -139,8 +139,8 @@
 	server := rpc.NewServer(rpc.ServerOptions{Log: n.log, Identity: n.pool.Identity(), Rejected: &n.refused})
 	n.agent.Register(server)
 	server.Handle("forward", rpc.Unary(n.inbound.Forward))
-	server.Handle("trace", rpc.Unary(n.trace), identity.QuorumMember)
-	server.Handle("look", rpc.Unary(n.look), identity.QuorumMember)
+	server.Handle("trace", rpc.Unary(n.handleTrace), identity.QuorumMember)
+	server.Handle("look", rpc.Unary(n.handleStatus), identity.QuorumMember)
 	return server
 }
 
@@ -155,7 +155,7 @@
 // ready answers the platform's checks.
 func (n *Node) ready(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case n.leaving.Load():
+	case n.shuttingDown.Load():
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case !n.agent.Ready() || !n.served.Load():
 		http.Error(w, "no configuration or servers yet", http.StatusServiceUnavailable)
@@ -164,8 +164,8 @@
 	}
 }
 
-// share sets this node's part of the retry slack.
-func (n *Node) share() {
+// updateRetrySlack sets this node's part of the retry slack.
+func (n *Node) updateRetrySlack() {
 	nodes := 0
 	for _, m := range n.gossip.Members() {
 		if !m.QuorumMember {
@@ -173,5 +173,5 @@
 		}
 	}
 	n.shares.Slack, n.shares.Window = n.set.Load().Bounds.RetrySlack, n.set.Load().Bounds.RetryWindow
-	n.outbound.Share(n.shares.Part(time.Since(n.began), nodes))
+	n.outbound.Share(n.shares.Share(time.Since(n.began), nodes))
 }
--- a/internal/dataplane/sidecar/look.go
+++ b/internal/dataplane/sidecar/look.go
@@ -7,8 +7,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// look tells what this node sees at the moment.
-func (n *Node) look(context.Context, *wire.Empty) (*wire.NodeStatus, error) {
+// handleStatus tells what this node sees at the moment.
+func (n *Node) handleStatus(context.Context, *wire.Empty) (*wire.NodeStatus, error) {
 	set := n.set.Load()
 	served, refused, failed := n.outbound.Counts()
 	l := &wire.NodeStatus{
--- a/internal/dataplane/sidecar/metrics.go
+++ b/internal/dataplane/sidecar/metrics.go
@@ -9,8 +9,8 @@
 
 const shownPriorities = 4 // chances of 0 to 3
 
-// figures are what the node shows of itself.
-func (n *Node) figures() *metrics.Set {
+// newMetrics are what the node shows of itself.
+func (n *Node) newMetrics() *metrics.Set {
 	ofServices := func(read func(emit func(value float64, labels ...string))) func() []metrics.Reading {
 		return func() (list []metrics.Reading) {
 			read(func(value float64, labels ...string) {
--- a/internal/dataplane/sidecar/servers.go
+++ b/internal/dataplane/sidecar/servers.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	maxBeat   = 4 << 10
-	maxWarmMs = 600_000                // a server that says it is slow for longer is taken to be so for this
-	markWait  = 800 * time.Millisecond // for a draining status to come back as an update; a heartbeat waits for a second
+	maxHeartbeatBytes = 4 << 10
+	maxWarmupMs       = 600_000                // a server that says it is slow for longer is taken to be so for this
+	drainAckTimeout   = 800 * time.Millisecond // for a draining status to come back as an update; a heartbeat waits for a second
 )
 
-// beatBody is a server's beat as it is sent.
-type beatBody struct {
+// heartbeatBody is a server's beat as it is sent.
+type heartbeatBody struct {
 	Backend  string  `msgpack:"backend"`
 	Address  string  `msgpack:"address"`
 	Zone     string  `msgpack:"zone"`
@@ -31,9 +31,9 @@
 	Seq      uint64  `msgpack:"call_seq"`
 }
 
-// beat takes the calls of this machine's server:
+// serveHeartbeat takes the calls of this machine's server:
 // POST /members/ID/heartbeat and POST /members/ID/deregister.
-func (n *Node) beat(w http.ResponseWriter, r *http.Request) {
+func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	rest, ok := strings.CutPrefix(r.URL.Path, "/members/")
 	id, call, ok2 := strings.Cut(rest, "/")
 	if !ok || !ok2 || id == "" || len(id) > 256 || call != "heartbeat" && call != "deregister" {
@@ -44,7 +44,7 @@
 		http.Error(w, "POST only", http.StatusMethodNotAllowed)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBeat))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err != nil {
 		http.Error(w, "the body is too large or did not come", http.StatusBadRequest)
 		return
@@ -64,17 +64,17 @@
 		http.Error(w, "this life has ended", http.StatusConflict)
 		return
 	}
-	if b.Draining && !n.marked(r.Context(), id) {
+	if b.Draining && !n.awaitDrainUpdate(r.Context(), id) {
 		http.Error(w, "the mark is not in the log yet", http.StatusServiceUnavailable)
 		return
 	}
 	n.acknowledge(w)
 }
 
-// marked waits until the core's list has a draining status. What is acknowledged must hold also after this process has
+// awaitDrainUpdate waits until the core's list has a draining status. What is acknowledged must hold also after this process has
 // died, and the next one begins by the list. Here the mark binds at once, acknowledged or not.
-func (n *Node) marked(ctx context.Context, id string) bool {
-	ctx, cancel := context.WithTimeout(ctx, markWait)
+func (n *Node) awaitDrainUpdate(ctx context.Context, id string) bool {
+	ctx, cancel := context.WithTimeout(ctx, drainAckTimeout)
 	defer cancel()
 	for {
 		changed := n.hub.Changed()
@@ -97,7 +97,7 @@
 }
 
 func readHeartbeat(body []byte) (proxy.Heartbeat, error) {
-	var b beatBody
+	var b heartbeatBody
 	if err := msgpack.Unmarshal(body, &b); err != nil {
 		return proxy.Heartbeat{}, errors.New("the heartbeat is not readable")
 	}
@@ -111,6 +111,6 @@
 	}
 	return proxy.Heartbeat{
 		Service: b.Backend, Address: b.Address, Zone: b.Zone, Slots: b.Slots, Draining: b.Status == "draining", Seq: b.Seq,
-		Warm: time.Duration(max(0, min(b.WarmupMs, maxWarmMs)) * float64(time.Millisecond)),
+		WarmupLeft: time.Duration(max(0, min(b.WarmupMs, maxWarmupMs)) * float64(time.Millisecond)),
 	}, nil
 }
--- a/internal/dataplane/sidecar/shutdown_test.go
+++ b/internal/dataplane/sidecar/shutdown_test.go
@@ -14,7 +14,7 @@
 		if ends > excused {
 			t.Errorf("with a grace period of %v requests are read for %v, and %v are excused", grace, ends, excused)
 		}
-		if ends+stopMargin > grace || ends <= serverLeaves {
+		if ends+stopMargin > grace || ends <= serverWorkEnd {
 			t.Errorf("with a grace period of %v requests are read for %v", grace, ends)
 		}
 	}
--- a/internal/dataplane/sidecar/trace.go
+++ b/internal/dataplane/sidecar/trace.go
@@ -14,15 +14,15 @@
 	return func(r trace.Record) {
 		r.Began += since
 		n.traces.Add(r)
-		if trace.Drawn(r.Attempt, n.set.Load().AccessLogShare) {
+		if trace.Sampled(r.Attempt, n.set.Load().AccessLogShare) {
 			n.log.Info("request", "attempt", r.Attempt, "entry", r.Entry, "route", r.Route, "service", r.Service, "server", r.Server,
-				"status", r.Status, "why", r.Why, "tries", r.Tries, "took", r.Took)
+				"status", r.Status, "why", r.Reason, "tries", r.Attempts, "took", r.Took)
 		}
 	}
 }
 
-// trace tells what this node has kept of a request.
-func (n *Node) trace(_ context.Context, q *wire.TraceRequest) (*wire.TraceResponse, error) {
+// handleTrace tells what this node has kept of a request.
+func (n *Node) handleTrace(_ context.Context, q *wire.TraceRequest) (*wire.TraceResponse, error) {
 	answer := new(wire.TraceResponse)
 	if n.traces == nil {
 		return answer, nil
@@ -31,7 +31,7 @@
 	for _, r := range n.traces.Of(q.Attempt) {
 		answer.Traces = append(answer.Traces, &wire.RequestTrace{
 			Attempt: r.Attempt, Node: n.set.Load().Node, Entry: r.Entry, Route: r.Route, Service: r.Service, Server: r.Server,
-			Status: int32(r.Status), Reason: r.Why, Attempts: uint32(r.Tries), AgoMs: uint32((now - r.Began).Milliseconds()), TookMs: uint32(r.Took.Milliseconds()),
+			Status: int32(r.Status), Reason: r.Reason, Attempts: uint32(r.Attempts), AgoMs: uint32((now - r.Began).Milliseconds()), TookMs: uint32(r.Took.Milliseconds()),
 		})
 	}
 	return answer, nil
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -38,7 +38,7 @@
 		case <-changed:
 		case <-tick.C:
 			n.inbound.Sweep(time.Now())
-			n.share()
+			n.updateRetrySlack()
 		case <-ctx.Done():
 		}
 	}
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -13,16 +13,16 @@
 
 // Record is one node's part in a request.
 type Record struct {
-	Attempt string
-	Began   time.Duration // since a moment of the owner's choice
-	Took    time.Duration
-	Entry   bool   // met here at its begin; else passed on to the server beside this node
-	Route   string // of an entry
-	Service string
-	Server  string // of a run
-	Status  int    // of the answer; 0: there was none
-	Why     string // of an answer of the mesh's own, or of none
-	Tries   int    // servers that an entry has arrived at
+	Attempt  string
+	Began    time.Duration // since a moment of the owner's choice
+	Took     time.Duration
+	Entry    bool   // met here at its begin; else passed on to the server beside this node
+	Route    string // of an entry
+	Service  string
+	Server   string // of a run
+	Status   int    // of the answer; 0: there was none
+	Reason   string // of an answer of the mesh's own, or of none
+	Attempts int    // servers that an entry has arrived at
 }
 
 // Ring keeps the last records.
@@ -33,7 +33,7 @@
 }
 
 // NewRing returns a ring for so many records, none among them; it takes no more memory than they do.
-func NewRing(most int) *Ring { return &Ring{kept: make([]Record, 0, most)} }
+func NewRing(capacity int) *Ring { return &Ring{kept: make([]Record, 0, capacity)} }
 
 // Add keeps a record, in the place of the oldest where there is no room.
 func (r *Ring) Add(rec Record) {
@@ -65,10 +65,10 @@
 	return list
 }
 
-// Drawn reports whether a request is among a part of all. Every node draws the same
+// Sampled reports whether a request is among a part of all. Every node draws the same
 // ones, so that what one logs of a request another does as well; the calls of a
 // request are drawn with it.
-func Drawn(attempt string, part float64) bool {
+func Sampled(attempt string, share float64) bool {
 	root, _, _ := strings.Cut(attempt, ".")
-	return part > 0 && float64(xxhash.Sum64String(root)>>11)/(1<<53) < part
+	return share > 0 && float64(xxhash.Sum64String(root)>>11)/(1<<53) < share
 }
--- a/internal/dataplane/trace/trace_test.go
+++ b/internal/dataplane/trace/trace_test.go
@@ -32,10 +32,10 @@
 	n := 0
 	for i := range 10000 {
 		id := fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
-		if Drawn(id, 0.1) {
+		if Sampled(id, 0.1) {
 			n++
 		}
-		if Drawn(id, 0.1) != Drawn(id+".7", 0.1) || Drawn(id, 0) || !Drawn(id, 1) {
+		if Sampled(id, 0.1) != Sampled(id+".7", 0.1) || Sampled(id, 0) || !Sampled(id, 1) {
 			t.Fatalf("%s: a call is not drawn with its request, or all or none are not", id)
 		}
 	}
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -47,7 +47,7 @@
 // registryDifference returns the commands by which the registry gets in line.
 func (a *Agent) registryDifference(registered []*wire.Server) []*wire.Command {
 	set := a.options.Settings()
-	m := localserver.Machine{Node: set.Node, Address: set.Internal(), Zone: set.Zone, Leaving: a.options.Draining()}
+	m := localserver.Machine{Node: set.Node, Address: set.Internal(), Zone: set.Zone, Draining: a.options.Draining()}
 	return localserver.Difference(m, a.options.Servers(), registered, time.Since(a.startedAt) < 2*set.HeartbeatInterval)
 }
 
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -84,7 +84,7 @@
 		"after the acknowledgement of its drain": func(s *sim) {
 			v := s.servers[0]
 			v.acked, v.drainAt = true, s.now-ms(w.DrainMs)-time.Millisecond
-			v.run(&try{id: "a", req: &request{s: s, route: s.route("browse")}}, localserver.Ask{Member: v.id, Service: v.kind.Name, Attempt: "a"}, s.now+time.Second, 0, nil)
+			v.run(&try{id: "a", req: &request{s: s, route: s.route("browse")}}, localserver.Request{Member: v.id, Service: v.kind.Name, Attempt: "a"}, s.now+time.Second, 0, nil)
 		},
 		"was acknowledged": func(s *sim) {
 			s.acked = 99
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -39,7 +39,7 @@
 	readiness relay.Readiness
 
 	table     *router.Table
-	admission *localserver.Admission[*ticket]
+	admission *localserver.Registry[*ticket]
 	shares    budget.Shares
 	server    *server
 	began     time.Duration
@@ -221,7 +221,7 @@
 	_, v := n.admission.Sweep(n.s.now)
 	n.deliver(v)
 	nodes := len(n.group.Members()) - len(n.s.cores)
-	n.table.SetRetrySlack(n.shares.Part(n.s.now-n.began, nodes))
+	n.table.SetRetrySlack(n.shares.Share(n.s.now-n.began, nodes))
 	if n.server != nil && !n.proposes {
 		n.register()
 	}
--- a/internal/simulation/lab/request.go
+++ b/internal/simulation/lab/request.go
@@ -14,7 +14,7 @@
 // ticket is a request that waits for a slot at a server.
 type ticket struct{ verdict func(bool) }
 
-func (n *node) deliver(verdicts []localserver.Verdict[*ticket]) {
+func (n *node) deliver(verdicts []localserver.SlotGrant[*ticket]) {
 	for _, v := range verdicts {
 		v.Ticket.verdict(v.Go)
 	}
@@ -126,8 +126,8 @@
 		return
 	}
 	to := s.nodes[s.index[listed.Node]]
-	ask := localserver.Ask{Member: id, Service: r.Service, Attempt: t.id, Priority: r.Priority, Repeat: step.Retry, Wait: step.MayQueue,
-		Call: health.Call{Zone: n.zone, Usual: step.TypicalLatency, Once: r.NonIdempotent(), Insist: step.IgnoreEjection}}
+	ask := localserver.Request{Member: id, Service: r.Service, Attempt: t.id, Priority: r.Priority, Repeat: step.Retry, Wait: step.MayQueue,
+		Call: health.Call{Zone: n.zone, TypicalLatency: step.TypicalLatency, NonIdempotent: r.NonIdempotent(), IgnoreEjection: step.IgnoreEjection}}
 	until := r.Deadline
 	tries := r.Attempts()
 	s.call(&n.machine, &to.machine, headBytes, max(0, until-s.now), func(answer func(int, func())) {
@@ -147,7 +147,7 @@
 }
 
 // forward passes a request to the server here, or turns it away.
-func (n *node) forward(t *try, ask localserver.Ask, until time.Duration, tries int, done func(*wire.ForwardResponse)) {
+func (n *node) forward(t *try, ask localserver.Request, until time.Duration, tries int, done func(*wire.ForwardResponse)) {
 	s, incarnation := n.s, n.incarnation
 	unsent := func(gone, waiting bool) {
 		done(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: gone, Queued: waiting})
@@ -156,7 +156,7 @@
 		if n.server == nil || n.server.id != ask.Member || !n.server.up {
 			f := n.admission.Finish(s.now, ask.Member, ask.Attempt, health.Broken)
 			n.deliver(f.Verdicts)
-			unsent(false, f.Waiting)
+			unsent(false, f.Queued)
 			return
 		}
 		began := s.now
@@ -165,9 +165,9 @@
 				return
 			}
 			out := &wire.ForwardResponse{Result: fate, Status: status, TookMs: uint32((s.now - began).Milliseconds())}
-			f := n.admission.Finish(s.now, ask.Member, ask.Attempt, localserver.EndOf(out))
+			f := n.admission.Finish(s.now, ask.Member, ask.Attempt, localserver.ResultOf(out))
 			n.deliver(f.Verdicts)
-			out.Queued, out.RelativeLatency, out.Utilization = f.Waiting, float32(f.Pace), float32(f.Fill)
+			out.Queued, out.RelativeLatency, out.Utilization = f.Queued, float32(f.RelativeLatency), float32(f.Utilization)
 			for _, c := range f.Called {
 				out.Calls = append(out.Calls, &wire.CallCount{Service: c.Service, Count: c.Times, Pressure: n.table.Pressure(s.now, c.Service)})
 			}
@@ -197,14 +197,14 @@
 		begin()
 	case localserver.Queue:
 		s.at(until-5*time.Millisecond, func() {
-			if !over && n.up && n.incarnation == incarnation && n.admission.Leave(ask.Member, tk) {
+			if !over && n.up && n.incarnation == incarnation && n.admission.Dequeue(ask.Member, tk) {
 				over = true
 				unsent(false, true)
 			}
 		})
 	default:
 		done(&wire.ForwardResponse{
-			Result: wire.ForwardResponse_NOT_SENT, Terminated: place == localserver.Gone, Unhealthy: place == localserver.Unhealthy, Queued: place == localserver.Full,
+			Result: wire.ForwardResponse_NOT_SENT, Terminated: place == localserver.Terminated, Unhealthy: place == localserver.Unhealthy, Queued: place == localserver.Full,
 		})
 	}
 }
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -81,7 +81,7 @@
 	v.seq++
 	h := v.node.admission.Heartbeat(v.s.now, localserver.Heartbeat{
 		ID: v.id, Service: v.kind.Name, Address: v.node.name, Zone: v.node.zone, Slots: v.kind.Slots, Draining: v.drains, Seq: v.seq,
-		Warm: max(0, v.cold-v.s.now),
+		WarmupLeft: max(0, v.cold-v.s.now),
 	})
 	v.node.deliver(h.Verdicts)
 	if h.OK && v.drains && !v.acked {
@@ -118,7 +118,7 @@
 }
 
 // run takes a request in, and calls end with what became of it.
-func (v *server) run(t *try, ask localserver.Ask, until time.Duration, tries int, end func(int32, wire.ForwardResponse_Result)) {
+func (v *server) run(t *try, ask localserver.Request, until time.Duration, tries int, end func(int32, wire.ForwardResponse_Result)) {
 	s := v.s
 	begun := s.now
 	r := &runOf{end: func(status int32, fate wire.ForwardResponse_Result) {
--- a/internal/simulation/mutation/mutation.go
+++ b/internal/simulation/mutation/mutation.go
@@ -82,7 +82,7 @@
 // checkTests sees that tests of these names are there.
 func checkTests(names []string, root string) error {
 	known := map[string]bool{}
-	for _, pattern := range []string{"*_test.go", "*/*_test.go", "*/*/*_test.go"} {
+	for _, pattern := range []string{"*_test.go", "*/*_test.go", "*/*/*_test.go", "*/*/*/*_test.go"} {
 		files, err := filepath.Glob(filepath.Join(root, pattern))
 		if err != nil {
 			return fmt.Errorf("mutation: %w", err)
