--- a/internal/dataplane/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -15,7 +15,7 @@
 
 // client is one connection.
 type client struct {
-	f      *Front
+	f      *Listener
 	nc     net.Conn
 	ctx    context.Context // until the client has left
 	cancel context.CancelFunc
@@ -31,17 +31,17 @@
 	answered time.Time // when the last answer was written
 }
 
-func (f *Front) serve(parent context.Context, nc net.Conn) {
+func (f *Listener) serve(parent context.Context, nc net.Conn) {
 	ctx, cancel := context.WithCancel(parent)
 	c := &client{f: f, nc: nc, ctx: ctx, cancel: cancel}
 	c.requests, c.callOff = context.WithCancel(ctx)
-	if !f.enter(c) {
+	if !f.addClient(c) {
 		cancel()
 		nc.Close()
 		return
 	}
-	defer f.exit(c)
-	defer context.AfterFunc(parent, func() { nc.SetDeadline(time.Now().Add(lingerFor)) })()
+	defer f.removeClient(c)
+	defer context.AfterFunc(parent, func() { nc.SetDeadline(time.Now().Add(lingerTimeout)) })()
 	var running sync.WaitGroup
 	places := make(chan struct{}, maxPending)
 	turn := make(chan struct{}) // closed once the answer before has been written
@@ -53,7 +53,7 @@
 			var e *http1.Error
 			if errors.As(err, &e) {
 				done := make(chan struct{})
-				a := text(e.Status, e.Text)
+				a := textAnswer(e.Status, e.Text)
 				a.Close = true
 				c.answer(turn, done, "", a)
 				turn = done
@@ -140,7 +140,7 @@
 	closing := c.closing
 	c.mu.Unlock()
 	if tc, ok := c.nc.(*net.TCPConn); ok && closing && tc.CloseWrite() == nil {
-		c.nc.SetReadDeadline(time.Now().Add(lingerFor))
+		c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, c.nc, 64<<10)
 	}
 }
@@ -237,7 +237,7 @@
 	}
 	if req.Length != 0 {
 		if req.Expect {
-			c.nc.SetWriteDeadline(time.Now().Add(writeWait))
+			c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return nil, err
 			}
@@ -245,7 +245,7 @@
 		if c.f.Memory > 0 && c.f.held.Load()+max(0, req.Length) > c.f.Memory {
 			return nil, &http1.Error{Status: 503, Text: "no memory for the body at the moment"}
 		}
-		c.readUntil(time.Now().Add(bodyWait))
+		c.readUntil(time.Now().Add(bodyTimeout))
 		if call.Body, err = http1.ReadBody(r, req.Length, b.Limits); err != nil {
 			return nil, c.late(err, "the body did not come in time")
 		}
@@ -274,7 +274,7 @@
 	c.pending--
 	c.answered = time.Now() // and again once it is written
 	over := c.closing
-	if a.Close || c.f.leaving.Load() && c.pending == 0 {
+	if a.Close || c.f.shuttingDown.Load() && c.pending == 0 {
 		a.Close, c.closing = true, true
 		c.stopReads()
 	}
@@ -285,7 +285,7 @@
 	bodyless := method == "HEAD" || a.Status == 204 || a.Status == 304
 	buf := messages.Get().(*[]byte)
 	message := http1.AppendResponse((*buf)[:0], a.Status, a.Fields, a.Body, bodyless, a.Close)
-	c.nc.SetWriteDeadline(time.Now().Add(writeWait))
+	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.nc.Write(message)
 	recycle(buf, message)
 	if err != nil {
--- a/internal/dataplane/proxy/fields.go
+++ b/internal/dataplane/proxy/fields.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// lines are the fields that a node of the version before has sent one by one. It sends the request's id among them,
+// fieldLines are the fields that a node of the version before has sent one by one. It sends the request's id among them,
 // which is told apart from them here.
-func lines(headers []*wire.Header) []byte {
+func fieldLines(headers []*wire.Header) []byte {
 	dst := make([]byte, 0, 256)
 	for _, h := range headers {
 		if !http1.SameName(h.Name, "Attempt-Id") {
@@ -34,8 +34,8 @@
 	return dst
 }
 
-// spell is the opposite of lines.
-func spell(fields []byte, attempt string) []*wire.Header {
+// headersOf is the opposite of lines.
+func headersOf(fields []byte, attempt string) []*wire.Header {
 	headers := []*wire.Header{{Name: "Attempt-Id", Value: attempt}}
 	for line := range bytes.SplitSeq(fields, []byte("\r\n")) {
 		if name, value, ok := bytes.Cut(line, []byte(": ")); ok {
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -17,7 +17,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-func unsent(gone bool, format string, args ...any) *wire.ForwardResponse {
+func notSent(gone bool, format string, args ...any) *wire.ForwardResponse {
 	return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: gone, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -44,7 +44,7 @@
 
 // admit waits for a slot of the server that a request names. It returns the server, or the outcome of a request that is
 // turned away.
-func (in *Inbound) admit(ctx context.Context, ask localserver.Request, until time.Time) (*app, *wire.ForwardResponse) {
+func (in *Inbound) admit(ctx context.Context, ask localserver.Request, until time.Time) (*serverPool, *wire.ForwardResponse) {
 	in.mu.Lock()
 	t := in.spare
 	if in.spare = nil; t == nil {
@@ -61,7 +61,7 @@
 	var load serverLoad
 	due := false
 	if place == localserver.Full && a != nil {
-		load, due = a.load.turnAway(in.now())
+		load, due = a.load.countRejection(in.now())
 	}
 	in.mu.Unlock()
 	if due {
@@ -69,23 +69,23 @@
 	}
 	switch place {
 	case localserver.Terminated:
-		return nil, unsent(true, "%s", why)
+		return nil, notSent(true, "%s", why)
 	case localserver.Hangs:
-		return nil, unsent(false, "%s", why)
+		return nil, notSent(false, "%s", why)
 	case localserver.Unhealthy:
 		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: why, Unhealthy: true}
 	case localserver.Full:
 		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: why, Queued: true}
 	case localserver.Queue:
 		if why := in.await(ctx, ask, t, until); why != "" {
-			return nil, unsent(false, "%s", why)
+			return nil, notSent(false, "%s", why)
 		}
 	}
 	return a, nil
 }
 
 // finish books the end of a run, and adds to its outcome what the node has learnt from it.
-func (in *Inbound) finish(a *app, q *wire.ForwardRequest, out *wire.ForwardResponse, end health.Outcome, began time.Duration) {
+func (in *Inbound) finish(a *serverPool, q *wire.ForwardRequest, out *wire.ForwardResponse, end health.Outcome, began time.Duration) {
 	in.mu.Lock()
 	now := in.now()
 	f := in.admission.Finish(now, q.Member, q.Attempt, end)
@@ -117,7 +117,7 @@
 
 // await waits for a slot; it says why there is none.
 func (in *Inbound) await(ctx context.Context, ask localserver.Request, t *ticket, until time.Time) (why string) {
-	timer := timerpool.Get(time.Until(until) - minLeft)
+	timer := timerpool.Get(time.Until(until) - minTimeLeft)
 	defer timerpool.Put(timer)
 	select {
 	case ok := <-t.verdict:
@@ -142,17 +142,17 @@
 }
 
 // send makes one attempt at the server. calledOff tells that it ended because its sender no longer wants it.
-func (a *app) send(ctx context.Context, q *wire.ForwardRequest, until time.Time) (out *wire.ForwardResponse, calledOff bool) {
+func (a *serverPool) send(ctx context.Context, q *wire.ForwardRequest, until time.Time) (out *wire.ForwardResponse, calledOff bool) {
 	c, err := a.connect(ctx, until)
 	left := time.Until(until)
-	if left < minLeft || ctx.Err() != nil {
+	if left < minTimeLeft || ctx.Err() != nil {
 		if err == nil {
 			a.keep(c)
 		}
-		return unsent(false, calledOffText), true
+		return notSent(false, calledOffText), true
 	}
 	if err != nil {
-		return unsent(false, "connecting: %v", err), false
+		return notSent(false, "connecting: %v", err), false
 	}
 	buf := messages.Get().(*[]byte)
 	message := appendForward((*buf)[:0], q, left)
@@ -182,7 +182,7 @@
 		}
 		return out, calledOff
 	}
-	out = judge(q, &c.resp, body, c.used)
+	out = checkResponse(q, &c.resp, body, c.used)
 	if clean && !c.resp.Close && !c.surplus && c.r.Buffered() == 0 {
 		c.answered()
 		a.keep(c) // nothing of it is ours any more
@@ -206,7 +206,7 @@
 func appendForward(dst []byte, q *wire.ForwardRequest, left time.Duration) []byte {
 	dst = http1.AppendRequestLine(dst, q.Method, q.Target)
 	if len(q.Headers) > 0 {
-		dst = append(dst, lines(q.Headers)...)
+		dst = append(dst, fieldLines(q.Headers)...)
 	} else {
 		dst = append(dst, q.Fields...)
 	}
@@ -219,10 +219,10 @@
 	return http1.AppendRequestBody(dst, q.Method, q.Body)
 }
 
-// judge tells what an answer means. used says that the connection has carried a request before, so that an answer
+// checkResponse tells what an answer means. used says that the connection has carried a request before, so that an answer
 // may be a surplus one to it. Only its id tells whose an answer is, and nothing that it says is believed before
 // that: a promise that another request has not run, or another's body, must not become this one's.
-func judge(q *wire.ForwardRequest, resp *http1.Response, body []byte, used bool) *wire.ForwardResponse {
+func checkResponse(q *wire.ForwardRequest, resp *http1.Response, body []byte, used bool) *wire.ForwardResponse {
 	unrun := resp.Headers.Count("Not-Executed") > 0 || resp.Status == 421
 	switch id := resp.Headers.Get("Attempt-Id"); {
 	case id == q.Attempt:
@@ -240,7 +240,7 @@
 	out := &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: int32(resp.Status), Body: body}
 	out.Fields = http1.AppendEndToEnd(make([]byte, 0, 256), resp.Headers, "Attempt-Id")
 	if len(q.Headers) > 0 {
-		out.Headers, out.Fields = spell(out.Fields, q.Attempt), nil
+		out.Headers, out.Fields = headersOf(out.Fields, q.Attempt), nil
 	}
 	return out
 }
--- a/internal/dataplane/proxy/bed_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
+
 	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/dataplane/localserver"
 	"ivydeck/internal/pkg/cowmap"
@@ -28,7 +29,7 @@
 	in       *Inbound
 	out      *Outbound
 	front    string
-	clients  *Front
+	clients  *Listener
 	handled  atomic.Int64 // requests whose final answer is known
 	mu       sync.Mutex
 	arrivals map[string][]string // servers, by Attempt-Id
@@ -118,12 +119,12 @@
 	server.Handle("forward", rpc.Unary(b.in.Forward))
 	b.out = &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: 10 * time.Second, Pool: rpc.NewPool(ctx, rpc.PoolOptions{Identity: source}), Log: log, Graph: b.in.Graph, CallFailed: b.in.CallFailed}
 	b.out.Start(1)
-	b.out.Share(1000)
+	b.out.SetRetrySlack(1000)
 	handle := func(ctx context.Context, c *Call) *Answer {
 		defer b.handled.Add(1)
 		return b.out.Handle(ctx, c)
 	}
-	front := &Front{Handle: handle, Bounds: b.out.Bounds, Log: log}
+	front := &Listener{Handle: handle, Bounds: b.out.Bounds, Log: log}
 	b.clients = front
 	var running sync.WaitGroup
 	running.Go(func() { server.Serve(ctx, nodes) })
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	serverHead = 64 << 10
-	serverBody = 64 << 20
-	dialServer = 300 * time.Millisecond
-	minLeft    = 5 * time.Millisecond // below this a request is not begun
+	serverHead  = 64 << 10
+	serverBody  = 64 << 20
+	dialTimeout = 300 * time.Millisecond
+	minTimeLeft = 5 * time.Millisecond // below this a request is not begun
 )
 
 // Heartbeat is what a server says of itself.
@@ -37,16 +37,16 @@
 
 	mu        sync.Mutex
 	admission *localserver.Registry[*ticket]
-	spare     *ticket         // of a request that had no need to wait
-	apps      map[string]*app // by member, those in service
+	spare     *ticket                // of a request that had no need to wait
+	apps      map[string]*serverPool // by member, those in service
 }
 
-// app is where an incarnation of a server is reached.
-type app struct {
+// serverPool is where an incarnation of a server is reached.
+type serverPool struct {
 	in      *Inbound
 	address string
 	slots   int
-	idle    []*appConn
+	idle    []*serverConn
 	closed  bool
 	load    serverLoad // guarded by in.mu
 }
@@ -56,7 +56,7 @@
 func NewInbound(drain, heartbeat time.Duration, log *slog.Logger) *Inbound {
 	return &Inbound{
 		Log: log, began: time.Now(), changed: make(chan struct{}, 1),
-		admission: localserver.New[*ticket](drain, heartbeat), apps: map[string]*app{},
+		admission: localserver.New[*ticket](drain, heartbeat), apps: map[string]*serverPool{},
 	}
 }
 
@@ -75,11 +75,11 @@
 	}
 }
 
-// open keeps an app for an incarnation in service. Called with mu held.
-func (in *Inbound) open(b Heartbeat) {
+// addServer keeps an app for an incarnation in service. Called with mu held.
+func (in *Inbound) addServer(b Heartbeat) {
 	a := in.apps[b.ID]
 	if a == nil {
-		a = &app{in: in}
+		a = &serverPool{in: in}
 		in.apps[b.ID] = a
 	}
 	if server, ok := in.admission.Server(b.ID); ok {
@@ -87,8 +87,8 @@
 	}
 }
 
-// shut closes the connections to an incarnation that has ended. Called with mu held.
-func (in *Inbound) shut(id string) {
+// removeServer closes the connections to an incarnation that has ended. Called with mu held.
+func (in *Inbound) removeServer(id string) {
 	if a := in.apps[id]; a != nil {
 		delete(in.apps, id)
 		a.closed = true
@@ -106,7 +106,7 @@
 	h := in.admission.Heartbeat(now.Sub(in.began), b)
 	deliver(h.Verdicts)
 	for _, id := range h.Ended {
-		in.shut(id)
+		in.removeServer(id)
 	}
 	if h.New {
 		in.Log.Info("server.registered", "member", b.ID, "service", b.Service, "address", b.Address)
@@ -118,7 +118,7 @@
 		in.Log.Info("server.draining", "member", b.ID)
 	}
 	if h.OK {
-		in.open(b)
+		in.addServer(b)
 		in.Wake()
 	}
 	return h.OK
@@ -129,7 +129,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.admission.Adopt(now.Sub(in.began), b) {
-		in.open(b)
+		in.addServer(b)
 		in.Log.Info("server.adopted", "member", b.ID)
 	}
 }
@@ -141,7 +141,7 @@
 	ended, verdicts := in.admission.Deregister(id)
 	deliver(verdicts)
 	if ended {
-		in.shut(id)
+		in.removeServer(id)
 		in.Log.Info("server.deregistered", "member", id)
 	}
 	in.Wake()
@@ -164,7 +164,7 @@
 	deliver(verdicts)
 	for _, id := range silent {
 		in.Log.Warn("server.heartbeat_lost", "member", id)
-		in.shut(id)
+		in.removeServer(id)
 		in.Wake()
 	}
 	for _, a := range in.apps {
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/listener.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	maxPending   = 64 // requests on one connection that have no answer yet
-	maxClients   = 3000
-	writeWait    = 10 * time.Second       // for a client to read its answer
-	lingerFor    = 180 * time.Millisecond // for the client to take its last answer
-	bodyWait     = 30 * time.Second       // for a whole body
-	bodyBuffered = 64 << 10               // bodies up to this are not counted against the node's memory
+	maxPending    = 64 // requests on one connection that have no answer yet
+	maxClients    = 3000
+	writeTimeout  = 10 * time.Second       // for a client to read its answer
+	lingerTimeout = 180 * time.Millisecond // for the client to take its last answer
+	bodyTimeout   = 30 * time.Second       // for a whole body
+	bodyBuffered  = 64 << 10               // bodies up to this are not counted against the node's memory
 )
 
 // Call is a request that has been read whole.
@@ -35,12 +35,12 @@
 
 // Answer is a final answer.
 type Answer struct {
-	Status int
-	Fields []byte // lines of its head
-	Body   []byte
-	Close  bool
-	Back   bool // it says when to come back
-	Own    bool // it is the mesh's own, and its body says why
+	Status      int
+	Fields      []byte // lines of its head
+	Body        []byte
+	Close       bool
+	NotExecuted bool // it says when to come back
+	Own         bool // it is the mesh's own, and its body says why
 }
 
 // Bounds are what a client may do; they may change with the configuration.
@@ -50,33 +50,33 @@
 	Idle     time.Duration // between requests
 }
 
-// Front accepts clients' connections. Requests on one connection run at the
+// Listener accepts clients' connections. Requests on one connection run at the
 // same time, and their answers go back in order.
-type Front struct {
+type Listener struct {
 	Handle func(ctx context.Context, c *Call) *Answer
 	Bounds func() Bounds
 	Memory int64 // bytes that bodies may hold together
 	Log    *slog.Logger
 
-	leaving atomic.Bool
-	mu      sync.Mutex
-	stopped bool
-	cut     bool
-	clients map[*client]bool
-	open    atomic.Int64     // connections
-	pending atomic.Int64     // requests
-	workers *workerpool.Pool // runs them; made by Serve
-	held    atomic.Int64
+	shuttingDown atomic.Bool
+	mu           sync.Mutex
+	stopped      bool
+	cut          bool
+	clients      map[*client]bool
+	open         atomic.Int64     // connections
+	pending      atomic.Int64     // requests
+	workers      *workerpool.Pool // runs them; made by Serve
+	held         atomic.Int64
 }
 
-// Leave makes every connection end with the next answer that has nothing behind it.
-func (f *Front) Leave() { f.leaving.Store(true) }
+// BeginShutdown makes every connection end with the next answer that has nothing behind it.
+func (f *Listener) BeginShutdown() { f.shuttingDown.Store(true) }
 
 // Stop reads nothing more: connections without a request are closed at once, so
 // that clients turn elsewhere with what they send, and the others with their last
 // answer.
-func (f *Front) Stop() {
-	f.leaving.Store(true)
+func (f *Listener) Stop() {
+	f.shuttingDown.Store(true)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopped = true
@@ -88,9 +88,9 @@
 	}
 }
 
-// Cut calls all requests off, so that each has its answer while there is time for
+// CloseAll calls all requests off, so that each has its answer while there is time for
 // one: those that are through would else wait for good behind one that is not.
-func (f *Front) Cut() {
+func (f *Listener) CloseAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut = true
@@ -99,8 +99,8 @@
 	}
 }
 
-// enter books a connection, unless the front has been stopped.
-func (f *Front) enter(c *client) bool {
+// addClient books a connection, unless the front has been stopped.
+func (f *Listener) addClient(c *client) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stopped {
@@ -116,20 +116,20 @@
 	return true
 }
 
-func (f *Front) exit(c *client) {
+func (f *Listener) removeClient(c *client) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.clients, c)
 }
 
 // Pending is the number of requests without an answer.
-func (f *Front) Pending() int64 { return f.pending.Load() }
+func (f *Listener) Pending() int64 { return f.pending.Load() }
 
 // Open is the number of connections.
-func (f *Front) Open() int64 { return f.open.Load() }
+func (f *Listener) Open() int64 { return f.open.Load() }
 
 // Serve accepts until the context ends, and then waits for its connections.
-func (f *Front) Serve(ctx context.Context, l net.Listener) error {
+func (f *Listener) Serve(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	f.workers = workerpool.New(ctx)
 	var conns sync.WaitGroup
@@ -167,7 +167,7 @@
 	}
 }
 
-func (f *Front) release(body []byte) {
+func (f *Listener) release(body []byte) {
 	if len(body) > bodyBuffered {
 		f.held.Add(-int64(len(body)))
 	}
--- a/internal/dataplane/proxy/front_test.go
+++ b/internal/dataplane/proxy/listener_test.go
@@ -9,7 +9,7 @@
 // again, and so does a configuration that allows more.
 func TestAConnectionIsIdleFromItsAnswerOn(t *testing.T) {
 	idle := 5 * time.Second
-	c := &client{f: &Front{Bounds: func() Bounds { return Bounds{Idle: idle} }}}
+	c := &client{f: &Listener{Bounds: func() Bounds { return Bounds{Idle: idle} }}}
 	began := time.Now()
 	check := func(what string, now, want time.Time) {
 		t.Helper()
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -3,12 +3,14 @@
 import (
 	"context"
 	"log/slog"
+	"math"
 	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"ivydeck/internal/config/meshconfig"
 	"ivydeck/internal/dataplane/http1"
 	"ivydeck/internal/dataplane/router"
 	"ivydeck/internal/dataplane/trace"
@@ -19,10 +21,12 @@
 const (
 	answerMargin = 15 * time.Millisecond // before its time is up a request gets its answer
 	maxBudgetMs  = 3_600_000
+	noTimeBudget = time.Duration(math.MaxInt64) // of a client that gives none: the timeout of the route alone
 
-	maxPriorities    = 16                     // that are shown
-	loggedPriorities = 3                      // the highest, with a refusal
-	configWait       = 300 * time.Millisecond // for the first configuration of a process
+	maxPriorities      = 16                     // that are shown
+	loggedPriorities   = 3                      // the highest, with a refusal
+	configWait         = 300 * time.Millisecond // for the first configuration of a process ...
+	noConfigRetryAfter = 500 * time.Millisecond // ... and the advice where it has not come
 )
 
 // ClusterState is what a node has been told.
@@ -46,17 +50,17 @@
 	began               time.Time
 	ready               chan struct{} // closed with the first configuration
 
-	strays   sync.WaitGroup // tries
-	mu       sync.Mutex
-	table    *router.Table
-	refusing map[string]*refusals // by service; guarded by mu
+	lateAttempts sync.WaitGroup // tries
+	mu           sync.Mutex
+	table        *router.Table
+	refusals     map[string]*refusals // by service; guarded by mu
 }
 
 // Start makes an Outbound ready for Update. The seed sets its random numbers.
 func (o *Outbound) Start(seed uint64) {
 	o.began = time.Now()
 	o.ready = make(chan struct{})
-	o.refusing = map[string]*refusals{}
+	o.refusals = map[string]*refusals{}
 	o.table = router.NewTable(router.Options{Node: o.Node, Zone: o.Zone, RetryRatio: o.Ratio, RetryWindow: o.Window, Seed: seed})
 }
 
@@ -71,15 +75,15 @@
 // Since tells how long after a moment the times of its records begin.
 func (o *Outbound) Since(t time.Time) time.Duration { return o.began.Sub(t) }
 
-// Share sets this node's part of the retry slack.
-func (o *Outbound) Share(slack float64) {
+// SetRetrySlack sets this node's part of the retry slack.
+func (o *Outbound) SetRetrySlack(slack float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.SetRetrySlack(slack)
 }
 
-// Readings are what the node knows of its services, for those who look on.
-func (o *Outbound) Readings(priorities int) []router.ServiceState {
+// ServiceStates are what the node knows of its services, for those who look on.
+func (o *Outbound) ServiceStates(priorities int) []router.ServiceState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.table.ServiceStates(o.now(), priorities)
@@ -140,34 +144,34 @@
 	return b
 }
 
-func text(status int, why string) *Answer {
-	return &Answer{Status: status, Fields: []byte("Content-Type: text/plain\r\n"), Body: []byte(why + "\n"), Own: true}
+func textAnswer(status int, reason string) *Answer {
+	return &Answer{Status: status, Fields: []byte("Content-Type: text/plain\r\n"), Body: []byte(reason + "\n"), Own: true}
 }
 
-// say makes an answer of a final one of the node's own.
-func say(f *router.Response) *Answer {
-	a := text(f.Status, f.Reason)
+// generatedAnswer is a response of the node itself.
+func generatedAnswer(f *router.Response) *Answer {
+	a := textAnswer(f.Status, f.Reason)
 	if f.RetryAfter > 0 {
 		a.Fields = http1.AppendField(a.Fields, "Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 3, 64))
-		a.Back = true
+		a.NotExecuted = true
 	}
 	return a
 }
 
-// Handle gives one request its final answer.
+// Handle answers a request.
 func (o *Outbound) Handle(ctx context.Context, c *Call) *Answer {
 	rec := trace.Record{Entry: true}
 	a := o.handle(ctx, c, &rec)
 	switch {
 	case !a.Own:
 		o.served.Add(1)
-	case a.Back:
+	case a.NotExecuted:
 		o.refused.Add(1)
 	default:
 		o.failed.Add(1)
 	}
 	rec.Status, rec.Took = a.Status, time.Since(c.Arrived)
-	o.Metrics.Request(rec.Route, a.Status, a.Back, rec.Took)
+	o.Metrics.Request(rec.Route, a.Status, a.NotExecuted, rec.Took)
 	if o.Trace != nil {
 		rec.Attempt, rec.Began = c.Headers.Get("Attempt-Id"), c.Arrived.Sub(o.began)
 		if a.Own {
@@ -180,60 +184,34 @@
 
 // handle is Handle, and notes in rec which route, service and servers had a part.
 func (o *Outbound) handle(ctx context.Context, c *Call, rec *trace.Record) *Answer {
-	if o.cluster().Config == nil { // in a process that has just started it may come at any moment
-		timer := time.NewTimer(configWait)
-		select {
-		case <-o.ready:
-		case <-timer.C:
-		case <-ctx.Done():
-		}
-		timer.Stop()
-	}
+	o.awaitConfig(ctx)
 	cluster := o.cluster()
 	if cluster.Config == nil {
-		return say(&router.Response{Status: 503, Reason: "no configuration yet", RetryAfter: 500 * time.Millisecond})
+		return generatedAnswer(&router.Response{Status: 503, Reason: "no configuration yet", RetryAfter: noConfigRetryAfter})
 	}
 	route := cluster.Config.Find(c.Host, c.Path())
 	if route == nil {
-		return text(404, "no route")
+		return textAnswer(404, "no route")
 	}
 	rec.Route = route.Name
-	if c.Headers.Count("Attempt-Id") != 1 || c.Headers.Get("Attempt-Id") == "" {
-		return text(400, "not exactly one Attempt-Id")
-	}
-	wait := route.Timeout()
-	switch c.Headers.Count("Time-Budget") {
-	case 0:
-	case 1:
-		ms, err := strconv.ParseFloat(c.Headers.Get("Time-Budget"), 64)
-		if err != nil || !(ms >= 0) || ms > maxBudgetMs {
-			return text(400, "Time-Budget is no number of milliseconds")
-		}
-		wait = min(wait, time.Duration(ms*float64(time.Millisecond)))
-	default:
-		return text(400, "more than one Time-Budget")
-	}
-	e := router.Arrival{Route: route, At: c.Arrived.Sub(o.began)}
-	e.Deadline = e.At + wait - answerMargin
-	o.mu.Lock()
-	e.Service = o.table.ChooseService(route)
-	o.mu.Unlock()
-	rec.Service = e.Service
-	if o.Graph != nil {
-		e.Inner, e.OfRetry = o.Graph(c.Headers.Get("Attempt-Id"), e.Service)
+	wait, invalid := timeBudget(c)
+	if invalid != nil {
+		return invalid
 	}
+	arrival := o.newArrival(c, route, min(wait, route.Timeout()))
+	rec.Service = arrival.Service
 	o.mu.Lock()
-	r, refused := o.table.Admit(o.now(), e)
+	r, refused := o.table.Admit(o.now(), arrival)
 	o.mu.Unlock()
 	if refused != nil {
-		o.logRefusal(e.Service, false)
-		return say(refused)
+		o.logRefusal(arrival.Service, false)
+		return generatedAnswer(refused)
 	}
 	a := o.serve(ctx, c, cluster, r)
-	if a.Back {
-		o.logRefusal(e.Service, true)
+	if a.NotExecuted {
+		o.logRefusal(arrival.Service, true)
 	}
-	if e.Inner && o.CallFailed != nil && a.Status >= 400 {
+	if arrival.Inner && o.CallFailed != nil && a.Status >= 400 {
 		o.CallFailed(c.Headers.Get("Attempt-Id"))
 	}
 	o.mu.Lock()
@@ -243,13 +221,59 @@
 	return a
 }
 
-// logRefusal counts a refusal, and logs how the service stands from time to time.
+// awaitConfig waits for a configuration, which in a process that has just started may come at any moment.
+func (o *Outbound) awaitConfig(ctx context.Context) {
+	if o.cluster().Config != nil {
+		return
+	}
+	timer := time.NewTimer(configWait)
+	defer timer.Stop()
+	select {
+	case <-o.ready:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// timeBudget checks the headers of the protocol, and returns the time that the client waits for the answer; invalid is the
+// answer to a request whose headers are not proper.
+func timeBudget(c *Call) (wait time.Duration, invalid *Answer) {
+	if c.Headers.Count("Attempt-Id") != 1 || c.Headers.Get("Attempt-Id") == "" {
+		return 0, textAnswer(400, "not exactly one Attempt-Id")
+	}
+	switch c.Headers.Count("Time-Budget") {
+	case 0:
+		return noTimeBudget, nil
+	case 1:
+		ms, err := strconv.ParseFloat(c.Headers.Get("Time-Budget"), 64)
+		if err != nil || !(ms >= 0) || ms > maxBudgetMs { // NaN is no number either
+			return 0, textAnswer(400, "Time-Budget is no number of milliseconds")
+		}
+		return time.Duration(ms * float64(time.Millisecond)), nil
+	}
+	return 0, textAnswer(400, "more than one Time-Budget")
+}
+
+// newArrival is the request as the router takes it, with its service drawn and its place in a call graph.
+func (o *Outbound) newArrival(c *Call, route *meshconfig.Route, wait time.Duration) router.Arrival {
+	arrival := router.Arrival{Route: route, At: c.Arrived.Sub(o.began)}
+	arrival.Deadline = arrival.At + wait - answerMargin
+	o.mu.Lock()
+	arrival.Service = o.table.ChooseService(route)
+	o.mu.Unlock()
+	if o.Graph != nil {
+		arrival.Inner, arrival.OfRetry = o.Graph(c.Headers.Get("Attempt-Id"), arrival.Service)
+	}
+	return arrival
+}
+
+// logRefusal counts a refusal, and logs the state of the service from time to time.
 func (o *Outbound) logRefusal(service string, admitted bool) {
 	o.mu.Lock()
-	r := o.refusing[service]
+	r := o.refusals[service]
 	if r == nil {
 		r = new(refusals)
-		o.refusing[service] = r
+		o.refusals[service] = r
 	}
 	counts, due := r.count(o.now(), admitted)
 	reading, known := router.ServiceState{}, false
@@ -262,5 +286,5 @@
 	}
 }
 
-// Wait returns once no try is under way. Tries may outlast the requests that they are of, but not their time.
-func (o *Outbound) Wait() { o.strays.Wait() }
+// Wait returns once no attempt is in flight. Attempts may outlast their requests, but not their deadlines.
+func (o *Outbound) Wait() { o.lateAttempts.Wait() }
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -110,7 +110,7 @@
 		if c.promise {
 			resp.Headers = append(resp.Headers, http1.Header{Name: "Not-Executed", Value: "1"})
 		}
-		if out := judge(&wire.ForwardRequest{Attempt: "a"}, resp, nil, c.used); out.Result != c.want {
+		if out := checkResponse(&wire.ForwardRequest{Attempt: "a"}, resp, nil, c.used); out.Result != c.want {
 			t.Errorf("%+v: %v", c, out.Result)
 		}
 	}
@@ -247,7 +247,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.clients.Stop()
-	b.clients.Cut()
+	b.clients.CloseAll()
 	r := bufio.NewReader(nc)
 	for i, want := range []int{504, 200} {
 		resp, err := http.ReadResponse(r, nil)
--- a/internal/dataplane/proxy/pressure.go
+++ b/internal/dataplane/proxy/refusal_log.go
@@ -12,15 +12,15 @@
 
 // refusals sums up what was refused for one service, so that a log says why without a line for each request.
 type refusals struct {
-	since  time.Duration
-	gates  int // requests that its gate, or that of a service behind it, did not admit
-	noRoom int // requests that were admitted and found no server with room
+	since      time.Duration
+	gates      int // requests that its gate, or that of a service behind it, did not admit
+	noCapacity int // requests that were admitted and found no server with room
 }
 
 // count books a refusal, and returns the counts where they are to be logged now.
 func (r *refusals) count(now time.Duration, admitted bool) (counts refusals, due bool) {
 	if admitted {
-		r.noRoom++
+		r.noCapacity++
 	} else {
 		r.gates++
 	}
@@ -34,20 +34,20 @@
 
 // log writes what the node knows of the service.
 func (r refusals) log(log *slog.Logger, now router.ServiceState) {
-	log.Info("admission.rejecting", "service", now.Service, "gates", r.gates, "no_capacity", r.noRoom,
+	log.Info("admission.rejecting", "service", now.Service, "gates", r.gates, "no_capacity", r.noCapacity,
 		"normalized_latency", now.NormalizedLatency, "pressure", now.Pressure, "servers", now.Servers, "probabilities", now.Probabilities)
 }
 
 // serverLoad sums up how busy a server beside the node was between two records of requests that it had no room for.
 type serverLoad struct {
-	since      time.Duration
-	busy       time.Duration // time of its runs, added up
-	turnedAway int
+	since    time.Duration
+	busy     time.Duration // time of its runs, added up
+	rejected int
 }
 
-// turnAway books a request without room, and returns the sums where they are to be logged now.
-func (l *serverLoad) turnAway(now time.Duration) (sums serverLoad, due bool) {
-	l.turnedAway++
+// countRejection books a request without room, and returns the sums where they are to be logged now.
+func (l *serverLoad) countRejection(now time.Duration) (sums serverLoad, due bool) {
+	l.rejected++
 	if now-l.since < pressureEvery {
 		return sums, false
 	}
@@ -59,5 +59,5 @@
 // log writes how much of its slots' time the server was busy; over 1 is rounding.
 func (l serverLoad) log(log *slog.Logger, now time.Duration, member string, slots int) {
 	utilization := l.busy.Seconds() / ((now - l.since).Seconds() * float64(max(1, slots)))
-	log.Info("server.saturated", "member", member, "slots", slots, "utilization", utilization, "rejected", l.turnedAway)
+	log.Info("server.saturated", "member", member, "slots", slots, "utilization", utilization, "rejected", l.rejected)
 }
--- a/internal/dataplane/proxy/appconn.go
+++ b/internal/dataplane/proxy/server_conn.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	idleUsual  = 9 * time.Second        // a server keeps an idle connection for at least this
-	idleMargin = 400 * time.Millisecond // before the server's own time is over a connection is given up
+	defaultIdleTimeout = 9 * time.Second        // a server keeps an idle connection for at least this
+	idleMargin         = 400 * time.Millisecond // before the server's own time is over a connection is given up
 
 	maxSurplus = 4 // answers to other requests that are passed over before one gives up
 )
 
-// appConn is a connection to the server of this machine. It carries one request
+// serverConn is a connection to the server of this machine. It carries one request
 // at a time.
-type appConn struct {
+type serverConn struct {
 	nc    net.Conn
 	r     *bufio.Reader
 	look  *sock.Inspector
@@ -37,7 +37,7 @@
 }
 
 // connect returns the idle connection that was used last, or a new one.
-func (a *app) connect(ctx context.Context, until time.Time) (*appConn, error) {
+func (a *serverPool) connect(ctx context.Context, until time.Time) (*serverConn, error) {
 	now := time.Now()
 	var address string
 	for {
@@ -56,7 +56,7 @@
 		}
 		c.nc.Close()
 	}
-	dialer := net.Dialer{Timeout: min(dialServer, time.Until(until)), KeepAlive: -1}
+	dialer := net.Dialer{Timeout: min(dialTimeout, time.Until(until)), KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -66,14 +66,14 @@
 		nc.Close()
 		return nil, err
 	}
-	return &appConn{
-		nc: nc, r: bufio.NewReaderSize(nc, 4<<10), look: sock.NewInspector(raw), idle: idleUsual,
+	return &serverConn{
+		nc: nc, r: bufio.NewReaderSize(nc, 4<<10), look: sock.NewInspector(raw), idle: defaultIdleTimeout,
 		interrupt: func() { nc.SetDeadline(time.Unix(1, 0)) },
 	}, nil
 }
 
 // keep puts a connection back.
-func (a *app) keep(c *appConn) {
+func (a *serverPool) keep(c *serverConn) {
 	c.nc.SetDeadline(time.Time{}) // once past, it would fail the look that connect takes
 	c.until = time.Now().Add(c.idle)
 	c.used = true
@@ -88,7 +88,7 @@
 
 // read reads a whole answer, its head into resp. One to another request may be a surplus one in front of the right one, which is worth
 // waiting for: a request that may run once has no other chance. The connection is not used again.
-func (c *appConn) read(method, attempt string) (body []byte, err error) {
+func (c *serverConn) read(method, attempt string) (body []byte, err error) {
 	limits := http1.Limits{Head: serverHead, Body: serverBody}
 	for n := 0; ; n++ {
 		if err := c.resp.Read(c.r, method, limits); err != nil {
@@ -107,7 +107,7 @@
 }
 
 // answered notes for how long the server keeps the connection.
-func (c *appConn) answered() {
+func (c *serverConn) answered() {
 	for part := range strings.SplitSeq(c.resp.Headers.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if n, err := strconv.Atoi(value); strings.EqualFold(name, "timeout") && err == nil && n >= 0 {
--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/data.go
@@ -36,7 +36,7 @@
 	gossip   *gossip.Gossip
 	hub      *relay.Hub
 	follower *relay.Follower
-	front    *proxy.Front
+	front    *proxy.Listener
 	outbound *proxy.Outbound
 	inbound  *proxy.Inbound
 	began    time.Time
@@ -128,7 +128,7 @@
 	if set.Metrics != "" {
 		n.outbound.Metrics = n.newMetrics()
 	}
-	n.front = &proxy.Front{
+	n.front = &proxy.Listener{
 		Handle: n.outbound.Handle, Bounds: n.outbound.Bounds, Memory: int64(set.MemoryMB) << 20 / 4, Log: log,
 	}
 	return n, nil
@@ -173,5 +173,5 @@
 		}
 	}
 	n.shares.Slack, n.shares.Window = n.set.Load().Bounds.RetrySlack, n.set.Load().Bounds.RetryWindow
-	n.outbound.Share(n.shares.Share(time.Since(n.began), nodes))
+	n.outbound.SetRetrySlack(n.shares.Share(time.Since(n.began), nodes))
 }
--- a/internal/dataplane/sidecar/look.go
+++ b/internal/dataplane/sidecar/look.go
@@ -15,7 +15,7 @@
 		Node: set.Node, Zone: set.Zone, Served: served, Refused: refused, Failed: failed, Pending: uint32(n.front.Pending()),
 		UpdateIndex: n.hub.Index(), UpdateAgeMs: uint32(min(n.follower.Age(), time.Hour).Milliseconds()), UpMs: uint32(time.Since(n.began).Milliseconds()),
 	}
-	for _, r := range n.outbound.Readings(n.outbound.Priorities()) {
+	for _, r := range n.outbound.ServiceStates(n.outbound.Priorities()) {
 		l.Services = append(l.Services, &wire.ServiceStatus{Service: r.Service, NormalizedLatency: r.NormalizedLatency, AdmissionProbabilities: r.Probabilities, RetryBudgetLeft: r.RetryBudgetLeft})
 	}
 	unhealthy := n.inbound.Unhealthy()
--- a/internal/dataplane/sidecar/shutdown.go
+++ b/internal/dataplane/sidecar/shutdown.go
@@ -25,7 +25,7 @@
 func (n *Node) shutDown() {
 	began := time.Now()
 	n.shuttingDown.Store(true)
-	n.front.Leave()
+	n.front.BeginShutdown()
 	n.log.Info("sidecar.shutting_down")
 	grace := n.set.Load().Bounds.Grace
 	idle := func() bool { return n.front.Pending() == 0 && n.inbound.Busy() == 0 }
@@ -43,7 +43,7 @@
 	for time.Since(began) < grace-leaveMargin-cancelBefore && !idle() {
 		time.Sleep(20 * time.Millisecond)
 	}
-	n.front.Cut()
+	n.front.CloseAll()
 	for time.Since(began) < grace-leaveMargin && n.front.Pending() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
