--- a/internal/dataplane/sidecar/data.go
+++ b/internal/dataplane/sidecar/node.go
@@ -1,6 +1,3 @@
-// Package data is the program of the sidecar machines: it carries the requests
-// that begin there, stands beside the machine's server, and is one of the
-// relays of the updates.
 package sidecar
 
 import (
