--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -145,7 +145,7 @@
 		classes:  map[string]int{},
 		tenants:  map[string]int{},
 	}
-	for i, c := range b.Info.Categories {
+	for i, c := range b.Info.Classes {
 		n.classes[c.Name] = i
 	}
 	for i, t := range b.Info.Tenants {
--- a/internal/balancer/node/config.go
+++ b/internal/balancer/node/config.go
@@ -88,7 +88,7 @@
 		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Seed: seed.Sum64(),
 		MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Settings: set,
 	}
-	for _, class := range raw.Settings.Categories {
+	for _, class := range raw.Settings.Classes {
 		c.Classes = append(c.Classes, class.Name)
 	}
 	for _, tenant := range raw.Settings.Tenants {
