--- a/internal/balancer/node/discovery_test.go
+++ b/internal/balancer/node/discovery_test.go
@@ -53,7 +53,7 @@
 			d := newDiscoveryService(t)
 			n := startNode(t, testConfig(t, d.Listener.Addr().String(), listOf(1, true, s.addr()), 1024))
 			d.tell(t, list)
-			waitFor(t, "the module asks again", func() bool { return d.calls() == 2 })
+			waitFor(t, "the policy asks again", func() bool { return d.calls() == 2 })
 			if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 				t.Errorf("after %q: answered %s %q", list, resp.Status, body)
 			}
@@ -70,12 +70,12 @@
 	d := newDiscoveryService(t)
 	reports := make(chan *list, 10)
 	watch := newDiscovery(d.Listener.Addr().String(), quiet(), func(l *list) { reports <- l })
-	if watch.late >= 2*time.Second {
-		t.Errorf("a silent watch is given up %s after its wait, when its news count as told", watch.late)
+	if watch.watchGrace >= 2*time.Second {
+		t.Errorf("a silent watch is given up %s after its wait, when its news count as told", watch.watchGrace)
 	}
-	watch.long, watch.late = 50*time.Millisecond, 50*time.Millisecond
+	watch.watchWait, watch.watchGrace = 50*time.Millisecond, 50*time.Millisecond
 	since := uint64(3)
-	on, from := watch.watchOnce(t.Context(), &since)
+	on, from := watch.watchCall(t.Context(), &since)
 	if on || *from != 3 {
 		t.Errorf("the watch goes on: %v, from %d", on, *from)
 	}
@@ -94,7 +94,7 @@
 			n := startNode(t, testConfig(t, from.Listener.Addr().String(), listOf(41, true, s.addr()), 1024))
 			waitFor(t, "the watch begins", func() bool { return from.calls() == 1 })
 			if down {
-				from.tell(t, "") // a call that fails; the module waits before the next
+				from.tell(t, "") // a call that fails; the policy waits before the next
 			}
 			c := *n.config
 			c.Discovery = to.Listener.Addr().String()
@@ -146,7 +146,7 @@
 	}
 }
 
-// Between the module's decision and the first byte a server may have drained and
+// Between the policy's decision and the first byte a server may have drained and
 // a request may be over. The code looks again before it writes.
 func TestLooksAgainBeforeItWrites(t *testing.T) {
 	s := newServer(t, say("fine"))
--- a/internal/balancer/node/limits_test.go
+++ b/internal/balancer/node/limits_test.go
@@ -14,7 +14,7 @@
 
 // Who is refused for want of room must be told when to come back, where the
 // settings allow it.
-func TestMostHeld(t *testing.T) {
+func TestMaxPendingRequests(t *testing.T) {
 	s := newServer(t, hang)
 	c := testConfig(t, deadAddress(t), listOf(1, true, s.addr()), 1024)
 	c.Settings.MaxPendingRequests = 1
@@ -25,7 +25,7 @@
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") != "1.000" {
 		t.Errorf("answered %s, %q", resp.Status, resp.Header)
 	}
-	if a := noRoom(&decide.Settings{MaxRetryAfter: time.Second}); a.retryAfter != 0 {
+	if a := refuseSaturated(&decide.Settings{MaxRetryAfter: time.Second}); a.retryAfter != 0 {
 		t.Errorf("advised %s where that is not allowed", a.retryAfter)
 	}
 }
@@ -34,7 +34,7 @@
 // node's other clients, for longer than its class's clients wait.
 func TestNoLongerThanTheClass(t *testing.T) {
 	clock := newClock()
-	c := newCallers(testConfig(t, deadAddress(t), "null", 1024), clock, nil, nil, quiet())
+	f := newFrontend(testConfig(t, deadAddress(t), "null", 1024), clock, nil, nil, quiet())
 	for claimed, want := range map[string]time.Duration{
 		"15000": 15 * time.Second, "500000": 30 * time.Second, // the class's deadline
 	} {
@@ -43,9 +43,9 @@
 			r.Header.Set(name, value)
 		}
 		now := clock.now()
-		p, _, why := c.parse(httptest.NewRecorder(), r, &clientConn{}, now)
-		if p == nil || p.deadline != now+want {
-			t.Errorf("of %s ms claimed: %+v, %s; want %s", claimed, p, why, want)
+		p, failure := f.parse(httptest.NewRecorder(), r, &clientConn{}, now)
+		if failure != nil || p.deadline != now+want {
+			t.Errorf("of %s ms claimed: %+v, %v; want %s", claimed, p, failure, want)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 func TestSocketBudget(t *testing.T) {
 	s := newServer(t, say("fine"))
 	n := startNode(t, testConfig(t, deadAddress(t), listOf(1, true, s.addr()), minSockets))
-	most := int(n.callers.sockets.most)
+	most := int(n.frontend.sockets.budget)
 	first := dialRaw(t, n)
 	first.send(t, rawLook)
 	if resp := first.receive(t); resp.StatusCode != 200 {
@@ -74,7 +74,7 @@
 	for _, c := range conns[1:] {
 		c.Close()
 	}
-	waitFor(t, "their places are free", func() bool { return n.callers.sockets.open.Load() == 1 })
+	waitFor(t, "their places are free", func() bool { return n.frontend.sockets.open.Load() == 1 })
 	first.send(t, rawLook)
 	if resp := first.receive(t); resp.StatusCode != 200 {
 		t.Errorf("with room again: %s", resp.Status)
@@ -102,48 +102,48 @@
 		t.Fatalf("answered %s", resp.Status)
 	}
 	idle := func() int {
-		n.callers.mu.Lock()
-		defer n.callers.mu.Unlock()
-		return n.callers.idle.Len()
+		n.frontend.mu.Lock()
+		defer n.frontend.mu.Unlock()
+		return n.frontend.idle.Len()
 	}
 	waitFor(t, "both idle", func() bool { return idle() == 2 })
-	n.callers.mu.Lock()
-	first := n.callers.idle.Front().Value.(*clientConn).idleSince
-	last := n.callers.idle.Back().Value.(*clientConn).idleSince
-	n.callers.mu.Unlock()
-	if n.callers.relieve(first + minIdle - 1) {
+	n.frontend.mu.Lock()
+	first := n.frontend.idle.Front().Value.(*clientConn).idleSince
+	last := n.frontend.idle.Back().Value.(*clientConn).idleSince
+	n.frontend.mu.Unlock()
+	if n.frontend.evictIdle(first + minIdleBeforeEviction - 1) {
 		t.Error("a connection was closed before its two seconds")
 	}
 	for i, c := range []*rawConn{silent, asked} {
-		if !n.callers.relieve(last + minIdle) {
+		if !n.frontend.evictIdle(last + minIdleBeforeEviction) {
 			t.Errorf("connection %d was kept", i)
 		}
 		if rest, err := io.ReadAll(c.reader); err != nil || len(rest) > 0 {
 			t.Errorf("connection %d: %q, %v", i, rest, err)
 		}
 	}
-	if n.callers.relieve(last + time.Hour) {
+	if n.frontend.evictIdle(last + time.Hour) {
 		t.Error("the connection with a request was closed")
 	}
 	close(release)
 	if resp := busy.receive(t); resp.StatusCode != 200 {
 		t.Errorf("the request was answered %s", resp.Status)
 	}
-	if open := n.callers.sockets.open.Load(); open > 3 { // the client's and two to the server
+	if open := n.frontend.sockets.open.Load(); open > 3 { // the client's and two to the server
 		t.Errorf("%d connections are booked", open)
 	}
 
-	most := int(n.callers.sockets.most)
+	most := int(n.frontend.sockets.budget)
 	for range most { // the last take the places of the two idle ones
 		dialRaw(t, n)
 	}
-	full := func() bool { return n.callers.sockets.open.Load() >= int64(most) && idle() >= most-1 }
+	full := func() bool { return n.frontend.sockets.open.Load() >= int64(most) && idle() >= most-1 }
 	waitFor(t, "silent connections fill the budget", full)
-	n.callers.mu.Lock()
-	for e := n.callers.idle.Front(); e != nil; e = e.Next() {
+	n.frontend.mu.Lock()
+	for e := n.frontend.idle.Front(); e != nil; e = e.Next() {
 		e.Value.(*clientConn).idleSince -= time.Minute
 	}
-	n.callers.mu.Unlock()
+	n.frontend.mu.Unlock()
 	late := dialRaw(t, n)
 	late.send(t, rawLook)
 	if resp := late.receive(t); resp.StatusCode != 200 {
--- a/internal/balancer/node/node.go
+++ b/internal/balancer/node/node.go
@@ -1,6 +1,7 @@
-// Package node puts the decisions of package decide on real sockets: it takes
-// requests from clients, makes attempts at servers, follows discovery, and
-// leaves every choice to the module.
+// Package node is the load-balancing node: the I/O driver of the policy in package
+// decide. A frontend takes requests from clients, an upstream sends attempts to
+// servers, a discovery client follows the list of servers, and one loop owns the
+// policy, passes events to it and executes the actions that it returns.
 package node
 
 import (
@@ -15,23 +16,23 @@
 )
 
 const (
-	// After the word to end, new connections go on coming for up to 0.4 s.
-	newcomersFor = 600 * time.Millisecond
-	quietFor     = 200 * time.Millisecond
-	// The kill comes no sooner than the longest deadline, of which this is the
-	// most, and 0.7 s more.
-	longestWait = 3 * time.Second
-	lastMargin  = 300 * time.Millisecond
+	// Clients may open connections for 0.4 s after the shutdown was requested.
+	lateConnWindow = 600 * time.Millisecond
+	quietPeriod    = 200 * time.Millisecond
+	// The process is killed no sooner than 0.7 s after the longest deadline, of which
+	// this is the maximum.
+	maxDrainWait   = 3 * time.Second
+	shutdownMargin = 300 * time.Millisecond
 )
 
-// Node is one real node.
+// Node is a load-balancing node.
 type Node struct {
 	config   *Config
 	log      *slog.Logger
 	clock    clock
 	upstream *upstream
 	loop     *loop
-	callers  *callers
+	frontend *frontend
 	listener *net.TCPListener
 	stop     context.CancelFunc // ends the loop, its attempts and discovery
 }
@@ -44,9 +45,9 @@
 	inner, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	n.loop = newLoop(inner, c, n.clock, n.upstream, log)
-	n.loop.discovery = newDiscovery(c.Discovery, log, func(l *list) { n.loop.post(listed{l}) })
-	n.callers = newCallers(c, n.clock, n.loop, sockets, log)
-	sockets.relieve = func() bool { return n.callers.relieve(n.clock.now()) || n.upstream.relieve() }
+	n.loop.discovery = newDiscovery(c.Discovery, log, func(l *list) { n.loop.post(listReceived{l}) })
+	n.frontend = newFrontend(c, n.clock, n.loop, sockets, log)
+	sockets.evict = func() bool { return n.frontend.evictIdle(n.clock.now()) || n.upstream.evictOldest() }
 	address, err := net.ResolveTCPAddr("tcp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
@@ -60,11 +61,12 @@
 // Address is where clients connect.
 func (n *Node) Address() net.Addr { return n.listener.Addr() }
 
-// Reload takes over what a new configuration may change while the node runs:
-// the address of discovery.
-func (n *Node) Reload(c *Config) { n.loop.discovery.move(c.Discovery) }
+// Reload applies what a new configuration may change while the node runs: the
+// address of discovery.
+func (n *Node) Reload(c *Config) { n.loop.discovery.setAddress(c.Discovery) }
 
-// Run serves until the context ends, and then until what has come is answered.
+// Run serves until the context ends, and then until the requests that have come are
+// answered.
 func (n *Node) Run(ctx context.Context) error {
 	inner := n.loop.ctx
 	var parts sync.WaitGroup
@@ -80,50 +82,50 @@
 
 	broke := make(chan error, 1)
 	parts.Go(func() {
-		broke <- n.callers.server.Serve(&listener{n.listener, n.callers})
+		broke <- n.frontend.server.Serve(&listener{n.listener, n.frontend})
 	})
 	select {
 	case err := <-broke:
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
-	err := n.leave()
+	err := n.shutdown()
 	n.upstream.sweep(true)
 	return err
 }
 
-// leave ends the service in order. Closing the listener at once would reset the
-// connections that wait in its backlog.
-func (n *Node) leave() error {
+// shutdown stops the service gracefully. It does not close the listener at once: that
+// would reset the connections in its backlog.
+func (n *Node) shutdown() error {
 	begun := n.clock.now()
 	n.log.Info("ending")
-	n.callers.leaving.Store(true)
+	n.frontend.draining.Store(true)
 	longest := time.Duration(0)
 	for _, c := range n.config.Settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	last := begun + min(longest, longestWait) + lastMargin
+	last := begun + min(longest, maxDrainWait) + shutdownMargin
 	for {
 		now := n.clock.now()
-		quietAt := max(begun+newcomersFor, time.Duration(n.callers.accepted.Load())+quietFor)
+		quietAt := max(begun+lateConnWindow, time.Duration(n.frontend.lastAccepted.Load())+quietPeriod)
 		if now >= min(quietAt, last) {
 			break
 		}
 		time.Sleep(min(quietAt, last) - now)
 	}
-	// Idle connections close now, and those in use with their answer.
+	// Shutdown closes idle connections now, and those in use after their answer.
 	ctx, cancel := context.WithTimeout(context.Background(), last-n.clock.now())
 	defer cancel()
-	err := n.callers.server.Shutdown(ctx)
+	err := n.frontend.server.Shutdown(ctx)
 	if !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
-	// What is left has no time: it gets its answer from the loop, and a moment to leave.
-	n.loop.post(closing{})
-	ctx, cancel = context.WithTimeout(context.Background(), lastMargin/2)
+	// The loop fails the requests that are left; their answers get a moment to be sent.
+	n.loop.post(shutdownStarted{})
+	ctx, cancel = context.WithTimeout(context.Background(), shutdownMargin/2)
 	defer cancel()
-	if err := n.callers.server.Shutdown(ctx); err != nil {
-		n.callers.server.Close()
+	if err := n.frontend.server.Shutdown(ctx); err != nil {
+		n.frontend.server.Close()
 		if !errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, http.ErrServerClosed) {
 			return fmt.Errorf("ending: %w", err)
 		}
--- a/internal/balancer/node/node_test.go
+++ b/internal/balancer/node/node_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Each outcome of the protocol's table must reach the module as what it is: what
+// Each outcome of the protocol's table must reach the policy as what it is: what
 // proves that nothing ran leads to another attempt even for an unsafe class, and
 // nothing else does. A 503 that does not say so proves nothing.
 func TestOutcomes(t *testing.T) {
@@ -130,7 +130,7 @@
 				first = bad.addr()
 			}
 			n := startNode(t, testConfig(t, deadAddress(t), listOf(1, true, first, good.addr()), 1024))
-			// Which of the two is asked first is the module's choice: ask until the first one was.
+			// Which of the two is asked first is the policy's choice: ask until the first one was.
 			for range 40 {
 				resp, body := exchange(t, request(t, n.url, "/act/1", "x"))
 				asked := bad != nil && bad.seen() > 0
@@ -207,7 +207,7 @@
 }
 
 // Connections are used again, the last used first, and only after a whole
-// answer: the module counts on it, and each new one costs its server work.
+// answer: the policy counts on it, and each new one costs its server work.
 func TestConnectionsAreReused(t *testing.T) {
 	s := newServer(t, say("fine"))
 	n := withServers(t, s)
@@ -336,7 +336,7 @@
 	if err := <-n.ended; err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if len(n.loop.pending) != 0 || n.callers.sockets.open.Load() != 0 {
-		t.Errorf("left over: %d requests, %d sockets", len(n.loop.pending), n.callers.sockets.open.Load())
+	if len(n.loop.pending) != 0 || n.frontend.sockets.open.Load() != 0 {
+		t.Errorf("left over: %d requests, %d sockets", len(n.loop.pending), n.frontend.sockets.open.Load())
 	}
 }
--- /dev/null
+++ b/internal/balancer/node/request.go
@@ -0,0 +1,160 @@
+package node
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"ivydeck/decide"
+)
+
+// Headers of a request; see the protocol's page.
+const (
+	classHeader          = "X-Lane"
+	transactionHeader    = "X-Txn"
+	remainingHeader      = "X-Remaining-Ms"
+	retryHeader          = "X-Resent"   // "1": the client has sent the request before
+	tenantHeader         = "X-Org"      // optional
+	workHeader           = "X-Estimate" // in microseconds; optional
+	idempotencyKeyHeader = "Idempotency-Key"
+)
+
+// requestError is why a request is malformed. Its status is never that of a
+// refusal: sending such a request again is of no use.
+type requestError struct {
+	status int
+	reason string
+}
+
+func (e *requestError) Error() string { return e.reason }
+
+func badRequest(reason string) *requestError {
+	return &requestError{status: http.StatusBadRequest, reason: reason}
+}
+
+// parse reads a request with its body.
+func (f *frontend) parse(w http.ResponseWriter, r *http.Request, conn *clientConn, now time.Duration) (*pending, *requestError) {
+	class, failure := f.parseClass(r)
+	if failure != nil {
+		return nil, failure
+	}
+	wait, failure := f.parseWait(r, class)
+	if failure != nil {
+		return nil, failure
+	}
+	p := &pending{
+		answer:   make(chan answer, 1),
+		deadline: now + wait,
+		request:  decide.Request{Class: class, Tenant: -1, ClientRetry: r.Header.Get(retryHeader) == "1"},
+	}
+	if tenant, ok := f.tenants[r.Header.Get(tenantHeader)]; ok {
+		p.request.Tenant = tenant
+	}
+	if p.request.Work, failure = parseWork(r); failure != nil {
+		return nil, failure
+	}
+	p.call = &call{
+		method: r.Method,
+		uri:    r.RequestURI,
+		host:   r.Host,
+		txn:    r.Header.Get(transactionHeader),
+		key:    r.Header.Get(idempotencyKeyHeader),
+		kind:   r.Header.Get("Content-Type"),
+	}
+	if !strings.HasPrefix(p.call.uri, "/") || strings.HasPrefix(p.call.uri, "//") {
+		return nil, badRequest("the target is no path")
+	}
+	if failure = f.readBody(w, r, conn, p, now); failure != nil {
+		return nil, failure
+	}
+	conn.carriedRequest = true
+	return p, nil
+}
+
+// parseClass returns the class of a request, and checks that the headers which name
+// it are there once, and that its method suits the class.
+func (f *frontend) parseClass(r *http.Request) (int, *requestError) {
+	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	class, ok := f.classes[first]
+	if !ok {
+		return 0, &requestError{http.StatusNotFound, "no such class of requests"}
+	}
+	if !r.ProtoAtLeast(1, 1) { // net/http does not report a transfer coding of HTTP/1.0
+		return 0, badRequest("not HTTP/1.1")
+	}
+	// Of a header that is there twice, a server may read the other one.
+	for _, name := range []string{classHeader, transactionHeader, remainingHeader} {
+		if len(r.Header[name]) != 1 {
+			return 0, badRequest("not one " + name)
+		}
+	}
+	if r.Header.Get(classHeader) != first {
+		return 0, badRequest("X-Lane and the path differ")
+	}
+	switch effect := f.effects[class]; {
+	case effect == decide.Idempotent && r.Method != http.MethodGet,
+		effect != decide.Idempotent && r.Method != http.MethodPost:
+		return 0, &requestError{http.StatusMethodNotAllowed, "the class does not go with the method"}
+	case effect == decide.Keyed && r.Header.Get(idempotencyKeyHeader) == "":
+		return 0, badRequest("the class needs an Idempotency-Key")
+	}
+	if r.Header.Get(transactionHeader) == "" {
+		return 0, badRequest("no X-Txn")
+	}
+	return class, nil
+}
+
+// parseWait returns how long the client waits for its answer.
+func (f *frontend) parseWait(r *http.Request, class int) (time.Duration, *requestError) {
+	ms, err := strconv.ParseInt(r.Header.Get(remainingHeader), 10, 64)
+	if err != nil || ms < 0 || ms > maxRemaining.Milliseconds() {
+		return 0, badRequest("X-Remaining-Ms is missing or odd")
+	}
+	wait := time.Duration(ms) * time.Millisecond
+	if deadline := f.deadlines[class]; deadline > 0 {
+		wait = min(wait, deadline) // no client of the class waits longer
+	}
+	return wait, nil
+}
+
+// parseWork returns the work of a request as its client estimates it; 0: unknown.
+func parseWork(r *http.Request) (time.Duration, *requestError) {
+	text := r.Header.Get(workHeader)
+	if text == "" {
+		return 0, nil
+	}
+	us, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || us < 0 || us > maxRemaining.Microseconds() {
+		return 0, badRequest("X-Estimate is odd")
+	}
+	return time.Duration(us) * time.Microsecond, nil
+}
+
+// readBody reads the body of a request, whose deadline counts from its last byte.
+// The body must be here before the client's time is up, of which anyone may claim
+// a lot, and before the connection's own limit.
+func (f *frontend) readBody(w http.ResponseWriter, r *http.Request, conn *clientConn, p *pending, now time.Duration) *requestError {
+	if r.Body == http.NoBody {
+		return nil
+	}
+	if f.effects[p.request.Class] == decide.Idempotent {
+		return badRequest("the class takes no body")
+	}
+	control := http.NewResponseController(w)
+	control.SetReadDeadline(f.clock.wall(min(p.deadline, conn.bodyDeadline(now))))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return &requestError{http.StatusRequestEntityTooLarge, "the body is too large"}
+	}
+	if err != nil {
+		return badRequest("the body did not come")
+	}
+	control.SetReadDeadline(time.Time{})
+	p.call.body = body
+	p.deadline += f.clock.now() - now
+	return nil
+}
--- a/internal/balancer/node/shutdown_test.go
+++ b/internal/balancer/node/shutdown_test.go
@@ -11,16 +11,16 @@
 // A peer without a proper request is owed an error or a close within 3 s of its
 // connecting, whatever time it claims to have.
 func TestUnfinishedRequests(t *testing.T) {
-	if wait := newCallers(testConfig(t, deadAddress(t), "null", 1024), newClock(), nil, nil, quiet()).
+	if wait := newFrontend(testConfig(t, deadAddress(t), "null", 1024), newClock(), nil, nil, quiet()).
 		server.ReadHeaderTimeout; wait <= 0 || wait >= 3*time.Second {
 		t.Errorf("a silent peer is kept for %s", wait)
 	}
 	c := &clientConn{accepted: time.Minute}
-	if until := c.bodyUntil(time.Minute + time.Second); until >= time.Minute+3*time.Second {
+	if until := c.bodyDeadline(time.Minute + time.Second); until >= time.Minute+3*time.Second {
 		t.Errorf("the first body has until %s after it connected", until-time.Minute)
 	}
-	c.asked = true
-	if until := c.bodyUntil(time.Hour); until <= time.Hour {
+	c.carriedRequest = true
+	if until := c.bodyDeadline(time.Hour); until <= time.Hour {
 		t.Errorf("a later body has until %s after its head", until-time.Hour)
 	}
 
@@ -69,7 +69,7 @@
 		t.Fatalf("before the end: %s, close %v", resp.Status, resp.Close)
 	}
 	n.cancel()
-	waitFor(t, "the end has begun", n.callers.leaving.Load)
+	waitFor(t, "the end has begun", n.frontend.draining.Load)
 	late := dialRaw(t, n)
 	late.send(t, rawLook)
 	if resp := late.receive(t); resp.StatusCode != 200 || !resp.Close {
@@ -88,7 +88,7 @@
 }
 
 // What can't be served before the kill must still get its one answer: the loop
-// fails it in the module's place, and calls its attempt off.
+// fails it in the policy's place, and calls its attempt off.
 func TestPlannedEndFailsWhatIsLeft(t *testing.T) {
 	s := newServer(t, hang)
 	n := withServers(t, s)
@@ -110,7 +110,7 @@
 func TestNothingBeginsOnceClosed(t *testing.T) {
 	s := newServer(t, say("fine"))
 	n := withServers(t, s)
-	n.loop.post(closing{})
+	n.loop.post(shutdownStarted{})
 	if resp, _ := exchange(t, request(t, n.url, "/look/1", "")); resp.StatusCode != 502 {
 		t.Errorf("answered %s", resp.Status)
 	}
--- a/internal/balancer/node/sockets.go
+++ b/internal/balancer/node/sockets.go
@@ -7,34 +7,34 @@
 	spareSockets = 32 // for clients over the budget, until they have their refusal
 )
 
-// sockets keeps count of the connections that a node holds, so that accepting
-// one never fails for want of a descriptor.
+// sockets counts the connections of a node against its budget of file descriptors, so
+// that accepting one never fails for want of a descriptor.
 type sockets struct {
-	most    int64
-	open    atomic.Int64
-	relieve func() bool // closes a connection that can be spared, if there is one
+	budget int64
+	open   atomic.Int64
+	evict  func() bool // closes a connection that can be spared, if there is one
 }
 
 func newSockets(limit int) *sockets {
-	return &sockets{most: int64(max(1, limit-ownSockets-spareSockets))}
+	return &sockets{budget: int64(max(1, limit-ownSockets-spareSockets))}
 }
 
-// take books a connection if the budget has room for it.
-func (s *sockets) take() bool {
-	if s.open.Add(1) <= s.most {
+// acquire counts a new connection, unless the budget is spent.
+func (s *sockets) acquire() bool {
+	if s.open.Add(1) <= s.budget {
 		return true
 	}
 	s.open.Add(-1)
 	return false
 }
 
-// force books a connection that is there already.
-func (s *sockets) force() { s.open.Add(1) }
+// acquireOverBudget counts a connection that is open already.
+func (s *sockets) acquireOverBudget() { s.open.Add(1) }
 
-func (s *sockets) give() { s.open.Add(-1) }
+func (s *sockets) release() { s.open.Add(-1) }
 
-// over reports whether more is open than the budget allows.
-func (s *sockets) over() bool { return s.open.Load() > s.most }
+// overBudget reports whether more is open than the budget allows.
+func (s *sockets) overBudget() bool { return s.open.Load() > s.budget }
 
-// full reports whether the spare descriptors are gone too.
-func (s *sockets) full() bool { return s.open.Load() >= s.most+spareSockets }
+// exhausted reports whether the spare descriptors are gone too.
+func (s *sockets) exhausted() bool { return s.open.Load() >= s.budget+spareSockets }
--- a/internal/balancer/node/upstream_test.go
+++ b/internal/balancer/node/upstream_test.go
@@ -43,8 +43,8 @@
 // What is no larger than it may be is read whole, and the next answer after it.
 func TestLargestAnswers(t *testing.T) {
 	node, server := pipeConn(t)
-	pad := "X-Pad: " + strings.Repeat("p", maxHeader-200) + "\r\n"
-	body := strings.Repeat("b", maxBody)
+	pad := "X-Pad: " + strings.Repeat("p", maxHeaderBytes-200) + "\r\n"
+	body := strings.Repeat("b", maxBodyBytes)
 	go func() {
 		for range 3 {
 			fmt.Fprintf(server, "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s",
--- a/internal/balancer/settings/settings_test.go
+++ b/internal/balancer/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"ivydeck/decide"
 )
 
-// What the settings say must reach the module; a word that is not known must be
+// What the settings say must reach the policy; a word that is not known must be
 // an error, not a silent zero that means something else.
 func TestTranslate(t *testing.T) {
 	const text = `{"categories":[{"name":"a","semantics":"by_key","group":"cell","key_ttl_ns":10000000000,
