--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -9,8 +9,8 @@
 	if s.Started == 0 || age >= b.settings.SlowStartDuration {
 		return 1
 	}
-	least := b.settings.SlowStartMinShare
-	return least + (1-least)*max(0, float64(age)/float64(b.settings.SlowStartDuration))
+	minShare := b.settings.SlowStartMinShare
+	return minShare + (1-minShare)*max(0, float64(age)/float64(b.settings.SlowStartDuration))
 }
 
 // withinSlowStart reports whether a server may receive another call, by a token bucket during its slow
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -185,16 +185,16 @@
 	return list
 }
 
-// Sweep takes servers that have been silent for long for gone, and forgets incarnations
+// Sweep terminates servers without a heartbeat for too long, and forgets incarnations
 // that ended. It returns the ids of those that it ended.
 func (s *Registry[T]) Sweep(now time.Duration) (unresponsive []string, v []SlotGrant[T]) {
 	for _, id := range s.ids() {
 		m := s.incarnations[id]
-		silence := now - m.heartbeatAt
-		if m.terminated && silence > forgetAfter {
+		age := now - m.heartbeatAt
+		if m.terminated && age > forgetAfter {
 			delete(s.incarnations, id)
 		}
-		if !m.terminated && silence > maxMissedHeartbeats*s.heartbeat+time.Second && now-m.answered > s.heartbeat {
+		if !m.terminated && age > maxMissedHeartbeats*s.heartbeat+time.Second && now-m.answered > s.heartbeat {
 			unresponsive = append(unresponsive, id)
 			v = append(v, m.end()...)
 			m.unresponsive = true
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -65,7 +65,7 @@
 
 // awaitHedged waits for an attempt in flight, and hedges it with a second one if it takes far longer than its like. It
 // returns the final answer; nil: there is none yet, and no attempt is in flight.
-func (o *Outbound) awaitHedged(client context.Context, c *Call, cluster *ClusterState, r *router.Request, call *rpc.Stream, first attemptResult) (final *Answer) {
+func (o *Outbound) awaitHedged(client context.Context, c *Call, cluster *ClusterState, r *router.Request, call *rpc.Stream, first attemptResult) (answer *Answer) {
 	o.mu.Lock()
 	hedge := r.HedgeDelay()
 	o.mu.Unlock()
@@ -79,16 +79,16 @@
 	firstReady := call.Ready()          // nil: the first has ended
 	var second chan attemptResult       // nil: there is none
 	var cancelSecond context.CancelFunc // calls the second off
-	for final == nil && (firstReady != nil || second != nil) {
+	for answer == nil && (firstReady != nil || second != nil) {
 		firstOver := false // the first's answer, or its time
 		select {
 		case <-firstReady:
 			firstOver = true
 		case t := <-second:
 			second = nil
-			final = o.handleOutcome(c, r, t)
+			answer = o.handleOutcome(c, r, t)
 		case <-client.Done():
-			final = textAnswer(504, calledOffText) // the client has left, and reads no answer
+			answer = textAnswer(504, calledOffText) // the client has left, and reads no answer
 		case <-timer.C:
 			if firstOver = time.Until(deadline) <= 0; !firstOver {
 				timer.Reset(time.Until(deadline))
@@ -106,7 +106,7 @@
 		}
 		if firstOver && firstReady != nil { // it returns at once
 			firstReady = nil
-			final = o.handleOutcome(c, r, o.awaitResponse(context.Background(), c, call, first))
+			answer = o.handleOutcome(c, r, o.awaitResponse(context.Background(), c, call, first))
 		}
 	}
 	left := client.Err() != nil
@@ -119,7 +119,7 @@
 		}
 		o.lateAttempts.Go(func() { o.handleLateOutcome(r, <-second) })
 	}
-	return final
+	return answer
 }
 
 // abandonFirst leaves an attempt behind that is in flight at the final answer. It goes on to its end, as its work would else
@@ -220,11 +220,11 @@
 
 // awaitResponse waits for the response of an attempt.
 func (o *Outbound) awaitResponse(ctx context.Context, c *Call, call *rpc.Stream, t attemptResult) attemptResult {
-	out := new(wire.ForwardResponse)
-	if err := call.Response(out); err != nil {
+	response := new(wire.ForwardResponse)
+	if err := call.Response(response); err != nil {
 		return o.outcomeUnknown(ctx, c, t, err)
 	}
-	t.response, t.result = out, router.Result(out)
+	t.response, t.result = response, router.Result(response)
 	return t
 }
 
--- a/internal/dataplane/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -43,7 +43,7 @@
 	defer f.removeClient(c)
 	defer context.AfterFunc(parent, func() { nc.SetDeadline(time.Now().Add(lingerTimeout)) })()
 	var running sync.WaitGroup
-	places := make(chan struct{}, maxPending)
+	slots := make(chan struct{}, maxPending)
 	turn := make(chan struct{}) // closed once the answer before has been written
 	close(turn)
 	r := bufio.NewReaderSize(nc, 4<<10)
@@ -61,7 +61,7 @@
 			break
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 		}
 		done := make(chan struct{})
@@ -71,7 +71,7 @@
 		running.Add(1)
 		f.workers.Go(func() {
 			defer running.Done()
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			a := f.Handle(c.requests, call)
 			f.release(call.Body)
 			a.Close = a.Close || call.Close
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -17,8 +17,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-func notSent(gone bool, format string, args ...any) *wire.ForwardResponse {
-	return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: gone, Reason: fmt.Sprintf(format, args...)}
+func notSent(terminated bool, format string, args ...any) *wire.ForwardResponse {
+	return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: terminated, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Forward passes a request to the server that it names, or turns it away.
@@ -44,41 +44,41 @@
 
 // admit waits for a slot of the server that a request names. It returns the server, or the outcome of a request that is
 // turned away.
-func (in *Inbound) admit(ctx context.Context, ask localserver.Request, until time.Time) (*serverPool, *wire.ForwardResponse) {
+func (in *Inbound) admit(ctx context.Context, request localserver.Request, until time.Time) (*serverPool, *wire.ForwardResponse) {
 	in.mu.Lock()
 	t := in.spare
 	if in.spare = nil; t == nil {
 		t = new(ticket)
 	}
-	place, why, verdicts := in.admission.Arrive(in.now(), ask, t)
-	if place == localserver.Queue { // the verdict can't come before mu is free again
+	admission, reason, verdicts := in.admission.Arrive(in.now(), request, t)
+	if admission == localserver.Queue { // the verdict can't come before mu is free again
 		t.verdict = make(chan bool, 1)
 	} else {
 		in.spare = t
 	}
 	deliver(verdicts)
-	a := in.apps[ask.Member]
+	a := in.apps[request.Member]
 	var load serverLoad
 	due := false
-	if place == localserver.Full && a != nil {
+	if admission == localserver.Full && a != nil {
 		load, due = a.load.countRejection(in.now())
 	}
 	in.mu.Unlock()
 	if due {
-		load.log(in.Log, in.now(), ask.Member, a.slots)
+		load.log(in.Log, in.now(), request.Member, a.slots)
 	}
-	switch place {
+	switch admission {
 	case localserver.Terminated:
-		return nil, notSent(true, "%s", why)
+		return nil, notSent(true, "%s", reason)
 	case localserver.Hangs:
-		return nil, notSent(false, "%s", why)
+		return nil, notSent(false, "%s", reason)
 	case localserver.Unhealthy:
-		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: why, Unhealthy: true}
+		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: reason, Unhealthy: true}
 	case localserver.Full:
-		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: why, Queued: true}
+		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: reason, Queued: true}
 	case localserver.Queue:
-		if why := in.await(ctx, ask, t, until); why != "" {
-			return nil, notSent(false, "%s", why)
+		if reason := in.await(ctx, request, t, until); reason != "" {
+			return nil, notSent(false, "%s", reason)
 		}
 	}
 	return a, nil
@@ -116,7 +116,7 @@
 const calledOffText = "called off"
 
 // await waits for a slot; it says why there is none.
-func (in *Inbound) await(ctx context.Context, ask localserver.Request, t *ticket, until time.Time) (why string) {
+func (in *Inbound) await(ctx context.Context, request localserver.Request, t *ticket, until time.Time) (reason string) {
 	timer := timerpool.Get(time.Until(until) - minTimeLeft)
 	defer timerpool.Put(timer)
 	select {
@@ -126,23 +126,23 @@
 		}
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		in.admission.Run(in.now(), ask)
+		in.admission.Run(in.now(), request)
 		return ""
 	case <-ctx.Done():
-		why = calledOffText
+		reason = calledOffText
 	case <-timer.C:
-		why = "no slot in time"
+		reason = "no slot in time"
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if !in.admission.Dequeue(ask.Member, t) && <-t.verdict { // the slot came at the same moment
-		deliver(in.admission.Release(in.now(), ask.Member))
+	if !in.admission.Dequeue(request.Member, t) && <-t.verdict { // the slot came at the same moment
+		deliver(in.admission.Release(in.now(), request.Member))
 	}
-	return why
+	return reason
 }
 
 // send makes one attempt at the server. calledOff tells that it ended because its sender no longer wants it.
-func (a *serverPool) send(ctx context.Context, q *wire.ForwardRequest, until time.Time) (out *wire.ForwardResponse, calledOff bool) {
+func (a *serverPool) send(ctx context.Context, q *wire.ForwardRequest, until time.Time) (response *wire.ForwardResponse, cancelled bool) {
 	c, err := a.connect(ctx, until)
 	left := time.Until(until)
 	if left < minTimeLeft || ctx.Err() != nil {
@@ -156,7 +156,7 @@
 	}
 	buf := messages.Get().(*[]byte)
 	message := appendForward((*buf)[:0], q, left)
-	whole := len(message)
+	size := len(message)
 	c.nc.SetDeadline(until)
 	stop := atEnd(ctx, c.interrupt)
 	n, err := c.nc.Write(message)
@@ -164,7 +164,7 @@
 	if err != nil {
 		stop()
 		c.nc.Close()
-		if n < whole {
+		if n < size {
 			// Its end never left, but what a server makes of a part is its own affair.
 			return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "writing: " + err.Error()}, false
 		}
@@ -173,23 +173,23 @@
 	clean := stop()
 	if err != nil {
 		c.nc.Close()
-		out := &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}
+		response := &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}
 		switch {
 		case ctx.Err() != nil:
-			out.Reason, calledOff = calledOffText, true
+			response.Reason, cancelled = calledOffText, true
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			out.Result = wire.ForwardResponse_DEADLINE_EXCEEDED
+			response.Result = wire.ForwardResponse_DEADLINE_EXCEEDED
 		}
-		return out, calledOff
+		return response, cancelled
 	}
-	out = checkResponse(q, &c.resp, body, c.used)
+	response = checkResponse(q, &c.resp, body, c.used)
 	if clean && !c.resp.Close && !c.surplus && c.r.Buffered() == 0 {
 		c.answered()
 		a.keep(c) // nothing of it is ours any more
 	} else {
 		c.nc.Close()
 	}
-	return out, false
+	return response, false
 }
 
 // atEnd has f called at the end of a context, unless the stop that it returns comes before: then that reports true.
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -155,14 +155,14 @@
 	}
 }
 
-// Sweep takes servers that have been silent for long for gone, and closes
+// Sweep terminates servers without a heartbeat for too long, and closes
 // connections that have been idle for long.
 func (in *Inbound) Sweep(now time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	silent, verdicts := in.admission.Sweep(now.Sub(in.began))
+	unresponsive, verdicts := in.admission.Sweep(now.Sub(in.began))
 	deliver(verdicts)
-	for _, id := range silent {
+	for _, id := range unresponsive {
 		in.Log.Warn("server.heartbeat_lost", "member", id)
 		in.removeServer(id)
 		in.Wake()
@@ -189,15 +189,15 @@
 
 // Load is the number of requests at each server here, and of those that wait for
 // it, in the order of Servers.
-func (in *Inbound) Load() (servers []Heartbeat, inflight, waiting []int) {
+func (in *Inbound) Load() (servers []Heartbeat, inflight, queued []int) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	servers = in.admission.Servers()
 	for _, b := range servers {
 		i, w := in.admission.Load(b.ID)
-		inflight, waiting = append(inflight, i), append(waiting, w)
+		inflight, queued = append(inflight, i), append(queued, w)
 	}
-	return servers, inflight, waiting
+	return servers, inflight, queued
 }
 
 // Unhealthy tells, by server here, for the callers of which zones it is out for its failures; see health.
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -91,13 +91,13 @@
 
 // Priorities is how many there are in the configuration.
 func (o *Outbound) Priorities() int {
-	most := 0
+	highest := 0
 	if config := o.cluster().Config; config != nil {
 		for _, r := range config.Routes {
-			most = max(most, r.Priority+1)
+			highest = max(highest, r.Priority+1)
 		}
 	}
-	return min(most, maxPriorities)
+	return min(highest, maxPriorities)
 }
 
 // Pressure is what calls that begin here meet at a service.
--- a/internal/dataplane/sidecar/metrics.go
+++ b/internal/dataplane/sidecar/metrics.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-const shownPriorities = 4 // priorities 0 to 3 have a reading of their own
+const exportedPriorities = 4 // priorities 0 to 3 have a reading of their own
 
 // newMetrics returns the node's metrics: see docs/operations.md. Their names are frozen.
 func (n *Node) newMetrics() *metrics.Set {
@@ -39,7 +39,7 @@
 			})},
 		{Name: "ivydeck_admission_chance", Help: "Of a new graph to be admitted.", Labels: []string{"service", "priority"},
 			Read: readings(func(emit emitter) {
-				for _, s := range n.outbound.ServiceStates(shownPriorities) {
+				for _, s := range n.outbound.ServiceStates(exportedPriorities) {
 					for priority, probability := range s.Probabilities {
 						emit(probability, s.Service, fmt.Sprint(priority))
 					}
--- a/internal/dataplane/sidecar/shutdown.go
+++ b/internal/dataplane/sidecar/shutdown.go
@@ -7,12 +7,12 @@
 
 // Steps of a graceful shutdown, from SIGTERM on or before the end of the platform's grace period.
 const (
-	clientsGoneAfter = 2500 * time.Millisecond // clients have found other nodes after that
-	serverWorkEnd    = 1500 * time.Millisecond // until then the server beside the node has work as ever
-	readsEnd         = 2900 * time.Millisecond // no further request is read after that: a long one could not end in time ...
-	stopMargin       = 1600 * time.Millisecond // ... nor this long before the end, where that comes sooner
-	leaveMargin      = 600 * time.Millisecond  // before the end: the process ends
-	cancelBefore     = 200 * time.Millisecond  // before that requests are called off, so that they have an answer
+	clientsMovedAfter = 2500 * time.Millisecond // clients have found other nodes after that
+	serverWorkEnd     = 1500 * time.Millisecond // until then the server beside the node has work as ever
+	readsEnd          = 2900 * time.Millisecond // no further request is read after that: a long one could not end in time ...
+	stopMargin        = 1600 * time.Millisecond // ... nor this long before the end, where that comes sooner
+	leaveMargin       = 600 * time.Millisecond  // before the end: the process ends
+	cancelBefore      = 200 * time.Millisecond  // before that requests are called off, so that they have an answer
 )
 
 // readingEnds is how long after SIGTERM requests are read. The platform counts on an answer to those that a client sends
@@ -29,7 +29,7 @@
 	n.log.Info("sidecar.shutting_down")
 	grace := n.set.Load().Bounds.Grace
 	idle := func() bool { return n.front.Pending() == 0 && n.inbound.Busy() == 0 }
-	for time.Since(began) < readingEnds(grace) && !(time.Since(began) >= clientsGoneAfter && idle()) {
+	for time.Since(began) < readingEnds(grace) && !(time.Since(began) >= clientsMovedAfter && idle()) {
 		// Clients take two seconds to go elsewhere, in which the server's work may go on. In a roll of many nodes
 		// that is a good part of the capacity.
 		if time.Since(began) >= min(serverWorkEnd, grace/4) && !n.emptying.Swap(true) {
