--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -68,10 +68,10 @@
 		}
 		config, err := node.ReadConfig(path)
 		if err != nil {
-			log.Error("the old configuration is kept", "err", err)
+			log.Error("config.reload_failed", "err", err)
 			continue
 		}
 		n.Reload(config)
-		log.Info("took over the configuration", "discovery", config.Discovery)
+		log.Info("config.reloaded", "discovery", config.Discovery)
 	}
 }
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -147,7 +147,7 @@
 	kept := make(chan bool, 1)
 	go func() { // ends with the program
 		for lines := bufio.NewScanner(log); lines.Scan(); {
-			if strings.Contains(lines.Text(), "the old configuration is kept") {
+			if strings.Contains(lines.Text(), "config.reload_failed") {
 				kept <- true
 			}
 		}
--- a/internal/balancer/node/discovery.go
+++ b/internal/balancer/node/discovery.go
@@ -104,7 +104,7 @@
 			return
 		}
 		if err != nil {
-			d.log.Warn("asking for the list failed", "err", err)
+			d.log.Warn("discovery.fetch_failed", "err", err)
 		}
 		d.onList(l)
 	}
@@ -170,7 +170,7 @@
 		return true, nil
 	}
 	if err != nil {
-		d.log.Warn("the watch failed", "err", err)
+		d.log.Warn("discovery.watch_failed", "err", err)
 		d.onList(nil)
 		return false, since
 	}
--- a/internal/balancer/node/loop.go
+++ b/internal/balancer/node/loop.go
@@ -194,9 +194,9 @@
 		case decide.After:
 			l.after(a.Wait, timer{token: a.Token})
 		case decide.Log:
-			l.log.Info("module", "text", a.Text)
+			l.log.Info("policy.log", "text", a.Text)
 		default:
-			l.log.Warn("the module wants what this node can't do", "action", a.Kind)
+			l.log.Warn("policy.action_unsupported", "action", a.Kind)
 		}
 	}
 	l.actions = actions
@@ -210,7 +210,7 @@
 // send starts an attempt.
 func (l *loop) send(p *pending, a *decide.Action) {
 	if p == nil {
-		l.log.Warn("the module sends for a request that is over", "request", a.Request)
+		l.log.Warn("policy.send_too_late", "request", a.Request)
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
--- a/internal/balancer/node/node.go
+++ b/internal/balancer/node/node.go
@@ -98,7 +98,7 @@
 // would reset the connections in its backlog.
 func (n *Node) shutdown() error {
 	begun := n.clock.now()
-	n.log.Info("ending")
+	n.log.Info("balancer.shutting_down")
 	n.frontend.draining.Store(true)
 	longest := time.Duration(0)
 	for _, c := range n.config.Settings.Classes {
--- a/internal/balancer/node/timers.go
+++ b/internal/balancer/node/timers.go
@@ -30,7 +30,7 @@
 		l.after(sweepInterval, t)
 	case t.overdue != nil:
 		if p := t.overdue; !p.answered {
-			l.log.Warn("a request was overdue", "class", p.request.Class, "attempts", len(p.attempts), "out", p.inFlight)
+			l.log.Warn("request.deadline_exceeded", "class", p.request.Class, "attempts", len(p.attempts), "in_flight", p.inFlight)
 			l.expire(p)
 		}
 	default:
