--- a/cmd/meshlab/main.go
+++ b/cmd/meshlab/main.go
@@ -63,15 +63,15 @@
 		return err
 	}
 	r := lab.Run(w, c.Seed)
-	fmt.Printf("%s, seed %d: worth %.4f of %d requests; %.3f refused, %.4f failed\n", r.Scenario, r.Seed, r.Total.Worth, r.Total.Asked,
-		float64(r.Total.Refused)/float64(max(1, r.Total.Asked)), float64(r.Total.Failed)/float64(max(1, r.Total.Asked)))
+	fmt.Printf("%s, seed %d: worth %.4f of %d requests; %.3f refused, %.4f failed\n", r.Scenario, r.Seed, r.Total.Value, r.Total.Requests,
+		float64(r.Total.Refused)/float64(max(1, r.Total.Requests)), float64(r.Total.Failed)/float64(max(1, r.Total.Requests)))
 	for _, route := range w.Routes {
 		if x, ok := r.Routes[route.Name]; ok {
-			fmt.Printf("  %-16s worth %.4f, p50 %.1f ms, p99 %.1f ms, refused %d, failed %d\n", route.Name, x.Worth, x.P50Ms, x.P99Ms, x.Refused, x.Failed)
+			fmt.Printf("  %-16s worth %.4f, p50 %.1f ms, p99 %.1f ms, refused %d, failed %d\n", route.Name, x.Value, x.P50Ms, x.P99Ms, x.Refused, x.Failed)
 		}
 	}
-	fmt.Printf("  repeats %d, at most %.2f of the shared budget\n", r.Repeats, r.Budget)
-	fmt.Printf("  updates: p50 %.1f ms, p99 %.1f ms, at most %.1f ms, %d deep, %d parents left out of touch\n", r.LagP50Ms, r.LagP99Ms, r.LagMaxMs, r.Depth, r.OutOfTouch)
+	fmt.Printf("  repeats %d, at most %.2f of the shared budget\n", r.Retries, r.RetryBudget)
+	fmt.Printf("  updates: p50 %.1f ms, p99 %.1f ms, at most %.1f ms, %d deep, %d parents left out of touch\n", r.LagP50Ms, r.LagP99Ms, r.LagMaxMs, r.Depth, r.StaleParents)
 	fmt.Printf("  changes: %d acknowledged, p50 %.1f ms, at most %.1f ms; %d elections, %.2f s without a leader; %d entries in the log\n", r.Acks, r.AckP50Ms, r.AckMaxMs, r.Elections, r.LeaderlessS, r.Entries)
 	fmt.Printf("  a node and second: %.1f probes, %.0f bytes of them, %.0f bytes of updates; the busiest machine sends %.0f bytes a second\n",
 		r.ProbesS, r.ProbeBytesS, r.FeedBytesS, r.BusiestBps)
@@ -81,15 +81,15 @@
 			return err
 		}
 	}
-	if len(r.Faults) == 0 {
+	if len(r.Violations) == 0 {
 		return nil
 	}
-	fmt.Println(strings.Join(r.Recent, "\n"))
+	fmt.Println(strings.Join(r.RecentEvents, "\n"))
 	n := 0
 	small := lab.Shrink(w, func(x *lab.Scenario) (float64, bool) {
 		n++
 		r := lab.Run(x, c.Seed)
-		return r.FaultAtS, len(r.Faults) > 0
+		return r.FirstViolationS, len(r.Violations) > 0
 	})
 	text, err := small.Text()
 	if err != nil {
@@ -100,7 +100,7 @@
 		return err
 	}
 	return fmt.Errorf("broken with seed %d: %s (shrunk in %d runs to %.1f s and %d troubles: %s)",
-		c.Seed, strings.Join(r.Faults, "; "), n, small.Seconds, len(small.Troubles), file)
+		c.Seed, strings.Join(r.Violations, "; "), n, small.Seconds, len(small.Faults), file)
 }
 
 type sweepCmd struct {
@@ -131,8 +131,8 @@
 func faults(results []*lab.Result) error {
 	var errs []error
 	for _, r := range results {
-		if len(r.Faults) > 0 {
-			errs = append(errs, fmt.Errorf("%s %s broken with seed %d: %s", r.Scenario, r.Varied, r.Seed, r.Faults[0]))
+		if len(r.Violations) > 0 {
+			errs = append(errs, fmt.Errorf("%s %s broken with seed %d: %s", r.Scenario, r.Varied, r.Seed, r.Violations[0]))
 		}
 	}
 	return errors.Join(errs...)
@@ -161,7 +161,7 @@
 	}
 	results := play(all)
 	fmt.Printf("%-24s", "")
-	for _, f := range lab.Figures {
+	for _, f := range lab.Metrics {
 		fmt.Printf(" %20s", f.Name)
 	}
 	fmt.Println()
@@ -171,7 +171,7 @@
 			name = results[i].Scenario
 		}
 		fmt.Printf("%-24s", name)
-		for _, f := range lab.Figures {
+		for _, f := range lab.Metrics {
 			var x []float64
 			for _, r := range results[i : i+c.Seeds] {
 				x = append(x, f.Of(r))
--- a/internal/simulation/lab/delivery_test.go
+++ b/internal/simulation/lab/delivery_test.go
@@ -13,8 +13,8 @@
 	play := func(routes int, every float64) *Result {
 		w.Operator.Routes, w.Operator.EveryS = routes, every
 		r := Run(w, 1)
-		if len(r.Faults) > 0 || r.LagMaxMs > 1000 {
-			t.Errorf("%d routes, a change each %g s: at most %g ms until it is everywhere, %v", routes, every, r.LagMaxMs, r.Faults)
+		if len(r.Violations) > 0 || r.LagMaxMs > 1000 {
+			t.Errorf("%d routes, a change each %g s: at most %g ms until it is everywhere, %v", routes, every, r.LagMaxMs, r.Violations)
 		}
 		return r
 	}
@@ -25,7 +25,7 @@
 			t.Fatalf("%d routes: %.1f changes a second", routes, changes)
 		}
 		each := (many.FeedBytesS - few.FeedBytesS) / changes
-		crossed := (many.CrossedBps - few.CrossedBps) / changes
+		crossed := (many.CrossZoneBps - few.CrossZoneBps) / changes
 		t.Logf("%d routes: a change costs a node %.0f bytes, and %.0f between zones", routes, each, crossed)
 		if each > 500 || crossed > 4000 {
 			t.Errorf("%d routes: a change costs a node %.0f bytes, and %.0f between zones", routes, each, crossed)
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -33,11 +33,11 @@
 		t.Error("another seed went alike")
 	}
 	for _, r := range []*Result{a, c} {
-		if len(r.Faults) > 0 {
-			t.Errorf("seed %d: %s\n%s", r.Seed, strings.Join(r.Faults, "\n"), strings.Join(r.Recent, "\n"))
+		if len(r.Violations) > 0 {
+			t.Errorf("seed %d: %s\n%s", r.Seed, strings.Join(r.Violations, "\n"), strings.Join(r.RecentEvents, "\n"))
 		}
 		total := r.Total
-		if total.InAim+total.Late+total.Refused+total.Failed < total.Asked*9/10 {
+		if total.OnTime+total.Late+total.Refused+total.Failed < total.Requests*9/10 {
 			t.Errorf("seed %d: %+v does not add up", r.Seed, total)
 		}
 		refused := map[int]int{}
@@ -65,52 +65,52 @@
 	for name, f := range map[string]func(s *sim){
 		"must not run twice": func(s *sim) {
 			q := &request{s: s, route: s.route("order")}
-			(&try{id: "a", req: q}).executed()
-			(&try{id: "b", req: q}).executed()
+			(&attempt{id: "a", request: q}).executed()
+			(&attempt{id: "b", request: q}).executed()
 		},
 		"after a promise": func(s *sim) {
-			x := &try{id: "a", req: &request{s: s, route: s.route("browse")}}
+			x := &attempt{id: "a", request: &request{s: s, route: s.route("browse")}}
 			x.answered(router.Response{Status: 503, RetryAfter: 1})
 			x.executed()
 		},
 		"promised not to have run": func(s *sim) {
-			x := &try{id: "a", req: &request{s: s, route: s.route("browse")}}
+			x := &attempt{id: "a", request: &request{s: s, route: s.route("browse")}}
 			x.executed()
 			x.answered(router.Response{Status: 503, RetryAfter: 1})
 		},
 		"when to come back": func(s *sim) {
-			(&try{id: "a", req: &request{s: s, route: s.route("browse")}}).answered(router.Response{Status: 503})
+			(&attempt{id: "a", request: &request{s: s, route: s.route("browse")}}).answered(router.Response{Status: 503})
 		},
 		"after the acknowledgement of its drain": func(s *sim) {
 			v := s.servers[0]
-			v.acked, v.drainAt = true, s.now-ms(w.DrainMs)-time.Millisecond
-			v.run(&try{id: "a", req: &request{s: s, route: s.route("browse")}}, localserver.Request{Member: v.id, Service: v.kind.Name, Attempt: "a"}, s.now+time.Second, 0, nil)
+			v.drainAcked, v.drainAckedAt = true, s.now-ms(w.DrainMs)-time.Millisecond
+			v.handle(&attempt{id: "a", request: &request{s: s, route: s.route("browse")}}, localserver.Request{Member: v.id, Service: v.kind.Name, Attempt: "a"}, s.now+time.Second, 0, nil)
 		},
 		"was acknowledged": func(s *sim) {
-			s.acked = 99
-			s.atEnd()
+			s.ackedRevision = 99
+			s.checkFinalState()
 		},
 		"is ready without revision 99": func(s *sim) {
 			n := s.nodes[0]
-			n.ready, n.owed = false, 99
+			n.ready, n.mustKnow = false, 99
 			n.startReadiness(n.incarnation)
 			s.run(7 * time.Second)
 		},
 		"shared budget": func(s *sim) {
 			for range 1000 {
-				s.m.repeated(s.now, "shop")
+				s.measurements.requestRetried(s.now, "shop")
 			}
-			s.m.result(s, 1)
+			s.measurements.result(s, 1)
 		},
 	} {
 		s := prepare(w, 1)
 		s.run(5 * time.Second)
-		if len(s.faults) > 0 {
-			t.Fatalf("before anything was broken: %v", s.faults)
+		if len(s.violations) > 0 {
+			t.Fatalf("before anything was broken: %v", s.violations)
 		}
 		f(s)
-		if len(s.faults) == 0 || !strings.Contains(s.faults[0], name) {
-			t.Errorf("%s: %v", name, s.faults)
+		if len(s.violations) == 0 || !strings.Contains(s.violations[0], name) {
+			t.Errorf("%s: %v", name, s.violations)
 		}
 	}
 }
@@ -175,15 +175,15 @@
 		t.Fatal(err)
 	}
 	w.Nodes, w.Services[0].Servers, w.Routes[0].Rate, w.Routes[1].Rate, w.Seconds = 20, 14, 120, 200, 36
-	for _, how := range []string{"error", "reset"} {
-		w.Troubles[0].How = how
+	for _, how := range []GreyMode{GreyError, GreyReset} {
+		w.Faults[0].Mode = how
 		r := Run(w, 1)
-		if len(r.Faults) > 0 {
-			t.Errorf("%s: %s", how, strings.Join(r.Faults, "\n"))
+		if len(r.Violations) > 0 {
+			t.Errorf("%s: %s", how, strings.Join(r.Violations, "\n"))
 		}
 		asked, failed, late := 0, 0, 0
 		for i, s := range r.Seconds[10:34] { // ill ones until 22, then flapping ones
-			asked, failed, late = asked+s.Asked, failed+s.Failed, late+s.Late
+			asked, failed, late = asked+s.Requests, failed+s.Failed, late+s.Late
 			if s.Busy["desk"] < 40 { // of 14 servers' 168 slots, usually 70
 				t.Errorf("%s: in second %d only %.0f slots work", how, 10+i, s.Busy["desk"])
 			}
@@ -201,16 +201,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Nodes, w.Services[0].Servers, w.Seconds, w.Troubles = 1000, 700, 1, nil
+	w.Nodes, w.Services[0].Servers, w.Seconds, w.Faults = 1000, 700, 1, nil
 	w.Routes[0].Rate, w.Routes[1].Rate = 0, 0
 	s := prepare(w, 1)
 	told := uint64(0)
 	for at := 100 * time.Millisecond; at <= sec(w.Seconds); at += 100 * time.Millisecond {
-		told = s.cores[0].catalog.Index()
+		told = s.members[0].catalog.Index()
 		s.run(at)
 		for name, v := range s.views {
-			if v.fed() > relay.MaxChildren {
-				t.Fatalf("after %v %s feeds %d children", at, name, v.fed())
+			if v.liveChildren() > relay.MaxChildren {
+				t.Fatalf("after %v %s feeds %d children", at, name, v.liveChildren())
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 
 func TestIntervals(t *testing.T) {
 	m := Average([]float64{1, 2, 3, 4, 5}) // t of 4 degrees: 2.776; deviation 1.5811
-	if m.Mean != 3 || math.Abs(m.Half-1.963) > 0.001 {
+	if m.Mean != 3 || math.Abs(m.HalfWidth-1.963) > 0.001 {
 		t.Errorf("%v", m)
 	}
 	a, b := &Result{Seed: 1}, &Result{Seed: 2}
@@ -237,8 +237,8 @@
 	w := town(t)
 	small := Shrink(w, func(x *Scenario) (float64, bool) {
 		drained, rate := false, 0.0
-		for _, tr := range x.Troubles {
-			drained = drained || tr.Kind == "drain"
+		for _, tr := range x.Faults {
+			drained = drained || tr.Kind == Drain
 		}
 		for _, r := range x.Routes {
 			if r.Name == "ask" {
@@ -253,10 +253,10 @@
 			rates++
 		}
 	}
-	if small.Seconds != 28 || len(small.Troubles) != 1 || small.Troubles[0].Kind != "drain" || rates != 1 {
-		t.Errorf("%g s, %v, %d routes with clients", small.Seconds, small.Troubles, rates)
+	if small.Seconds != 28 || len(small.Faults) != 1 || small.Faults[0].Kind != Drain || rates != 1 {
+		t.Errorf("%g s, %v, %d routes with clients", small.Seconds, small.Faults, rates)
 	}
-	if len(w.Troubles) < 3 || w.Routes[0].Rate == 0 {
+	if len(w.Faults) < 3 || w.Routes[0].Rate == 0 {
 		t.Error("the world itself was changed")
 	}
 }
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -15,79 +15,79 @@
 )
 
 var (
-	errLost  = errors.New("another entry took its place")
-	errYoung = errors.New("the core has too few members yet")
+	errProposalDropped = errors.New("another entry took its place")
+	errTooFewVoters    = errors.New("the core has too few members yet")
 )
 
 const (
-	upkeepEvery    = 500 * time.Millisecond
-	readinessPause = 100 * time.Millisecond
-	readinessCheck = 20 * time.Millisecond
-	answerMargin   = 15 * time.Millisecond
-	headBytes      = 300 // of a request or an answer without its body
+	upkeepInterval      = 500 * time.Millisecond
+	readinessRetryPause = 100 * time.Millisecond
+	readinessCheck      = 20 * time.Millisecond
+	deadlineMargin      = 15 * time.Millisecond
+	headerBytes         = 300 // of a request or an answer without its body
 )
 
 // node is a sidecar machine.
 type node struct {
 	machine
 	peerView
-	place     relay.ParentCache
-	selector  relay.Selector
-	parent    *child // as the parent has it
-	heardAt   time.Duration
-	freshAt   time.Duration
-	readiness relay.Readiness
-
-	table     *router.Table
-	admission *localserver.Registry[*ticket]
-	shares    budget.Shares
-	server    *server
-	began     time.Duration
-	cluster   router.ClusterStateBuilder
-	listed    catalog.NodeServers
-	members   uint64 // the version of them that the table has been told
-	proposes  bool
-	ready     bool   // it takes clients: its state is as new as what had been acknowledged when it started
-	owed      uint64 // the revision that had been
+	parents    relay.ParentCache
+	selector   relay.Selector
+	parent     *child // as the parent has it
+	receivedAt time.Duration
+	freshAt    time.Duration
+	readiness  relay.Readiness
+
+	table          *router.Table
+	admission      *localserver.Registry[*ticket]
+	shares         budget.Shares
+	server         *server
+	startedAt      time.Duration
+	cluster        router.ClusterStateBuilder
+	registered     catalog.NodeServers
+	membersVersion uint64 // the version of them that the table has been told
+	registering    bool
+	ready          bool   // it takes clients: its state is as new as what had been acknowledged when it started
+	mustKnow       uint64 // the revision that had been
 }
 
 func (n *node) start() {
 	s := n.s
-	s.lives++
-	n.incarnation, n.up, n.powered, n.began = s.lives, true, true, s.now
-	n.place = relay.ParentCache{Self: n.name, Zone: n.zone}
-	n.selector, n.parent, n.freshAt, n.proposes = relay.Selector{}, nil, -time.Hour, false
-	n.cluster, n.listed, n.members = router.ClusterStateBuilder{}, catalog.NodeServers{Node: n.name}, 0
+	s.incarnations++
+	n.incarnation, n.up, n.powered, n.startedAt = s.incarnations, true, true, s.now
+	n.parents = relay.ParentCache{Self: n.name, Zone: n.zone}
+	n.selector, n.parent, n.freshAt, n.registering = relay.Selector{}, nil, -time.Hour, false
+	n.cluster, n.registered, n.membersVersion = router.ClusterStateBuilder{}, catalog.NodeServers{Node: n.name}, 0
 	n.hub = relay.NewHub(func() time.Duration { return s.now - n.freshAt })
-	n.table = router.NewTable(router.Options{Node: n.name, Zone: n.zone, RetryRatio: s.w.Retry.Ratio, RetryWindow: sec(s.w.Retry.WindowS), Seed: s.rng.Uint64()})
-	n.admission = localserver.New[*ticket](ms(s.w.DrainMs), ms(s.w.BeatMs))
-	n.shares = budget.Shares{Slack: s.w.Retry.Slack, Window: sec(s.w.Retry.WindowS), Known: s.now == 0}
+	n.table = router.NewTable(router.Options{Node: n.name, Zone: n.zone, RetryRatio: s.scenario.Retry.Ratio, RetryWindow: sec(s.scenario.Retry.WindowS), Seed: s.rng.Uint64()})
+	n.admission = localserver.New[*ticket](ms(s.scenario.DrainMs), ms(s.scenario.HeartbeatMs))
+	n.shares = budget.Shares{Slack: s.scenario.Retry.Slack, Window: sec(s.scenario.Retry.WindowS), Known: s.now == 0}
 	n.peerView.start(s, &n.machine)
-	n.ready, n.owed = false, s.acked
+	n.ready, n.mustKnow = false, s.ackedRevision
 	incarnation := n.incarnation
 	n.startReadiness(incarnation)
-	s.after(time.Duration(s.rng.Int64N(int64(upkeepEvery))), func() { n.upkeep(incarnation) })
-	s.after(time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), func() { n.follow(incarnation) })
+	s.after(time.Duration(s.rng.Int64N(int64(upkeepInterval))), func() { n.upkeep(incarnation) })
+	s.after(time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), func() { n.subscribe(incarnation) })
 }
 
 // startReadiness lets the node serve once its state may be served by: see relay.Readiness.
 func (n *node) startReadiness(incarnation uint64) {
 	n.readiness = relay.Readiness{}
-	n.askLatest(incarnation)
+	n.requestLatestIndex(incarnation)
 	n.checkReadiness(incarnation)
 }
 
-// askLatest asks the leader how far the updates have come, until it has an answer.
-func (n *node) askLatest(incarnation uint64) {
+// requestLatestIndex asks the leader how far the updates have come, until it has an answer.
+func (n *node) requestLatestIndex(incarnation uint64) {
 	s := n.s
 	if !n.up || n.incarnation != incarnation || n.ready {
 		return
 	}
 	var latest uint64
-	s.atLeader(&n.machine, rpcBytes, func(c *core, answer func(error)) {
+	s.callLeader(&n.machine, rpcBytes, func(c *quorumMember, answer func(error)) {
 		c.read(func(ok bool) {
 			if !ok {
-				answer(errLost)
+				answer(errProposalDropped)
 				return
 			}
 			latest = c.catalog.Index()
@@ -96,7 +96,7 @@
 	}, func(err error) {
 		switch {
 		case err != nil:
-			s.after(readinessPause, func() { n.askLatest(incarnation) })
+			s.after(readinessRetryPause, func() { n.requestLatestIndex(incarnation) })
 		case n.up && n.incarnation == incarnation:
 			n.readiness.Confirmed(latest)
 		}
@@ -108,49 +108,49 @@
 	if !n.up || n.incarnation != incarnation {
 		return
 	}
-	proof := n.readiness.Check(s.now-n.began, s.now-n.freshAt, n.hub.Index())
+	proof := n.readiness.Check(s.now-n.startedAt, s.now-n.freshAt, n.hub.Index())
 	if proof == relay.NoProof {
 		s.after(readinessCheck, func() { n.checkReadiness(incarnation) })
 		return
 	}
 	n.ready = true
-	if c := n.hub.Config(); proof != relay.Unconfirmed && n.owed > 0 && (c == nil || c.Revision < n.owed) {
-		s.broken("%s is ready without revision %d, which was acknowledged before its start (proof: %s)", n.name, n.owed, proof)
+	if c := n.hub.Config(); proof != relay.Unconfirmed && n.mustKnow > 0 && (c == nil || c.Revision < n.mustKnow) {
+		s.violation("%s is ready without revision %d, which was acknowledged before its start (proof: %s)", n.name, n.mustKnow, proof)
 	}
 }
 
 func (n *node) stop(power bool) {
 	if n.up {
-		n.s.down(&n.machine, power)
+		n.s.stop(&n.machine, power)
 		if n.server != nil {
-			n.server.orphan()
+			n.server.breakRuns()
 		}
 	}
 }
 
-// parents are whom the node may follow.
-func (n *node) parents() []string {
-	if list := n.place.Parents(n.group.Version(), n.group.Members); len(list) > 0 {
+// candidates are whom the node may follow.
+func (n *node) candidates() []string {
+	if list := n.parents.Parents(n.group.Version(), n.group.Members); len(list) > 0 {
 		return list
 	}
 	return n.s.seeds
 }
 
-// follow subscribes to a parent, unless there is one.
-func (n *node) follow(incarnation uint64) {
+// subscribe subscribes to a parent, unless there is one.
+func (n *node) subscribe(incarnation uint64) {
 	if !n.up || n.incarnation != incarnation || n.parent != nil {
 		return
 	}
-	addr, wait := n.selector.Next(n.s.now, n.parents())
+	addr, wait := n.selector.Next(n.s.now, n.candidates())
 	if addr == "" {
-		n.s.after(wait, func() { n.follow(incarnation) })
+		n.s.after(wait, func() { n.subscribe(incarnation) })
 		return
 	}
 	c := &child{node: n, incarnation: incarnation, have: n.hub.Index(), subscription: relay.Subscription{RequestedAt: n.s.now}}
-	n.parent, n.heardAt = c, n.s.now
+	n.parent, n.receivedAt = c, n.s.now
 	to := n.s.views[addr]
 	n.s.call(&n.machine, to.m, rpcBytes, relay.FeedTimeout, func(answer func(int, func())) {
-		if to.fed() >= relay.MaxChildren {
+		if to.liveChildren() >= relay.MaxChildren {
 			answer(rpcBytes, func() { n.abandon(c, relay.Failed) })
 			return
 		}
@@ -159,39 +159,39 @@
 		answer(rpcBytes, func() {})
 		to.feedOne(c)
 	}, func(bool) { n.abandon(c, relay.Failed) })
-	n.watch(c)
+	n.watchParent(c)
 }
 
-// watch gives a parent up that is silent.
-func (n *node) watch(c *child) {
+// watchParent gives a parent up that is silent.
+func (n *node) watchParent(c *child) {
 	if n.parent != c {
 		return
 	}
-	if n.s.now-n.heardAt >= relay.FeedTimeout {
+	if n.s.now-n.receivedAt >= relay.FeedTimeout {
 		n.abandon(c, relay.Failed)
 		return
 	}
-	n.s.at(n.heardAt+relay.FeedTimeout, func() { n.watch(c) })
+	n.s.at(n.receivedAt+relay.FeedTimeout, func() { n.watchParent(c) })
 }
 
 // abandon leaves a parent, and looks for another.
 func (n *node) abandon(c *child, why relay.EndReason) {
 	if n.up && n.incarnation == c.incarnation && n.parent == c {
-		n.parent.gone, n.parent = true, nil
+		n.parent.ended, n.parent = true, nil
 		n.selector.Ended(n.s.now, why)
-		n.follow(n.incarnation)
+		n.subscribe(n.incarnation)
 	}
 }
 
-// hear takes updates from a parent.
-func (n *node) hear(c *child, f *wire.Feed) {
+// receive takes updates from a parent.
+func (n *node) receive(c *child, f *wire.Feed) {
 	if n.parent != c {
 		return
 	}
-	n.heardAt = n.s.now
+	n.receivedAt = n.s.now
 	contactAt := c.subscription.ContactAt(n.s.now, f)
 	if why := n.selector.Check(n.s.now, n.s.now-contactAt); why != relay.Continue {
-		n.s.m.outOfTouch++
+		n.s.measurements.staleParents++
 		n.abandon(c, why)
 		return
 	}
@@ -199,16 +199,16 @@
 	current, ok := n.hub.Receive(f, func() { n.freshAt = max(n.freshAt, contactAt) })
 	after := n.hub.Index()
 	if after < before {
-		n.s.broken("%s went back from update %d to %d", n.name, before, after)
+		n.s.violation("%s went back from update %d to %d", n.name, before, after)
 	}
 	if after > before {
-		n.s.m.heard(n.s.now, before, after)
-		n.s.m.depth = max(n.s.m.depth, int(n.hub.Depth()))
+		n.s.measurements.updatesReceived(n.s.now, before, after)
+		n.s.measurements.depth = max(n.s.measurements.depth, int(n.hub.Depth()))
 	}
 	if current || after > before {
 		n.feed()
 	}
-	if !ok || n.selector.ShouldMove(n.s.now, n.parents()) || c.subscription.NeedsRenewal(n.s.now, f) {
+	if !ok || n.selector.ShouldMove(n.s.now, n.candidates()) || c.subscription.NeedsRenewal(n.s.now, f) {
 		n.abandon(c, relay.Renew)
 	}
 }
@@ -220,24 +220,24 @@
 	}
 	_, v := n.admission.Sweep(n.s.now)
 	n.deliver(v)
-	nodes := len(n.group.Members()) - len(n.s.cores)
-	n.table.SetRetrySlack(n.shares.Share(n.s.now-n.began, nodes))
-	if n.server != nil && !n.proposes {
+	nodes := len(n.group.Members()) - len(n.s.members)
+	n.table.SetRetrySlack(n.shares.Share(n.s.now-n.startedAt, nodes))
+	if n.server != nil && !n.registering {
 		n.register()
 	}
-	n.s.after(upkeepEvery, func() { n.upkeep(incarnation) })
+	n.s.after(upkeepInterval, func() { n.upkeep(incarnation) })
 }
 
 func (n *node) register() {
 	m := localserver.Machine{Node: n.name, Address: n.name, Zone: n.zone}
-	changes, _ := n.hub.State(n.listed.Index())
-	n.listed.Apply(changes)
-	todo := localserver.Difference(m, n.admission.Servers(), n.listed.Servers(), n.s.now-n.began < ms(2*n.s.w.BeatMs))
+	changes, _ := n.hub.State(n.registered.Index())
+	n.registered.Apply(changes)
+	todo := localserver.Difference(m, n.admission.Servers(), n.registered.Servers(), n.s.now-n.startedAt < ms(2*n.s.scenario.HeartbeatMs))
 	if len(todo) == 0 {
 		return
 	}
-	n.proposes = true
-	n.s.atLeader(&n.machine, proto.Size(todo[0]), func(c *core, answer func(error)) { c.propose(todo[0], answer) }, func(error) {
-		n.proposes = false
+	n.registering = true
+	n.s.callLeader(&n.machine, proto.Size(todo[0]), func(c *quorumMember, answer func(error)) { c.propose(todo[0], answer) }, func(error) {
+		n.registering = false
 	})
 }
--- a/internal/simulation/lab/peerview.go
+++ b/internal/simulation/lab/peerview.go
@@ -22,11 +22,11 @@
 
 // child is a subscriber of a machine's updates.
 type child struct {
-	node        *node
-	incarnation uint64
-	have        uint64
-	last        time.Duration // when the newest message to it arrives
-	gone        bool
+	node         *node
+	incarnation  uint64
+	have         uint64
+	lastDelivery time.Duration // when the newest message to it arrives
+	ended        bool
 
 	subscription relay.Subscription // of the node
 	subscribedAt time.Duration      // when the parent had it
@@ -34,14 +34,14 @@
 
 func (v *peerView) start(s *sim, m *machine) {
 	v.s, v.m, v.children, v.pacing = s, m, nil, relay.Pacing{}
-	self := &wire.Member{Name: m.name, Address: m.name, Zone: m.zone, QuorumMember: m.core, Generation: m.incarnation}
+	self := &wire.Member{Name: m.name, Address: m.name, Zone: m.zone, QuorumMember: m.isQuorumMember, Generation: m.incarnation}
 	v.group = membership.New(self, s.rng.Uint64(), s.now)
-	if s.w.Steady && len(s.all) > 0 && s.now == 0 {
-		v.group.Load(s.now, s.all)
+	if s.scenario.Steady && len(s.initialMembers) > 0 && s.now == 0 {
+		v.group.Load(s.now, s.initialMembers)
 	}
 	// Machines do not start in the same moment.
 	s.after(time.Duration(s.rng.Int64N(int64(membership.ProbeInterval))), func() { v.probe(m.incarnation) })
-	s.after(time.Duration(s.rng.Int64N(int64(relay.Heartbeat))), func() { v.beat(m.incarnation) })
+	s.after(time.Duration(s.rng.Int64N(int64(relay.Heartbeat))), func() { v.heartbeat(m.incarnation) })
 }
 
 // probe is the driver of membership.
@@ -71,8 +71,8 @@
 		return
 	}
 	size := proto.Size(p)
-	v.s.m.probes++
-	v.s.m.probeBytes += int64(size + rpcBytes)
+	v.s.measurements.probes++
+	v.s.measurements.probeBytes += int64(size + rpcBytes)
 	v.s.call(v.m, to.m, size, wait, func(answer func(int, func())) {
 		to.group.Merge(v.s.now, p.From)
 		to.group.Merge(v.s.now, p.Updates...)
@@ -80,7 +80,7 @@
 			probed := to.group.HandleProbe(p)
 			probed.Reached = reached
 			size := proto.Size(probed)
-			v.s.m.probeBytes += int64(size + rpcBytes)
+			v.s.measurements.probeBytes += int64(size + rpcBytes)
 			answer(size, func() {
 				v.group.Merge(v.s.now, probed.Updates...)
 				done(probed)
@@ -94,22 +94,22 @@
 	}, func(bool) { done(nil) })
 }
 
-// beat feeds all children where none was fed for as long as a heartbeat may take.
-func (v *peerView) beat(incarnation uint64) {
+// heartbeatLoop feeds all children where none was fed for as long as a heartbeat may take.
+func (v *peerView) heartbeat(incarnation uint64) {
 	if !v.m.up || v.m.incarnation != incarnation {
 		return
 	}
 	if v.s.now >= v.pacing.Due(v.hub.Depth()) {
 		v.feed()
 	}
-	v.s.at(v.pacing.Due(v.hub.Depth()), func() { v.beat(incarnation) })
+	v.s.at(v.pacing.Due(v.hub.Depth()), func() { v.heartbeat(incarnation) })
 }
 
-// fed is the number of children that are still there.
-func (v *peerView) fed() int {
+// liveChildren is the number of children that are still there.
+func (v *peerView) liveChildren() int {
 	n := 0
 	for _, c := range v.children {
-		if !c.gone && c.node.up && c.node.incarnation == c.incarnation {
+		if !c.ended && c.node.up && c.node.incarnation == c.incarnation {
 			n++
 		}
 	}
@@ -121,7 +121,7 @@
 	v.pacing.Sent(v.s.now)
 	keep := v.children[:0]
 	for _, c := range v.children {
-		if !c.gone && c.node.up && c.node.incarnation == c.incarnation {
+		if !c.ended && c.node.up && c.node.incarnation == c.incarnation {
 			keep = append(keep, c)
 			v.feedOne(c)
 		}
@@ -134,6 +134,6 @@
 	f, _ := v.hub.Feed(c.have, v.s.now, c.subscribedAt)
 	c.have = max(c.have, f.Latest)
 	size := proto.Size(f)
-	v.s.m.feedBytes += int64(size + rpcBytes)
-	v.s.stream(v.m, &c.node.machine, size+rpcBytes, &c.last, func() { c.node.hear(c, f) })
+	v.s.measurements.feedBytes += int64(size + rpcBytes)
+	v.s.stream(v.m, &c.node.machine, size+rpcBytes, &c.lastDelivery, func() { c.node.receive(c, f) })
 }
--- a/internal/simulation/lab/report.go
+++ b/internal/simulation/lab/report.go
@@ -17,19 +17,19 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// group is the runs of one scenario with one setting.
+// group is the runs of one scenario with one setting, and what the page shows of them.
 type group struct {
-	Name    string
-	Results []*Result
-	Figures []string // mean and interval of each of Figures
-	Plots   []template.HTML
-	Routes  []routeLine
-	Faults  []string
+	Name       string
+	Results    []*Result
+	Metrics    []string // mean and interval of each of Metrics
+	Plots      []template.HTML
+	Routes     []routeRow
+	Violations []string
 }
 
-type routeLine struct {
+type routeRow struct {
 	Name                  string
-	Worth, Refused        float64
+	Value, Refused        float64
 	P50, P90, P99, P999Ms float64
 }
 
@@ -42,14 +42,14 @@
 		}
 		g := list[len(list)-1]
 		g.Results = append(g.Results, r)
-		for _, f := range r.Faults {
-			g.Faults = append(g.Faults, fmt.Sprintf("seed %d, %s", r.Seed, f))
+		for _, f := range r.Violations {
+			g.Violations = append(g.Violations, fmt.Sprintf("seed %d, %s", r.Seed, f))
 		}
 	}
 	return list
 }
 
-// mean of a value over the runs of a group, second by second.
+// series is the mean of a value over the runs of a group, second by second.
 func (g *group) series(of func(s *Second) float64) plotter.XYs {
 	longest := 0
 	for _, r := range g.Results {
@@ -77,10 +77,10 @@
 		return "", err
 	}
 	text := b.String()
-	return template.HTML(text[strings.Index(text, "<svg"):]), nil // the library's own drawing, no text of others
+	return template.HTML(text[strings.Index(text, "<svg"):]), nil // drawn by the library
 }
 
-// lines draws series under one another in one plot.
+// lines draws series, as pairs of a name and its points, in one plot.
 func lines(title, unit string, series ...any) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
@@ -94,45 +94,33 @@
 
 // draw makes a group's plots and tables.
 func (g *group) draw() error {
-	for _, f := range Figures {
+	for _, metric := range Metrics {
 		var x []float64
 		for _, r := range g.Results {
-			x = append(x, f.Of(r))
+			x = append(x, metric.Of(r))
 		}
-		g.Figures = append(g.Figures, Average(x).String())
+		g.Metrics = append(g.Metrics, Average(x).String())
 	}
-	priorities := 0
-	for _, r := range g.Results {
-		for _, s := range r.Seconds {
-			priorities = max(priorities, len(s.ByPriority))
-		}
-	}
-	var refused []any
-	for p := range priorities {
-		refused = append(refused, fmt.Sprintf("priority %d", p), g.series(func(s *Second) float64 {
-			if p < len(s.ByPriority) {
-				return float64(s.ByPriority[p])
-			}
-			return 0
-		}))
-	}
-	var busy []any
-	if len(g.Results[0].Seconds) > 0 {
-		for _, name := range slices.Sorted(maps.Keys(g.Results[0].Seconds[len(g.Results[0].Seconds)-1].Busy)) {
-			busy = append(busy, name, g.series(func(s *Second) float64 { return s.Busy[name] }))
-		}
+	if err := g.drawPlots(); err != nil {
+		return err
 	}
+	g.Routes = g.routeRows()
+	return nil
+}
+
+// drawPlots makes a plot of each metric that is measured by the second.
+func (g *group) drawPlots() error {
 	for _, d := range []struct {
 		title, unit string
-		series      []any
+		series      []any // pairs of a name and its points
 	}{
-		{"Worth of the requests of a second", "", []any{"worth", g.series(func(s *Second) float64 { return s.Worth })}},
-		{"Refused in the end, by priority", "1/s", refused},
+		{"Value of the requests of a second", "", []any{"value", g.series(func(s *Second) float64 { return s.Value })}},
+		{"Refused in the end, by priority", "1/s", g.refusedSeries()},
 		{"Latency, 99th percentile", "ms", []any{"p99", g.series(func(s *Second) float64 { return s.P99Ms })}},
-		{"Slots taken, by service", "", busy},
-		{"Part of the retry budget used", "", []any{"used", g.series(func(s *Second) float64 { return s.Budget })}},
-		{"Updates: the slowest of a second", "ms", []any{"lag", g.series(func(s *Second) float64 { return s.LagMs })}},
-		{"Without a leader", "part of the second", []any{"leaderless", g.series(func(s *Second) float64 { return s.Leaderless })}},
+		{"Slots in use, by service", "", g.busySeries()},
+		{"Share of the retry budget used", "", []any{"used", g.series(func(s *Second) float64 { return s.RetryBudget })}},
+		{"Update lag, the longest of a second", "ms", []any{"lag", g.series(func(s *Second) float64 { return s.LagMs })}},
+		{"Without a leader", "share of the second", []any{"leaderless", g.series(func(s *Second) float64 { return s.Leaderless })}},
 	} {
 		if len(d.series) == 0 {
 			continue
@@ -143,42 +131,81 @@
 		}
 		g.Plots = append(g.Plots, h)
 	}
+	return nil
+}
+
+// refusedSeries is the requests that were refused in the end, a series a priority.
+func (g *group) refusedSeries() (series []any) {
+	priorities := 0
+	for _, r := range g.Results {
+		for _, s := range r.Seconds {
+			priorities = max(priorities, len(s.ByPriority))
+		}
+	}
+	for p := range priorities {
+		series = append(series, fmt.Sprintf("priority %d", p), g.series(func(s *Second) float64 {
+			if p < len(s.ByPriority) {
+				return float64(s.ByPriority[p])
+			}
+			return 0
+		}))
+	}
+	return series
+}
+
+// busySeries is the slots in use, a series a service.
+func (g *group) busySeries() (series []any) {
+	seconds := g.Results[0].Seconds
+	if len(seconds) == 0 {
+		return nil
+	}
+	for _, name := range slices.Sorted(maps.Keys(seconds[len(seconds)-1].Busy)) {
+		series = append(series, name, g.series(func(s *Second) float64 { return s.Busy[name] }))
+	}
+	return series
+}
+
+// routeRows is the table of routes: means over the runs.
+func (g *group) routeRows() []routeRow {
 	names := map[string]bool{}
 	for _, r := range g.Results {
 		for name := range r.Routes {
 			names[name] = true
 		}
 	}
-	for name := range names {
-		l := routeLine{Name: name}
+	var rows []routeRow
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		row := routeRow{Name: name}
 		n := float64(len(g.Results))
 		for _, r := range g.Results {
 			x := r.Routes[name]
-			l.Worth += x.Worth / n
-			l.Refused += part(x.Refused, x.Asked) / n
-			l.P50, l.P90, l.P99, l.P999Ms = l.P50+x.P50Ms/n, l.P90+x.P90Ms/n, l.P99+x.P99Ms/n, l.P999Ms+x.P999Ms/n
+			row.Value += x.Value / n
+			row.Refused += fraction(x.Refused, x.Requests) / n
+			row.P50 += x.P50Ms / n
+			row.P90 += x.P90Ms / n
+			row.P99 += x.P99Ms / n
+			row.P999Ms += x.P999Ms / n
 		}
-		g.Routes = append(g.Routes, l)
+		rows = append(rows, row)
 	}
-	slices.SortFunc(g.Routes, func(a, b routeLine) int { return strings.Compare(a.Name, b.Name) })
-	return nil
+	return rows
 }
 
 var page = template.Must(template.New("").Parse(`<!doctype html><meta charset="utf-8"><title>meshlab</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:75em}table{border-collapse:collapse}td,th{padding:.2em .7em;border-bottom:1px solid #ddd;text-align:right}
 td:first-child,th:first-child{text-align:left}.bad{color:#b00}svg{margin:.3em}</style>
 <h1>meshlab</h1>
-<table><tr><th>world<th>plays{{range .Names}}<th>{{.}}{{end}}<th>broken</tr>
-{{range .Groups}}<tr><td>{{.Name}}<td>{{len .Results}}{{range .Figures}}<td>{{.}}{{end}}<td{{if .Faults}} class="bad"{{end}}>{{len .Faults}}</tr>
+<table><tr><th>scenario<th>runs{{range .Names}}<th>{{.}}{{end}}<th>violations</tr>
+{{range .Groups}}<tr><td>{{.Name}}<td>{{len .Results}}{{range .Metrics}}<td>{{.}}{{end}}<td{{if .Violations}} class="bad"{{end}}>{{len .Violations}}</tr>
 {{end}}</table><p>Means with their 95 % intervals, by Student's t over the seeds.</p>
-{{range .Groups}}<h2>{{.Name}}</h2>{{range .Faults}}<p class="bad">{{.}}</p>{{end}}
-<table><tr><th>route<th>worth<th>refused<th>p50 ms<th>p90<th>p99<th>p99.9</tr>
-{{range .Routes}}<tr><td>{{.Name}}<td>{{printf "%.3f" .Worth}}<td>{{printf "%.3f" .Refused}}<td>{{printf "%.1f" .P50}}<td>{{printf "%.1f" .P90}}<td>{{printf "%.1f" .P99}}<td>{{printf "%.1f" .P999Ms}}</tr>
+{{range .Groups}}<h2>{{.Name}}</h2>{{range .Violations}}<p class="bad">{{.}}</p>{{end}}
+<table><tr><th>route<th>value<th>refused<th>p50 ms<th>p90<th>p99<th>p99.9</tr>
+{{range .Routes}}<tr><td>{{.Name}}<td>{{printf "%.3f" .Value}}<td>{{printf "%.3f" .Refused}}<td>{{printf "%.1f" .P50}}<td>{{printf "%.1f" .P90}}<td>{{printf "%.1f" .P99}}<td>{{printf "%.1f" .P999Ms}}</tr>
 {{end}}</table>
 {{range .Plots}}{{.}}{{end}}{{end}}
 `))
 
-// Report writes a page about results, as Read orders them.
+// Report writes an HTML page about results in the order that Read returns them in.
 func Report(w io.Writer, results []*Result) error {
 	list := groups(results)
 	for _, g := range list {
@@ -187,7 +214,7 @@
 		}
 	}
 	var names []string
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		names = append(names, f.Name)
 	}
 	if err := page.Execute(w, map[string]any{"Groups": list, "Names": names}); err != nil {
--- /dev/null
+++ b/internal/simulation/lab/results.go
@@ -0,0 +1,59 @@
+package lab
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// Save writes results into a folder, a file each.
+func Save(dir string, results []*Result) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return fmt.Errorf("lab: %w", err)
+	}
+	for _, r := range results {
+		data, err := json.Marshal(r)
+		if err != nil {
+			return fmt.Errorf("lab: %w", err)
+		}
+		varied := strings.NewReplacer("/", "_", "=", "-").Replace(r.Varied)
+		name := strings.Trim(fmt.Sprintf("%s_%s_%d.json", r.Scenario, varied, r.Seed), "_")
+		if err := os.WriteFile(filepath.Join(dir, name), data, 0o644); err != nil {
+			return fmt.Errorf("lab: %w", err)
+		}
+	}
+	return nil
+}
+
+// Read returns the results in a folder, by scenario, what was varied, and seed.
+func Read(dir string) ([]*Result, error) {
+	names, err := filepath.Glob(filepath.Join(dir, "*.json"))
+	if err != nil {
+		return nil, fmt.Errorf("lab: %w", err)
+	}
+	if len(names) == 0 {
+		return nil, fmt.Errorf("lab: no results in %s", dir)
+	}
+	var list []*Result
+	for _, name := range names {
+		data, err := os.ReadFile(name)
+		if err != nil {
+			return nil, fmt.Errorf("lab: %w", err)
+		}
+		r := new(Result)
+		if err := json.Unmarshal(data, r); err != nil {
+			return nil, fmt.Errorf("lab: %s: %w", name, err)
+		}
+		list = append(list, r)
+	}
+	slices.SortStableFunc(list, func(a, b *Result) int {
+		if c := strings.Compare(a.Scenario+" "+a.Varied, b.Scenario+" "+b.Varied); c != 0 {
+			return c
+		}
+		return int(a.Seed) - int(b.Seed)
+	})
+	return list, nil
+}
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"time"
 
 	"ivydeck/internal/dataplane/localserver"
@@ -10,54 +11,55 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// server is an application server beside a node.
+// server is the model of an application server beside a node.
 type server struct {
-	s       *sim
-	kind    *Service
-	node    *node
-	id      string // of its incarnation
-	up      bool
-	drains  bool
-	drainAt time.Duration // when its mark was acknowledged
-	acked   bool
-	speed   float64       // its work takes so many times as long, ...
-	slow    float64       // ... and in trouble so many times that
-	cold    time.Duration // until then it is slow from its start
-	grey    Trouble       // fails part of its runs; without a kind it does not
-	hung    time.Duration // until then nothing moves
-	seq     uint64
-	runs    []*runOf
-}
-
-// runOf is a request at a server.
-type runOf struct {
+	s            *sim
+	kind         *Service
+	node         *node
+	id           string // of its incarnation
+	up           bool
+	draining     bool
+	drainAcked   bool
+	drainAckedAt time.Duration
+	speed        float64       // factor on its work, ...
+	slowdown     float64       // ... and another while a fault is in force
+	warmUntil    time.Duration // end of its slow start
+	grey         Fault         // zero: none
+	stalledUntil time.Duration
+	seq          uint64 // of heartbeats
+	runs         []*run // that may be going on
+}
+
+// run is a request that a server works on.
+type run struct {
 	over bool
-	end  func(status int32, fate wire.ForwardResponse_Result)
+	end  func(status int32, result wire.ForwardResponse_Result)
 }
 
-func (r *runOf) finish(status int32, fate wire.ForwardResponse_Result) {
+// finish ends a run, unless it has ended.
+func (r *run) finish(status int32, result wire.ForwardResponse_Result) {
 	if !r.over {
 		r.over = true
-		r.end(status, fate)
+		r.end(status, result)
 	}
 }
 
 func (v *server) start() {
-	v.s.lives++
-	v.id = fmt.Sprintf("i-%d", v.s.lives)
-	v.up, v.drains, v.acked, v.slow, v.hung, v.seq = true, false, false, max(1, v.slow), 0, 0
-	v.cold = v.s.now + sec(v.kind.ColdS)
+	v.s.incarnations++
+	v.id = fmt.Sprintf("i-%d", v.s.incarnations)
+	v.up, v.draining, v.drainAcked, v.slowdown, v.stalledUntil, v.seq = true, false, false, max(1, v.slowdown), 0, 0
+	v.warmUntil = v.s.now + sec(v.kind.SlowStartS)
 	id := v.id
-	v.s.after(time.Duration(v.s.rng.Int64N(int64(100*time.Millisecond))), func() { v.beat(id) })
+	v.s.after(time.Duration(v.s.rng.Int64N(int64(100*time.Millisecond))), func() { v.heartbeatLoop(id) })
 }
 
 // stop ends the process: what it works on has no answer.
 func (v *server) stop() {
 	v.up = false
-	v.orphan()
+	v.breakRuns()
 }
 
-func (v *server) orphan() {
+func (v *server) breakRuns() {
 	runs := v.runs
 	v.runs = nil
 	for _, r := range runs {
@@ -65,147 +67,179 @@
 	}
 }
 
-func (v *server) beat(id string) {
+func (v *server) heartbeatLoop(id string) {
 	if !v.up || v.id != id {
 		return
 	}
-	v.word()
-	v.s.after(ms(v.s.w.BeatMs), func() { v.beat(id) })
+	v.sendHeartbeat()
+	v.s.after(ms(v.s.scenario.HeartbeatMs), func() { v.heartbeatLoop(id) })
 }
 
-// word is one beat. The node answers it at once, where it runs.
-func (v *server) word() {
-	if !v.node.up || v.hung > v.s.now {
+// sendHeartbeat is one beat. The node answers it at once, where it runs.
+func (v *server) sendHeartbeat() {
+	if !v.node.up || v.stalledUntil > v.s.now {
 		return
 	}
 	v.seq++
 	h := v.node.admission.Heartbeat(v.s.now, localserver.Heartbeat{
-		ID: v.id, Service: v.kind.Name, Address: v.node.name, Zone: v.node.zone, Slots: v.kind.Slots, Draining: v.drains, Seq: v.seq,
-		WarmupLeft: max(0, v.cold-v.s.now),
+		ID: v.id, Service: v.kind.Name, Address: v.node.name, Zone: v.node.zone, Slots: v.kind.Slots, Draining: v.draining, Seq: v.seq,
+		WarmupLeft: max(0, v.warmUntil-v.s.now),
 	})
 	v.node.deliver(h.Verdicts)
-	if h.OK && v.drains && !v.acked {
-		v.acked, v.drainAt = true, v.s.now
+	if h.OK && v.draining && !v.drainAcked {
+		v.drainAcked, v.drainAckedAt = true, v.s.now
 	}
-	if (h.New || h.Drains) && !v.node.proposes {
+	if (h.New || h.Drains) && !v.node.registering {
 		v.node.register()
 	}
 }
 
-// draining statuses the server, and ends it once nobody can have business with it; a new
-// incarnation follows after back.
-func (v *server) drain(back time.Duration) {
-	v.drains = true
-	v.word()
+// drain announces the end of the server, ends it once no node may send to it any more,
+// and starts a new incarnation at a time.
+func (v *server) drain(restartAt time.Duration) {
+	v.draining = true
+	v.sendHeartbeat()
 	id := v.id
-	v.s.after(2*ms(v.s.w.DrainMs), func() {
+	v.s.after(2*ms(v.s.scenario.DrainMs), func() {
 		if v.id == id && v.up {
 			v.stop()
 			v.node.admission.Deregister(id)
-			v.s.at(back, func() { v.s.startServer(v) })
+			v.s.at(restartAt, func() { v.s.startServer(v) })
 		}
 	})
 }
 
 const (
-	fastFail = 5 * time.Millisecond // a grey server fails fast, so that it looks idle
-	greySlow = 5
+	rejectDelay      = time.Millisecond     // until a rejection is sent
+	greyFailureDelay = 5 * time.Millisecond // a grey server fails fast, so that it looks idle
+	greySlowdown     = 5                    // factor on the work of a slow grey server
+	maxWorkFactor    = 8                    // bound on the exponential distribution of work, in means
 )
 
-// ill reports whether a request from a zone meets a grey server's bad side.
-func (v *server) ill(zone string) bool {
+// failsFor reports whether a grey server fails a run for a caller in a zone.
+func (v *server) failsFor(zone string) bool {
 	return v.grey.Kind != "" && (v.grey.From == "" || v.grey.From == zone) && v.s.rng.Float64() < v.grey.Factor
 }
 
-// run takes a request in, and calls end with what became of it.
-func (v *server) run(t *try, ask localserver.Request, until time.Duration, tries int, end func(int32, wire.ForwardResponse_Result)) {
+// handle takes a request, and calls end with its result. retries is the number of
+// attempts before it.
+func (v *server) handle(t *attempt, request localserver.Request, deadline time.Duration, retries int, end func(int32, wire.ForwardResponse_Result)) {
 	s := v.s
 	begun := s.now
-	r := &runOf{end: func(status int32, fate wire.ForwardResponse_Result) {
-		s.m.busy(s.now, v.kind.Name, s.now-begun)
-		end(status, fate)
+	r := &run{end: func(status int32, result wire.ForwardResponse_Result) {
+		s.measurements.slotHeld(s.now, v.kind.Name, s.now-begun)
+		end(status, result)
 	}}
-	if v.acked && s.now > v.drainAt+ms(s.w.DrainMs) {
-		s.broken("%s was sent a request %v after the acknowledgement of its draining status", v.id, s.now-v.drainAt)
+	if v.drainAcked && s.now > v.drainAckedAt+ms(s.scenario.DrainMs) {
+		s.violation("%s was sent a request %v after the acknowledgement of its draining status", v.id, s.now-v.drainAckedAt)
 	}
-	if tries > 0 {
-		s.m.repeated(s.now, v.kind.Name)
+	if retries > 0 {
+		s.measurements.requestRetried(s.now, v.kind.Name)
 	}
-	if s.rng.Float64() < v.kind.Balk {
-		s.after(time.Millisecond, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
+	if s.rng.Float64() < v.kind.Rejects {
+		s.after(rejectDelay, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
 		return
 	}
-	if v.grey.How == "shed" && v.ill(ask.Call.Zone) {
-		s.after(fastFail, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
+	if v.grey.Mode == GreyReject && v.failsFor(request.Call.Zone) {
+		s.after(greyFailureDelay, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
 		return
 	}
 	t.executed()
-	keep := v.runs[:0]
-	for _, old := range v.runs {
-		if !old.over {
-			keep = append(keep, old)
-		}
-	}
-	v.runs = append(keep, r)
-	s.at(until, func() { r.finish(0, wire.ForwardResponse_DEADLINE_EXCEEDED) })
-	work := ms(v.kind.WorkMs * v.speed * v.slow * min(8, -math.Log(1-s.rng.Float64())))
-	if v.kind.Tail > 0 && s.rng.Float64() < v.kind.Tail {
-		work = time.Duration(float64(work) * v.kind.TailX)
-	}
-	if s.now < v.cold {
-		work = time.Duration(float64(work) * max(1, v.kind.ColdX))
-	}
-	work += max(0, v.hung-s.now)
+	v.addRun(r)
+	s.at(deadline, func() { r.finish(0, wire.ForwardResponse_DEADLINE_EXCEEDED) })
+	v.execute(t, r, request.Call.Zone, deadline)
+}
+
+// addRun adds a run, and forgets those that have ended.
+func (v *server) addRun(r *run) {
+	v.runs = append(slices.DeleteFunc(v.runs, func(old *run) bool { return old.over }), r)
+}
+
+// execute draws the work of a run and how it ends.
+func (v *server) execute(t *attempt, r *run, zone string, deadline time.Duration) {
+	s := v.s
+	work := v.randomWork()
 	if v.kind.Errors > 0 && s.rng.Float64() < v.kind.Errors {
 		s.after(work, func() { r.finish(500, wire.ForwardResponse_ANSWERED) })
 		return
 	}
-	if v.ill(ask.Call.Zone) {
-		switch v.grey.How {
-		case "error":
-			s.after(fastFail, func() { r.finish(500, wire.ForwardResponse_ANSWERED) })
+	if v.failsFor(zone) {
+		switch v.grey.Mode {
+		case GreyError:
+			s.after(greyFailureDelay, func() { r.finish(500, wire.ForwardResponse_ANSWERED) })
 			return
-		case "reset":
-			s.after(fastFail, func() { r.finish(0, wire.ForwardResponse_BROKEN) })
+		case GreyReset:
+			s.after(greyFailureDelay, func() { r.finish(0, wire.ForwardResponse_BROKEN) })
 			return
-		case "hang": // until its time is up
+		case GreyHang: // until its deadline
 			return
-		case "slow":
-			work *= greySlow
+		case GreySlow:
+			work *= greySlowdown
 		}
 	}
 	var calls []string
-	for _, c := range t.req.route.Calls {
-		for range s.some(c.Times) {
+	for _, c := range t.request.route.Calls {
+		for range s.randomCount(c.Times) {
 			calls = append(calls, c.Route)
 		}
 	}
-	part := work / time.Duration(len(calls)+1)
-	lost := s.rng.Float64() < v.kind.Broken
-	var next func(i int)
-	next = func(i int) {
-		if r.over {
+	w := &workPlan{server: v, attempt: t, run: r, calls: calls, deadline: deadline}
+	w.part = work / time.Duration(len(calls)+1)
+	w.answerLost = s.rng.Float64() < v.kind.LostAnswers
+	s.after(w.part, w.next)
+}
+
+// randomWork draws how long the work of a run takes.
+func (v *server) randomWork() time.Duration {
+	s := v.s
+	work := ms(v.kind.WorkMs * v.speed * v.slowdown * min(maxWorkFactor, -math.Log(1-s.rng.Float64())))
+	if v.kind.Tail > 0 && s.rng.Float64() < v.kind.Tail {
+		work = time.Duration(float64(work) * v.kind.TailFactor)
+	}
+	if s.now < v.warmUntil {
+		work = time.Duration(float64(work) * max(1, v.kind.SlowStartFactor))
+	}
+	return work + max(0, v.stalledUntil-s.now)
+}
+
+// workPlan is the rest of a run: its calls of other services, one after another, with a
+// part of the work before, between and after them.
+type workPlan struct {
+	server     *server
+	attempt    *attempt
+	run        *run
+	calls      []string // names of routes
+	made       int      // calls that were made
+	part       time.Duration
+	deadline   time.Duration
+	answerLost bool
+}
+
+// next makes the next call, or ends the run after the last one.
+func (w *workPlan) next() {
+	if w.run.over {
+		return
+	}
+	if w.made == len(w.calls) {
+		if w.answerLost {
+			w.run.finish(0, wire.ForwardResponse_BROKEN)
 			return
 		}
-		if i == len(calls) {
-			if lost {
-				r.finish(0, wire.ForwardResponse_BROKEN)
+		w.run.finish(200, wire.ForwardResponse_ANSWERED)
+		return
+	}
+	s := w.server.s
+	route := s.route(w.calls[w.made])
+	inner := &attempt{id: fmt.Sprintf("%s.%d", w.attempt.id, w.made), deadline: w.deadline, request: &request{s: s, route: route}}
+	w.made++
+	w.server.node.handle(inner, func(response router.Response) {
+		inner.answered(response)
+		s.after(w.part, func() {
+			if response.Status != 200 {
+				w.run.finish(500, wire.ForwardResponse_ANSWERED)
 				return
 			}
-			r.finish(200, wire.ForwardResponse_ANSWERED)
-			return
-		}
-		inner := &try{id: fmt.Sprintf("%s.%d", t.id, i), until: until, req: &request{s: s, route: s.route(calls[i])}}
-		v.node.handle(inner, func(f router.Response) {
-			inner.answered(f)
-			s.after(part, func() {
-				if f.Status != 200 {
-					r.finish(500, wire.ForwardResponse_ANSWERED)
-					return
-				}
-				next(i + 1)
-			})
+			w.next()
 		})
-	}
-	s.after(part, func() { next(0) })
+	})
 }
--- a/internal/simulation/lab/sim.go
+++ b/internal/simulation/lab/sim.go
@@ -11,156 +11,190 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// sim is one run of a scenario.
+// sim is one run of a scenario. All of it runs in one goroutine, in events of its
+// engine.
 type sim struct {
 	network
-	w       *Scenario
-	m       *measures
-	cores   []*core
-	nodes   []*node
-	servers []*server
-	views   map[string]*peerView
-	index   map[string]int // of nodes, by name
-	seeds   []string
-	all     []*wire.Member // who is there at the start
-	outside machine        // where operators are
-	lives   uint64
-	tries   uint64
-	begun   bool
-	burst   []float64 // of the routes' rates
-	losses  []float64 // under way
-
-	base, acked uint64 // of the operator's revisions
-	pipes       map[[2]*core]*time.Duration
-	faults      []string
-	faultAt     time.Duration // of the first
-	recent      []string      // the last events, for those who look for a cause
+	scenario       *Scenario
+	measurements   *measurements
+	members        []*quorumMember
+	nodes          []*node
+	servers        []*server
+	views          map[string]*peerView
+	index          map[string]int // of nodes, by name
+	seeds          []string
+	initialMembers []*wire.Member // whom all know at the start of a steady scenario
+	outside        machine        // the operator's machine
+	incarnations   uint64
+	attempts       uint64
+	bootstrapped   bool
+	burst          []float64 // factor on the rate of each route
+	losses         []float64 // shares of segments lost by the faults in force
+
+	baseRevision, ackedRevision uint64                              // of the operator's revisions
+	pipes                       map[[2]*quorumMember]*time.Duration // see lastDelivery
+	violations                  []string
+	firstViolationAt            time.Duration // time of the first violation
+	recentEvents                []string      // the last events, reported with violations
 }
 
 const (
-	maxRecent = 40
-	calmEnd   = 8 * time.Second // of a scenario with chaos, in which all has to come back
+	maxRecentEvents = 40
+	maxViolations   = 20              // that are reported
+	chaosFreeEnd    = 8 * time.Second // at the end of a scenario with chaos: everything has to recover
 )
 
-// note keeps an event for the report of a fault.
+// note records an event for the report of a violation.
 func (s *sim) note(format string, args ...any) {
-	if len(s.recent) >= maxRecent {
-		s.recent = append(s.recent[:0], s.recent[1:]...)
+	if len(s.recentEvents) >= maxRecentEvents {
+		s.recentEvents = append(s.recentEvents[:0], s.recentEvents[1:]...)
 	}
-	s.recent = append(s.recent, fmt.Sprintf("%9.3f s  ", s.now.Seconds())+fmt.Sprintf(format, args...))
+	s.recentEvents = append(s.recentEvents, fmt.Sprintf("%9.3f s  ", s.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// broken books that something has happened which never should.
-func (s *sim) broken(format string, args ...any) {
-	if len(s.faults) == 0 {
-		s.faultAt = s.now
+// violation records that an invariant does not hold.
+func (s *sim) violation(format string, args ...any) {
+	if len(s.violations) == 0 {
+		s.firstViolationAt = s.now
 	}
 	text := fmt.Sprintf(format, args...)
 	s.note("BROKEN: %s", text)
-	if len(s.faults) < 20 {
-		s.faults = append(s.faults, fmt.Sprintf("%.3f s: %s", s.now.Seconds(), text))
+	if len(s.violations) < maxViolations {
+		s.violations = append(s.violations, fmt.Sprintf("%.3f s: %s", s.now.Seconds(), text))
 	}
 }
 
-// must ends the run for an error that no scenario can cause.
-func (s *sim) must(err error) {
+// check panics for an error that no scenario can cause.
+func (s *sim) check(err error) {
 	if err != nil {
 		panic(fmt.Sprintf("lab: at %v: %v", s.now, err))
 	}
 }
 
 // Run simulates a scenario to its end. The same scenario and seed give the same Result.
-func Run(w *Scenario, seed uint64) *Result {
-	s := prepare(w, seed)
-	s.run(sec(w.Seconds))
-	s.atEnd()
-	return s.m.result(s, seed)
+func Run(scenario *Scenario, seed uint64) *Result {
+	s := prepare(scenario, seed)
+	s.run(sec(scenario.Seconds))
+	s.checkFinalState()
+	return s.measurements.result(s, seed)
 }
 
-// prepare builds a scenario in which nothing has happened yet.
+// prepare builds the mesh of a scenario and schedules its workload and faults.
 func prepare(w *Scenario, seed uint64) *sim {
 	s := &sim{
-		w: w, m: newMeasures(w), views: map[string]*peerView{}, index: map[string]int{},
-		pipes:   map[[2]*core]*time.Duration{},
+		scenario: w, measurements: newMeasurements(w), views: map[string]*peerView{}, index: map[string]int{},
+		pipes:   map[[2]*quorumMember]*time.Duration{},
 		outside: machine{name: "operator", zone: "z0", up: true, powered: true, incarnation: 1},
 	}
-	s.network = network{engine: &engine{rng: rand.New(rand.NewPCG(seed, 0x1ab))}, Net: w.Net, cuts: map[[2]string]bool{}}
+	s.network = network{engine: &engine{rng: rand.New(rand.NewPCG(seed, 0x1ab))}, Net: w.Net, partitions: map[[2]string]bool{}}
 	s.build()
 	for i := range w.Routes {
 		s.burst = append(s.burst, 1)
-		s.clients(i)
+		s.generateRequests(i)
 	}
-	for _, t := range w.Troubles {
-		s.at(sec(t.AtS), func() { s.begin(t) })
+	for _, t := range w.Faults {
+		s.at(sec(t.AtS), func() { s.injectFault(t) })
 	}
 	if w.Chaos.EveryS > 0 {
 		s.chaos()
 	}
-	s.operate()
+	s.sendConfigs()
 	return s
 }
 
+// build makes the machines of the scenario and starts them.
 func (s *sim) build() {
-	zone := func(i int) string { return fmt.Sprintf("z%d", i%s.w.Zones) }
-	for i := range s.w.Cores {
-		c := &core{machine: machine{name: fmt.Sprintf("core%d", i), zone: zone(i), core: true}, s: s}
-		s.cores = append(s.cores, c)
-		s.views[c.name] = &c.peerView
-		s.seeds = append(s.seeds, c.name)
-	}
-	for i := range s.w.Nodes {
-		n := &node{machine: machine{name: fmt.Sprintf("node%d", i), zone: zone(i)}}
+	s.buildMembers()
+	s.buildNodes()
+	s.buildServers()
+	if s.scenario.Steady {
+		s.initialMembers = s.allMembers()
+	}
+	for _, m := range s.members {
+		m.start()
+	}
+	for _, n := range s.nodes {
+		n.start()
+	}
+	for _, v := range s.servers {
+		v.start()
+	}
+}
+
+func zoneName(zone int) string { return fmt.Sprintf("z%d", zone) }
+
+// zoneOf is the zone of the i-th machine of a kind.
+func (s *sim) zoneOf(i int) string { return zoneName(i % s.scenario.Zones) }
+
+func (s *sim) buildMembers() {
+	for i := range s.scenario.QuorumMembers {
+		m := &quorumMember{s: s, machine: machine{name: fmt.Sprintf("core%d", i), zone: s.zoneOf(i), isQuorumMember: true}}
+		s.members = append(s.members, m)
+		s.views[m.name] = &m.peerView
+		s.seeds = append(s.seeds, m.name)
+	}
+}
+
+func (s *sim) buildNodes() {
+	for i := range s.scenario.Nodes {
+		n := &node{machine: machine{name: fmt.Sprintf("node%d", i), zone: s.zoneOf(i)}}
 		n.s = s
 		s.nodes = append(s.nodes, n)
 		s.index[n.name] = i
 		s.views[n.name] = &n.peerView
 	}
-	at := 0
-	for i := range s.w.Services {
-		for range s.w.Services[i].Servers {
-			v := &server{s: s, kind: &s.w.Services[i], node: s.nodes[at], speed: 1}
-			if speeds := v.kind.Speeds; len(speeds) > 0 {
-				v.speed = speeds[at%len(speeds)]
+}
+
+// buildServers puts the application servers on the first nodes, one each.
+func (s *sim) buildServers() {
+	for i := range s.scenario.Services {
+		service := &s.scenario.Services[i]
+		for range service.Servers {
+			at := len(s.servers)
+			v := &server{s: s, kind: service, node: s.nodes[at], speed: 1}
+			if len(service.Speeds) > 0 {
+				v.speed = service.Speeds[at%len(service.Speeds)]
 			}
 			s.nodes[at].server = v
 			s.servers = append(s.servers, v)
-			at++
 		}
 	}
-	if s.w.Steady {
-		for i, c := range s.cores {
-			s.all = append(s.all, &wire.Member{Name: c.name, Address: c.name, Zone: c.zone, QuorumMember: true, Generation: uint64(i + 1)})
-		}
-		for i, n := range s.nodes {
-			s.all = append(s.all, &wire.Member{Name: n.name, Address: n.name, Zone: n.zone, Generation: uint64(len(s.cores) + i + 1)})
-		}
-		slices.SortFunc(s.all, func(a, b *wire.Member) int { return strings.Compare(a.Name, b.Name) })
+}
+
+// allMembers is the membership list of a mesh in which each machine knows all others.
+func (s *sim) allMembers() []*wire.Member {
+	var list []*wire.Member
+	add := func(m *machine) {
+		list = append(list, &wire.Member{
+			Name: m.name, Address: m.name, Zone: m.zone, QuorumMember: m.isQuorumMember, Generation: uint64(len(list) + 1),
+		})
 	}
-	for _, c := range s.cores {
-		c.start()
+	for _, m := range s.members {
+		add(&m.machine)
 	}
 	for _, n := range s.nodes {
-		n.start()
-	}
-	for _, v := range s.servers {
-		v.start()
+		add(&n.machine)
 	}
+	slices.SortFunc(list, func(a, b *wire.Member) int { return strings.Compare(a.Name, b.Name) })
+	return list
 }
 
-// tolerated is the number of quorum members that may be lost at one time.
-const tolerated = 1
+// faultTolerance is the number of quorum members that may be lost at one time.
+const faultTolerance = 1
 
-func (s *sim) coreByID(id uint64) *core {
-	for _, c := range s.cores {
-		if c.disk.ID == id {
-			return c
+// memberByID returns the quorum member with an id on its disk; nil: there is none.
+func (s *sim) memberByID(id uint64) *quorumMember {
+	for _, m := range s.members {
+		if m.disk.ID == id {
+			return m
 		}
 	}
 	return nil
 }
 
-func (s *sim) lastOf(a, b *core) *time.Duration {
-	key := [2]*core{a, b}
+// lastDelivery is when the last message from one quorum member to another arrives.
+func (s *sim) lastDelivery(from, to *quorumMember) *time.Duration {
+	key := [2]*quorumMember{from, to}
 	if s.pipes[key] == nil {
 		s.pipes[key] = new(time.Duration)
 	}
@@ -168,24 +202,24 @@
 }
 
 func (s *sim) route(name string) *Route {
-	i := slices.IndexFunc(s.w.Routes, func(r Route) bool { return r.Name == name })
-	return &s.w.Routes[i]
+	i := slices.IndexFunc(s.scenario.Routes, func(r Route) bool { return r.Name == name })
+	return &s.scenario.Routes[i]
 }
 
-// atEnd checks what has to hold once all is over.
-func (s *sim) atEnd() {
-	for _, c := range s.cores {
-		if c.up && c.raft.IsLeader() && s.now-c.raftProof() < time.Second && c.catalog.Revision() < s.acked {
-			s.broken("%s leads with revision %d, and %d was acknowledged", c.name, c.catalog.Revision(), s.acked)
+// checkFinalState checks the invariants of the end of a run: a leader in contact with a
+// quorum has every acknowledged revision.
+func (s *sim) checkFinalState() {
+	for _, m := range s.members {
+		inContact := m.raft.QuorumContactAge(s.now) < time.Second
+		if m.up && m.raft.IsLeader() && inContact && m.catalog.Revision() < s.ackedRevision {
+			s.violation("%s leads with revision %d, and %d was acknowledged", m.name, m.catalog.Revision(), s.ackedRevision)
 		}
 	}
 }
 
-func (c *core) raftProof() time.Duration { return c.s.now - c.raft.QuorumContactAge(c.s.now) }
-
-// fingerprint is alike for runs that went alike.
+// fingerprint is a hash of the run: equal for runs with the same events.
 func (s *sim) fingerprint() uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, s.seq, s.tries, s.lives, s.rng.Uint64(), s.m.total)
+	fmt.Fprint(h, s.seq, s.attempts, s.incarnations, s.rng.Uint64(), s.measurements.total)
 	return h.Sum64()
 }
