--- a/cmd/meshlab/main.go
+++ b/cmd/meshlab/main.go
@@ -99,7 +99,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		return err
 	}
-	return fmt.Errorf("broken with seed %d: %s (shrunk in %d runs to %.1f s and %d troubles: %s)",
+	return fmt.Errorf("broken with seed %d: %s (shrunk in %d runs to %.1f s and %d faults: %s)",
 		c.Seed, strings.Join(r.Violations, "; "), n, small.Seconds, len(small.Faults), file)
 }
 
@@ -112,7 +112,7 @@
 	Out      string   `placeholder:"DIR" help:"Keep the results here."`
 }
 
-func play(jobs []lab.Job) []*lab.Result {
+func runAll(jobs []lab.Job) []*lab.Result {
 	bar := progressbar.NewOptions(len(jobs), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionShowCount(),
 		progressbar.OptionClearOnFinish(), progressbar.OptionSetDescription("runs"))
 	results := lab.Sweep(jobs, func() { bar.Add(1) })
@@ -127,8 +127,8 @@
 	return list
 }
 
-// faults reports what went wrong, as an error.
-func faults(results []*lab.Result) error {
+// violations returns the violated invariants of all results as an error.
+func violations(results []*lab.Result) error {
 	var errs []error
 	for _, r := range results {
 		if len(r.Violations) > 0 {
@@ -159,7 +159,7 @@
 			all = append(all, jobs(x, key+"="+v, c.Seed, c.Seeds)...)
 		}
 	}
-	results := play(all)
+	results := runAll(all)
 	fmt.Printf("%-24s", "")
 	for _, f := range lab.Metrics {
 		fmt.Printf(" %20s", f.Name)
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	return faults(results)
+	return violations(results)
 }
 
 type compareCmd struct {
@@ -205,13 +205,13 @@
 	if err != nil {
 		return err
 	}
-	results := play(append(jobs(a, "A", c.Seed, c.Seeds), jobs(b, "B", c.Seed, c.Seeds)...))
+	results := runAll(append(jobs(a, "A", c.Seed, c.Seeds), jobs(b, "B", c.Seed, c.Seeds)...))
 	lines, err := lab.Compare(results[:c.Seeds], results[c.Seeds:])
 	if err != nil {
 		return err
 	}
 	fmt.Println(strings.Join(lines, "\n"))
-	return faults(results)
+	return violations(results)
 }
 
 type reportCmd struct {
--- a/internal/simulation/lab/client.go
+++ b/internal/simulation/lab/client.go
@@ -8,7 +8,8 @@
 	"ivydeck/internal/dataplane/router"
 )
 
-// request is what a client wants; it may take several tries.
+// request is a request of a client, or a call of a server. It may take several
+// attempts.
 type request struct {
 	s        *sim
 	route    *Route
@@ -16,16 +17,16 @@
 	executed int
 }
 
-// attempt is one request on the wire.
+// attempt is one sending of a request by its client.
 type attempt struct {
 	id       string
 	request  *request
-	deadline time.Duration // the client waits no longer
+	deadline time.Duration // the client gives up
 	runs     int
 	refused  bool
 }
 
-// executed books a run at a server, and checks that it may be.
+// executed counts a run at a server, and checks that the attempt may run.
 func (t *attempt) executed() {
 	t.runs++
 	t.request.executed++
@@ -37,7 +38,7 @@
 	}
 }
 
-// answered books the final answer, and checks what it promises.
+// answered takes the response, and checks what it promises.
 func (t *attempt) answered(f router.Response) {
 	if f.Status == 429 || f.Status == 503 || f.Status == 408 || f.Status == 421 {
 		t.refused = true
@@ -50,7 +51,7 @@
 	}
 }
 
-// generateRequests lets new requests of a route begin.
+// generateRequests sends new requests of a route, as a Poisson process.
 func (s *sim) generateRequests(i int) {
 	r := &s.scenario.Routes[i]
 	if r.Rate <= 0 {
@@ -59,7 +60,7 @@
 	rate := r.Rate * s.burst[i]
 	wait := sec(-math.Log(1-s.rng.Float64()) / rate)
 	s.after(min(wait, time.Second), func() {
-		if wait <= time.Second { // else none in this second
+		if wait <= time.Second { // otherwise there is none in this second
 			q := &request{s: s, route: r, begun: s.now}
 			s.measurements.requestStarted(s.now, r)
 			s.sendRequest(q, 1)
@@ -68,10 +69,10 @@
 	})
 }
 
-// sendRequest makes one try of a request at some node.
+// sendRequest makes the n-th attempt of a request at a random node.
 func (s *sim) sendRequest(q *request, n int) {
 	at := s.rng.IntN(len(s.nodes))
-	for range 4 { // clients look for a node that is ready, or takes connections at least
+	for range 4 { // clients look for a node that is ready
 		if s.nodes[at].up && s.nodes[at].ready {
 			break
 		}
--- a/internal/simulation/lab/delivery_test.go
+++ b/internal/simulation/lab/delivery_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// TestChangesCostWhatTheyChange: what a change of one route costs each node, and the links between zones, does not depend
+// TestCostOfChanges: what a change of one route costs each node, and the links between zones, does not depend
 // on the size of the configuration, and it is everywhere within a second at fifty changes a second.
-func TestChangesCostWhatTheyChange(t *testing.T) {
+func TestCostOfChanges(t *testing.T) {
 	w, err := Load("../../../lab/changes.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Nodes, w.Seconds = 40, 6
-	play := func(routes int, every float64) *Result {
+	run := func(routes int, every float64) *Result {
 		w.Operator.Routes, w.Operator.EveryS = routes, every
 		r := Run(w, 1)
 		if len(r.Violations) > 0 || r.LagMaxMs > 1000 {
@@ -19,7 +19,7 @@
 		return r
 	}
 	for _, routes := range []int{50, 800} {
-		few, many := play(routes, 2), play(routes, 0.02)
+		few, many := run(routes, 2), run(routes, 0.02)
 		changes := float64(many.Acks-few.Acks) / w.Seconds // a second
 		if changes < 10 {
 			t.Fatalf("%d routes: %.1f changes a second", routes, changes)
--- a/internal/simulation/lab/engine.go
+++ b/internal/simulation/lab/engine.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// event is something that happens at a time; those of one time keep their order.
+// event is a function to call at a time. Events of the same time keep the order in
+// which they were scheduled.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -29,7 +30,7 @@
 	return e
 }
 
-// engine is simulated time.
+// engine is the simulated clock, the queue of events and the random numbers.
 type engine struct {
 	now   time.Duration
 	queue events
@@ -37,15 +38,16 @@
 	rng   *rand.Rand
 }
 
-// at lets f happen at a time, now at the earliest.
+// at schedules f for a time, or for now if that is past.
 func (e *engine) at(t time.Duration, f func()) {
 	e.seq++
 	heap.Push(&e.queue, event{max(t, e.now), e.seq, f})
 }
 
+// after schedules f for the time d from now.
 func (e *engine) after(d time.Duration, f func()) { e.at(e.now+d, f) }
 
-// run runs until a time.
+// run calls all events up to a time.
 func (e *engine) run(until time.Duration) {
 	for len(e.queue) > 0 && e.queue[0].at <= until {
 		next := heap.Pop(&e.queue).(event)
@@ -55,7 +57,7 @@
 	e.now = until
 }
 
-// randomCount returns a whole number whose mean is x.
+// randomCount draws one of the two whole numbers around x, with mean x.
 func (e *engine) randomCount(x float64) int {
 	n := int(x)
 	if e.rng.Float64() < x-float64(n) {
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -12,7 +12,7 @@
 	"ivydeck/internal/distribution/relay"
 )
 
-func town(t *testing.T) *Scenario {
+func townScenario(t *testing.T) *Scenario {
 	t.Helper()
 	w, err := Load("../../../lab/town.toml")
 	if err != nil {
@@ -21,10 +21,10 @@
 	return w
 }
 
-// TestTown runs a day with troubles: it repeats by its seed, nothing breaks, and
-// where there is too much to do the lowest priority is refused first.
+// TestTown runs a scenario with faults: it repeats by its seed, no invariant is violated, and
+// the lowest priority is refused first in overload.
 func TestTown(t *testing.T) {
-	w := town(t)
+	w := townScenario(t)
 	a, b, c := Run(w, 1), Run(w, 1), Run(w, 2)
 	if a.Fingerprint != b.Fingerprint || a.Total != b.Total {
 		t.Errorf("the same seed gave %v and %v", a.Total, b.Total)
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestChecksCanFail breaks each rule once by hand.
-func TestChecksCanFail(t *testing.T) {
-	w := town(t)
+// TestInvariantsAreChecked violates each invariant once by hand.
+func TestInvariantsAreChecked(t *testing.T) {
+	w := townScenario(t)
 	for name, f := range map[string]func(s *sim){
 		"must not run twice": func(s *sim) {
 			q := &request{s: s, route: s.route("order")}
@@ -106,7 +106,7 @@
 		s := prepare(w, 1)
 		s.run(5 * time.Second)
 		if len(s.violations) > 0 {
-			t.Fatalf("before anything was broken: %v", s.violations)
+			t.Fatalf("before any violation: %v", s.violations)
 		}
 		f(s)
 		if len(s.violations) == 0 || !strings.Contains(s.violations[0], name) {
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestScenariosAreChecked(t *testing.T) {
+func TestParseReportsErrors(t *testing.T) {
 	_, err := Parse(`
 nodes = 2
 speed = 3
@@ -152,7 +152,7 @@
 			t.Errorf("nothing about %q in: %v", want, err)
 		}
 	}
-	w := town(t)
+	w := townScenario(t)
 	v, err := w.Vary("service.1.slots", "3")
 	if err != nil || v.Services[1].Slots != 3 || w.Services[1].Slots == 3 {
 		t.Errorf("%v, %v", v, err)
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestIllServers: a sixth of the servers fails half of its runs, fast, so that it looks idle. Without the health core a
+// TestGreyServers: a sixth of the servers fails half of its runs, fast, so that it looks idle. Without health checks a
 // seventeenth of all requests fails; the application's own errors are 2 in 1,000.
-func TestIllServers(t *testing.T) {
+func TestGreyServers(t *testing.T) {
 	w, err := Load("../../../lab/ill.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestAllStart: a thousand nodes start at once and turn to the core, which feeds no more of them than it has room for;
+// TestSimultaneousStart: a thousand nodes start at once and subscribe to the quorum members, which feed no more of them than they may;
 // the others are fed by those.
-func TestAllStart(t *testing.T) {
+func TestSimultaneousStart(t *testing.T) {
 	w, err := Load("../../../lab/ill.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestShrink keeps the trouble and the route without which nothing breaks.
+// TestShrink keeps the fault and the route without which no invariant is violated.
 func TestShrink(t *testing.T) {
-	w := town(t)
+	w := townScenario(t)
 	small := Shrink(w, func(x *Scenario) (float64, bool) {
 		drained, rate := false, 0.0
 		for _, tr := range x.Faults {
@@ -257,6 +257,6 @@
 		t.Errorf("%g s, %v, %d routes with clients", small.Seconds, small.Faults, rates)
 	}
 	if len(w.Faults) < 3 || w.Routes[0].Rate == 0 {
-		t.Error("the world itself was changed")
+		t.Error("the scenario itself was changed")
 	}
 }
--- a/internal/simulation/lab/measurements.go
+++ b/internal/simulation/lab/measurements.go
@@ -9,7 +9,7 @@
 	"ivydeck/internal/dataplane/router"
 )
 
-// measurements are taken as a scenario is played.
+// measurements are what a run has measured so far.
 type measurements struct {
 	scenario        *Scenario
 	seconds         []Second
@@ -22,7 +22,7 @@
 	newest          uint64
 	acks            []time.Duration
 	elections       int
-	leaderlessSince time.Duration // since when nobody leads; negative: somebody does
+	leaderlessSince time.Duration // since when there is no leader; negative: there is one
 	leaderless      time.Duration
 	probes          int64
 	probeBytes      int64
@@ -32,8 +32,8 @@
 	depth           int
 	staleParents    int
 	disk            int
-	requestsTo      map[string]*slidingCounter // requests of a service
-	retriesOf       map[string]*slidingCounter // repeats of them
+	requestsTo      map[string]*slidingCounter // by service
+	retriesOf       map[string]*slidingCounter // by service
 }
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) } // microseconds
@@ -68,18 +68,18 @@
 	m.total.Requests++
 }
 
-// refusalRetried books a promise after which the client comes back.
+// refusalRetried counts a refusal after which the client retries.
 func (m *measurements) refusalRetried(r *Route) {
 	m.route(r.Name).RetriedRefusals++
 	m.total.RetriedRefusals++
 }
 
-// requestEnded books the end of a request, in the second in which it began.
+// requestEnded counts the end of a request, in the second in which it began.
 func (m *measurements) requestEnded(now time.Duration, q *request, f router.Response) {
 	sec := m.second(q.begun)
 	all := []*Counts{&sec.Counts, m.route(q.route.Name), &m.total}
 	took := now - q.begun
-	book := func(f func(c *Counts)) {
+	count := func(f func(c *Counts)) {
 		for _, c := range all {
 			f(c)
 		}
@@ -90,22 +90,22 @@
 		m.latency[q.route.Name].RecordValue(us)
 		m.perSecond[int(q.begun/time.Second)].RecordValue(us)
 		if took <= ms(q.route.TargetLatencyMs) {
-			book(func(c *Counts) { c.OnTime++; c.Value += valueOnTime })
+			count(func(c *Counts) { c.OnTime++; c.Value += valueOnTime })
 		} else {
-			book(func(c *Counts) { c.Late++; c.Value += valueLate })
+			count(func(c *Counts) { c.Late++; c.Value += valueLate })
 		}
 	case f.RetryAfter > 0:
-		book(func(c *Counts) { c.Refused++ })
+		count(func(c *Counts) { c.Refused++ })
 		for len(sec.ByPriority) <= q.route.Priority {
 			sec.ByPriority = append(sec.ByPriority, 0)
 		}
 		sec.ByPriority[q.route.Priority]++
 	default:
-		book(func(c *Counts) { c.Failed++ })
+		count(func(c *Counts) { c.Failed++ })
 	}
 }
 
-// slidingCounter counts what happened in a window that ends now.
+// slidingCounter counts events in a window that ends now.
 type slidingCounter struct {
 	times []time.Duration
 	first int
@@ -131,11 +131,12 @@
 	return m[service]
 }
 
-// requestEntered books a request for a service, repeated one that reaches a server again.
+// requestEntered counts a request for a service.
 func (m *measurements) requestEntered(now time.Duration, service string) {
 	window(m.requestsTo, service).add(now)
 }
 
+// requestRetried counts a retry, and the share of the retry budget that is used.
 func (m *measurements) requestRetried(now time.Duration, service string) {
 	m.retries++
 	m.second(now).Retries++
@@ -147,7 +148,7 @@
 	m.second(now).RetryBudget = max(m.second(now).RetryBudget, used)
 }
 
-// updateCommitted notes when an update was first applied by a quorum member.
+// updateCommitted records when an update was first applied by a quorum member.
 func (m *measurements) updateCommitted(now time.Duration, number uint64) {
 	if number > m.newest {
 		m.newest = number
@@ -155,9 +156,10 @@
 	}
 }
 
-// updatesReceived notes that a node has got the updates after one index up to another.
+// updatesReceived records that a node has received the updates after one index up to
+// another.
 func (m *measurements) updatesReceived(now time.Duration, before, after uint64) {
-	if before == 0 { // a new incarnation, which has everything at once
+	if before == 0 { // a new incarnation, which receives the full state
 		return
 	}
 	for n := before + 1; n <= after; n++ {
@@ -169,7 +171,7 @@
 	}
 }
 
-// syncing books the time for which a run held a slot.
+// slotHeld adds the time for which a run held a slot.
 func (m *measurements) slotHeld(now time.Duration, service string, took time.Duration) {
 	sec := m.second(now)
 	if sec.Busy == nil {
@@ -178,6 +180,7 @@
 	sec.Busy[service] += took.Seconds()
 }
 
+// leaderElected counts an election.
 func (m *measurements) leaderElected(now time.Duration) {
 	m.elections++
 	if m.leaderlessSince >= 0 {
@@ -186,7 +189,7 @@
 	m.leaderlessSince = -1
 }
 
-// countLeaderless books the time without one.
+// countLeaderless adds the time without a leader that ends now.
 func (m *measurements) countLeaderless(now time.Duration) {
 	m.leaderless += now - m.leaderlessSince
 	for at := m.leaderlessSince; at < now; {
@@ -196,7 +199,7 @@
 	}
 }
 
-// leaderLost notes that a machine leads no longer; another may.
+// leaderLost records that a machine is not the leader any more; another may be one.
 func (m *measurements) leaderLost(now time.Duration, another bool) {
 	if m.leaderlessSince < 0 && !another {
 		m.leaderlessSince = now
--- a/internal/simulation/lab/network.go
+++ b/internal/simulation/lab/network.go
@@ -1,36 +1,37 @@
 package lab
 
 import (
+	"slices"
 	"time"
 )
 
-// machine is one machine on the network, and the process on it.
+// machine is a machine on the network, and the process that runs on it.
 type machine struct {
 	name, zone     string
 	isQuorumMember bool
 	incarnation    uint64 // of the process; a later one is higher
 	up             bool   // the process runs
 	powered        bool
-	partitioned    bool           // no message passes
-	sendUntil      time.Duration  // the line out is taken until then
-	calls          []*pendingCall // of others, under way here
-	sentBytes      int64          // sent
-	crossZoneBytes int64          // of them, to other zones
+	partitioned    bool           // no message gets through
+	sendUntil      time.Duration  // when its outgoing link is free again
+	calls          []*pendingCall // by others, in progress here
+	sentBytes      int64
+	crossZoneBytes int64 // of sentBytes, to other zones
 }
 
-// network carries messages between machines.
+// network delivers messages between machines, and fails to during partitions.
 type network struct {
 	*engine
 	Net
-	partitions map[[2]string]bool // zones between which nothing passes
+	partitions map[[2]string]bool // pairs of zones between which no message gets through
 }
 
-// reaches reports whether messages pass.
+// reaches reports whether messages get from a to b.
 func (n *network) reaches(a, b *machine) bool {
 	return a == b || !a.partitioned && !b.partitioned && !n.partitions[[2]string{a.zone, b.zone}]
 }
 
-// delay is how long a message takes.
+// delay is how long a message of a size takes.
 func (n *network) delay(from, to *machine, size int) time.Duration {
 	if from == to {
 		return 20 * time.Microsecond
@@ -41,7 +42,7 @@
 		from.crossZoneBytes += int64(size)
 		d += ms(n.ZoneMs)
 	}
-	for n.Loss > 0 && n.rng.Float64() < n.Loss { // sent again by the transport
+	for n.Loss > 0 && n.rng.Float64() < n.Loss { // a retransmission
 		d += 200 * time.Millisecond
 	}
 	if n.MBps > 0 {
@@ -51,14 +52,14 @@
 	return d
 }
 
-// post sends a message; it is lost where nothing passes, or where the process that
-// it is for has ended.
+// post sends a message and calls f when it arrives. It is lost if it does not get
+// through, or if the process that it was sent to has ended.
 func (n *network) post(from, to *machine, size int, f func()) {
 	n.stream(from, to, size, new(time.Duration), f)
 }
 
-// stream is post for messages that keep their order; last is when the one before
-// arrives.
+// stream is post for messages of one connection, which keep their order; last is when
+// the previous one arrives.
 func (n *network) stream(from, to *machine, size int, last *time.Duration, f func()) {
 	if !from.up || !n.reaches(from, to) || !to.up {
 		return
@@ -72,7 +73,7 @@
 	})
 }
 
-// pendingCall is a call under way.
+// pendingCall is a call in progress.
 type pendingCall struct {
 	over bool
 	fail func(sent bool)
@@ -86,14 +87,15 @@
 }
 
 const (
-	unreachableTimeout = 300 * time.Millisecond // for a sign of life from a silent machine
+	unreachableTimeout = 300 * time.Millisecond // of calls to a machine that is not reached
 	powerLossTimeout   = 1800 * time.Millisecond
-	rpcBytes           = 40 // of a frame around a message
+	maxKeptCalls       = 64 // calls of a machine at which finished ones are dropped
+	rpcBytes           = 40 // size of the frame around a message
 )
 
-// call sends a question to another machine. serve takes it there, and may answer;
-// fail tells that no answer came: sent is false where the question was surely not
-// delivered. The caller's own end ends the call without a word.
+// call sends a request to another machine. serve handles it there, and may answer.
+// fail is called if no answer came within wait; sent is false if the request was
+// certainly not delivered. Neither is called once the caller's process has ended.
 func (n *network) call(from, to *machine, size int, wait time.Duration, serve func(answer func(size int, take func())), fail func(sent bool)) {
 	incarnation := from.incarnation
 	p := &pendingCall{fail: func(sent bool) {
@@ -105,7 +107,7 @@
 	case !n.reaches(from, to) || !to.powered:
 		n.after(min(wait, unreachableTimeout), func() { p.end(false) })
 		return
-	case !to.up: // refused
+	case !to.up: // connection refused
 		n.after(2*n.delay(from, to, rpcBytes), func() { p.end(false) })
 		return
 	}
@@ -121,20 +123,13 @@
 			})
 		})
 	})
-	if len(to.calls) > 64 { // those that are over
-		keep := to.calls[:0]
-		for _, c := range to.calls {
-			if !c.over {
-				keep = append(keep, c)
-			}
-		}
-		clear(to.calls[len(keep):])
-		to.calls = keep
+	if len(to.calls) > maxKeptCalls {
+		to.calls = slices.DeleteFunc(to.calls, func(c *pendingCall) bool { return c.over })
 	}
 }
 
-// stop ends a machine's process. Callers see at once that it has gone, unless the
-// machine is silent.
+// stop ends a machine's process. Its callers see the broken connections at once, or
+// after powerLossTimeout if the machine has no power.
 func (n *network) stop(m *machine, power bool) {
 	m.up, m.powered = false, !power
 	wait := ms(n.LinkMs)
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	errProposalDropped = errors.New("another entry took its place")
-	errTooFewVoters    = errors.New("the core has too few members yet")
+	errProposalDropped = errors.New("another entry took the index")
+	errTooFewVoters    = errors.New("the quorum has too few voters")
 )
 
 const (
@@ -24,16 +24,17 @@
 	readinessRetryPause = 100 * time.Millisecond
 	readinessCheck      = 20 * time.Millisecond
 	deadlineMargin      = 15 * time.Millisecond
-	headerBytes         = 300 // of a request or an answer without its body
+	headerBytes         = 300 // size of a request or a response without its body
 )
 
-// node is a sidecar machine.
+// node is a sidecar machine: it drives membership, relay, router and local server as
+// the real one does (internal/dataplane/sidecar).
 type node struct {
 	machine
 	peerView
 	parents    relay.ParentCache
 	selector   relay.Selector
-	parent     *child // as the parent has it
+	parent     *child // this node's subscription at its parent
 	receivedAt time.Duration
 	freshAt    time.Duration
 	readiness  relay.Readiness
@@ -45,10 +46,10 @@
 	startedAt      time.Duration
 	cluster        router.ClusterStateBuilder
 	registered     catalog.NodeServers
-	membersVersion uint64 // the version of them that the table has been told
+	membersVersion uint64 // version of the membership list in the routing table
 	registering    bool
-	ready          bool   // it takes clients: its state is as new as what had been acknowledged when it started
-	mustKnow       uint64 // the revision that had been
+	ready          bool   // it takes requests
+	mustKnow       uint64 // the last revision acknowledged before its start; ready nodes must know it
 }
 
 func (n *node) start() {
@@ -70,14 +71,16 @@
 	s.after(time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), func() { n.subscribe(incarnation) })
 }
 
-// startReadiness lets the node serve once its state may be served by: see relay.Readiness.
+// startReadiness makes the node ready once its state is recent enough: see
+// relay.Readiness.
 func (n *node) startReadiness(incarnation uint64) {
 	n.readiness = relay.Readiness{}
 	n.requestLatestIndex(incarnation)
 	n.checkReadiness(incarnation)
 }
 
-// requestLatestIndex asks the leader how far the updates have come, until it has an answer.
+// requestLatestIndex asks the leader for the index of the last update, until it has an
+// answer.
 func (n *node) requestLatestIndex(incarnation uint64) {
 	s := n.s
 	if !n.up || n.incarnation != incarnation || n.ready {
@@ -128,7 +131,7 @@
 	}
 }
 
-// candidates are whom the node may follow.
+// candidates are the addresses of the parents that the node may subscribe to.
 func (n *node) candidates() []string {
 	if list := n.parents.Parents(n.group.Version(), n.group.Members); len(list) > 0 {
 		return list
@@ -136,7 +139,7 @@
 	return n.s.seeds
 }
 
-// subscribe subscribes to a parent, unless there is one.
+// subscribe subscribes to a parent, unless the node has one.
 func (n *node) subscribe(incarnation uint64) {
 	if !n.up || n.incarnation != incarnation || n.parent != nil {
 		return
@@ -162,7 +165,7 @@
 	n.watchParent(c)
 }
 
-// watchParent gives a parent up that is silent.
+// watchParent abandons a parent that sends nothing.
 func (n *node) watchParent(c *child) {
 	if n.parent != c {
 		return
@@ -174,25 +177,25 @@
 	n.s.at(n.receivedAt+relay.FeedTimeout, func() { n.watchParent(c) })
 }
 
-// abandon leaves a parent, and looks for another.
-func (n *node) abandon(c *child, why relay.EndReason) {
+// abandon leaves a parent and subscribes to another.
+func (n *node) abandon(c *child, reason relay.EndReason) {
 	if n.up && n.incarnation == c.incarnation && n.parent == c {
 		n.parent.ended, n.parent = true, nil
-		n.selector.Ended(n.s.now, why)
+		n.selector.Ended(n.s.now, reason)
 		n.subscribe(n.incarnation)
 	}
 }
 
-// receive takes updates from a parent.
+// receive handles a feed of the parent.
 func (n *node) receive(c *child, f *wire.Feed) {
 	if n.parent != c {
 		return
 	}
 	n.receivedAt = n.s.now
 	contactAt := c.subscription.ContactAt(n.s.now, f)
-	if why := n.selector.Check(n.s.now, n.s.now-contactAt); why != relay.Continue {
+	if reason := n.selector.Check(n.s.now, n.s.now-contactAt); reason != relay.Continue {
 		n.s.measurements.staleParents++
-		n.abandon(c, why)
+		n.abandon(c, reason)
 		return
 	}
 	before := n.hub.Index()
@@ -213,7 +216,8 @@
 	}
 }
 
-// upkeep sweeps, splits the slack, and keeps the core's list in line.
+// upkeep is the periodic work: it sweeps the local servers, shares the retry slack, and
+// keeps the registry in line.
 func (n *node) upkeep(incarnation uint64) {
 	if !n.up || n.incarnation != incarnation {
 		return
--- a/internal/simulation/lab/operator.go
+++ b/internal/simulation/lab/operator.go
@@ -7,14 +7,15 @@
 	"ivydeck/internal/controlplane/catalog"
 )
 
-// sendConfigs sends configurations. What was acknowledged has to be there ever after.
+// sendConfigs sends the next configuration. From its acknowledgement on, no read may
+// return an older one.
 func (s *sim) sendConfigs() {
 	every := sec(s.scenario.Operator.EveryS)
-	again := func(d time.Duration) { s.after(d, s.sendConfigs) }
+	retry := func(d time.Duration) { s.after(d, s.sendConfigs) }
 	body, err := s.scenario.config(s.baseRevision + 1)
 	s.check(err)
 	base := s.baseRevision
-	asked := s.now
+	sentAt := s.now
 	s.callLeader(nil, len(body), func(c *quorumMember, answer func(error)) {
 		current := c.catalog.Current()
 		config, err := current.Parse(body)
@@ -24,22 +25,23 @@
 		switch {
 		case err == nil:
 			s.ackedRevision, s.baseRevision = max(s.ackedRevision, base+1), base+1
-			s.measurements.acks = append(s.measurements.acks, s.now-asked)
+			s.measurements.acks = append(s.measurements.acks, s.now-sentAt)
 			if every > 0 {
-				again(every)
+				retry(every)
 			}
 		case errors.Is(err, catalog.ErrStale):
-			s.readRevision(again)
+			s.readRevision(retry)
 		default:
-			again(300 * time.Millisecond)
+			retry(300 * time.Millisecond)
 		}
 	})
 }
 
-// readRevision learns the revision in force.
-func (s *sim) readRevision(again func(time.Duration)) {
+// readRevision reads the current revision, and checks that it is not older than any
+// that was acknowledged before.
+func (s *sim) readRevision(retry func(time.Duration)) {
 	s.callLeader(nil, rpcBytes, func(c *quorumMember, answer func(error)) {
-		acked := s.ackedRevision // before the question
+		acked := s.ackedRevision // before the read
 		c.read(func(ok bool) {
 			if !ok {
 				answer(errProposalDropped)
@@ -52,22 +54,23 @@
 			}
 			answer(nil)
 		})
-	}, func(error) { again(100 * time.Millisecond) })
+	}, func(error) { retry(100 * time.Millisecond) })
 }
 
-// callLeader runs f in the leader's loop, wherever that is; from nil: from outside.
+// callLeader calls f in the leader's loop, and done with its result. It tries members in
+// turn until one knows the leader. from is the caller's machine; nil: the operator's.
 func (s *sim) callLeader(from *machine, size int, f func(c *quorumMember, answer func(error)), done func(error)) {
 	if from == nil {
 		from = &s.outside
 	}
 	first := s.rng.IntN(len(s.members))
-	var ask func(i int, c *quorumMember)
-	ask = func(i int, c *quorumMember) {
+	var try func(i int, c *quorumMember)
+	try = func(i int, c *quorumMember) {
 		if i > 2*len(s.members) {
 			done(errProposalDropped)
 			return
 		}
-		next := func() { ask(i+1, s.members[(first+i+1)%len(s.members)]) }
+		next := func() { try(i+1, s.members[(first+i+1)%len(s.members)]) }
 		s.call(from, &c.machine, size, controlCallTimeout, func(answer func(int, func())) {
 			c.post(func() {
 				if !c.raft.IsLeader() {
@@ -76,7 +79,7 @@
 						if to == nil || to == c {
 							next()
 						} else {
-							ask(i+1, to)
+							try(i+1, to)
 						}
 					})
 					return
@@ -85,11 +88,11 @@
 			})
 		}, func(sent bool) {
 			if sent {
-				done(errProposalDropped) // it may still be taken
+				done(errProposalDropped) // it may still be committed
 			} else {
 				next()
 			}
 		})
 	}
-	ask(0, s.members[first])
+	try(0, s.members[first])
 }
--- a/internal/simulation/lab/peerview.go
+++ b/internal/simulation/lab/peerview.go
@@ -10,7 +10,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// peerView is what every machine has: a view of the others, and a place in the tree.
+// peerView is the part that all machines have: membership, and a place in the tree of
+// relays.
 type peerView struct {
 	s        *sim
 	m        *machine
@@ -20,16 +21,16 @@
 	children []*child
 }
 
-// child is a subscriber of a machine's updates.
+// child is a subscription to a machine's updates.
 type child struct {
 	node         *node
 	incarnation  uint64
 	have         uint64
-	lastDelivery time.Duration // when the newest message to it arrives
+	lastDelivery time.Duration // when the last message to it arrives
 	ended        bool
 
 	subscription relay.Subscription // of the node
-	subscribedAt time.Duration      // when the parent had it
+	subscribedAt time.Duration      // when the parent received the subscription
 }
 
 func (v *peerView) start(s *sim, m *machine) {
@@ -39,12 +40,12 @@
 	if s.scenario.Steady && len(s.initialMembers) > 0 && s.now == 0 {
 		v.group.Load(s.now, s.initialMembers)
 	}
-	// Machines do not start in the same moment.
+	// Periodic work of the machines does not coincide.
 	s.after(time.Duration(s.rng.Int64N(int64(membership.ProbeInterval))), func() { v.probe(m.incarnation) })
 	s.after(time.Duration(s.rng.Int64N(int64(relay.Heartbeat))), func() { v.heartbeat(m.incarnation) })
 }
 
-// probe is the driver of membership.
+// probe sends the probes that membership asks for.
 func (v *peerView) probe(incarnation uint64) {
 	if !v.m.up || v.m.incarnation != incarnation {
 		return
@@ -63,7 +64,7 @@
 	})
 }
 
-// exchange sends a probe and takes in the answer; nil: none came.
+// exchange sends a probe and merges the response; done gets nil if there was none.
 func (v *peerView) exchange(address string, p *wire.ProbeRequest, wait time.Duration, done func(*wire.ProbeResponse)) {
 	to := v.s.views[address]
 	if to == nil {
@@ -94,7 +95,7 @@
 	}, func(bool) { done(nil) })
 }
 
-// heartbeatLoop feeds all children where none was fed for as long as a heartbeat may take.
+// heartbeat sends feeds to all children unless some were sent within the interval.
 func (v *peerView) heartbeat(incarnation uint64) {
 	if !v.m.up || v.m.incarnation != incarnation {
 		return
@@ -105,7 +106,7 @@
 	v.s.at(v.pacing.Due(v.hub.Depth()), func() { v.heartbeat(incarnation) })
 }
 
-// liveChildren is the number of children that are still there.
+// liveChildren is the number of children whose process still runs.
 func (v *peerView) liveChildren() int {
 	n := 0
 	for _, c := range v.children {
@@ -116,7 +117,7 @@
 	return n
 }
 
-// feed sends each child what it lacks.
+// feed sends each child the updates that it does not have.
 func (v *peerView) feed() {
 	v.pacing.Sent(v.s.now)
 	keep := v.children[:0]
--- a/internal/simulation/lab/quorum_member.go
+++ b/internal/simulation/lab/quorum_member.go
@@ -20,23 +20,24 @@
 	joinCallTimeout = 600 * time.Millisecond
 )
 
-// isQuorumMember is a quorum member: the consensus on its disk, and the root of the relays.
+// quorumMember is a machine of the control plane: it drives raft, the catalog and the
+// root of the relays as the real server does (internal/controlplane/server).
 type quorumMember struct {
 	machine
 	peerView
 	s          *sim
 	disk       simdisk.Disk
-	stallUntil time.Duration // until then the disk takes nothing
+	stallUntil time.Duration // until then a sync does not return
 
 	raft        *raft.Node
 	members     *raft.MembershipManager
 	catalog     *catalog.Catalog
-	applied     uint64
-	proposals   map[uint64]*proposal
-	reads       map[uint64]func(bool)
-	token       uint64
-	syncing     bool // a sync is under way
-	inbox       []func()
+	applied     uint64                // index of the last applied entry
+	proposals   map[uint64]*proposal  // pending ones by index
+	reads       map[uint64]func(bool) // pending reads by token
+	token       uint64                // of the last read
+	syncing     bool                  // a sync is in progress
+	inbox       []func()              // calls that wait for the loop
 	managedAt   time.Duration
 	isLeader    bool
 	leaderSince time.Duration
@@ -44,11 +45,13 @@
 	contactAt time.Duration // when a quorum last confirmed what is applied
 }
 
+// proposal is an entry that its proposer waits for.
 type proposal struct {
 	term   uint64
 	result func(error)
 }
 
+// start starts the process with what is on its disk.
 func (m *quorumMember) start() {
 	s := m.s
 	s.incarnations++
@@ -57,7 +60,7 @@
 		for m.disk.ID == 0 {
 			m.disk.ID = s.rng.Uint64()
 		}
-		if m == s.members[0] && !s.bootstrapped { // the first of all begins the core by itself
+		if m == s.members[0] && !s.bootstrapped { // bootstrap: the first member begins as a quorum of one
 			s.bootstrapped = true
 			m.catalog = catalog.New()
 			data, err := m.catalog.Snapshot()
@@ -85,6 +88,7 @@
 	return &wire.Peer{Id: m.disk.ID, Address: m.name, ControlAddress: m.name, Voter: voter}
 }
 
+// stop ends the process, with power also the machine.
 func (m *quorumMember) stop(power bool) {
 	if m.up {
 		m.s.stop(&m.machine, power)
@@ -93,7 +97,7 @@
 	}
 }
 
-// leadershipLost notes that the machine leads no longer.
+// leadershipLost records that the machine is not the leader any more.
 func (m *quorumMember) leadershipLost() {
 	if m.isLeader {
 		m.isLeader = false
@@ -101,7 +105,7 @@
 	}
 }
 
-// post runs f in the machine's loop.
+// post calls f in the machine's loop.
 func (m *quorumMember) post(f func()) {
 	m.inbox = append(m.inbox, f)
 	if !m.syncing {
@@ -109,7 +113,7 @@
 	}
 }
 
-// loop lets the machine run when its core wants to.
+// loop calls step whenever raft has something to do.
 func (m *quorumMember) loop(incarnation uint64) {
 	if !m.up || m.incarnation != incarnation {
 		return
@@ -120,7 +124,7 @@
 	m.s.at(max(m.s.now+time.Millisecond, min(m.raft.NextTick(), m.s.now+manageInterval)), func() { m.loop(incarnation) })
 }
 
-// step takes in what has come, and carries out what the core asks for.
+// step makes the calls in the inbox, ticks raft and executes what it asks for.
 func (m *quorumMember) step() {
 	now := m.s.now
 	for len(m.inbox) > 0 {
@@ -137,7 +141,8 @@
 	m.flush()
 }
 
-// flush is the driver's: disk first, then messages, then what is committed.
+// flush handles a Ready in the order that raft requires: it syncs the disk, sends the
+// messages, and applies the committed entries.
 func (m *quorumMember) flush() {
 	o := m.raft.Ready()
 	if o.Empty() {
@@ -174,6 +179,7 @@
 	})
 }
 
+// advance sends messages, applies entries, ends reads and compacts the log.
 func (m *quorumMember) advance(o raft.Ready) {
 	for _, message := range o.Messages {
 		to := m.s.memberByID(message.To)
@@ -203,6 +209,7 @@
 	m.s.measurements.disk = max(m.s.measurements.disk, m.disk.Bytes())
 }
 
+// apply applies a committed entry, and ends its proposal.
 func (m *quorumMember) apply(e *wire.Entry) {
 	m.applied = e.Index
 	var verdict error
@@ -225,7 +232,8 @@
 	}
 }
 
-// manage is the leader's upkeep.
+// manage is the leader's periodic work: it transfers leadership away from a slow disk
+// and removes the servers of dead nodes.
 func (m *quorumMember) manage() {
 	if !m.raft.IsLeader() {
 		m.leadershipLost()
@@ -238,13 +246,13 @@
 	if m.raft.ShouldTransferLeadership() && m.raft.TransferLeadership(m.s.now) {
 		return
 	}
-	gone := m.catalog.MembersOn(func(node string) bool { return m.group.Lost(m.s.now, node, m.s.now-m.leaderSince) })
-	if len(gone) > 0 && len(m.proposals) == 0 {
-		m.propose(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}}, func(error) {})
+	dead := m.catalog.MembersOn(func(node string) bool { return m.group.Lost(m.s.now, node, m.s.now-m.leaderSince) })
+	if len(dead) > 0 && len(m.proposals) == 0 {
+		m.propose(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: dead}}}, func(error) {})
 	}
 }
 
-// propose puts a command into the log; to be called in the loop.
+// propose proposes a command. It is called in the loop.
 func (m *quorumMember) propose(cmd *wire.Command, result func(error)) {
 	data, err := proto.Marshal(cmd)
 	m.s.check(err)
@@ -260,13 +268,14 @@
 	m.proposals[index] = &proposal{term, result}
 }
 
-// read lets look see the state once all that was acknowledged before is in it.
-func (m *quorumMember) read(look func(ok bool)) {
+// read calls look once the state includes everything that was acknowledged before.
+func (m *quorumMember) read(done func(ok bool)) {
 	m.token++
-	m.reads[m.token] = look
+	m.reads[m.token] = done
 	m.raft.ReadIndex(m.s.now, m.token)
 }
 
+// leader returns the leader as this member knows it; nil: it knows none.
 func (m *quorumMember) leader() *quorumMember {
 	for _, p := range m.raft.Peers() {
 		if p.Id == m.raft.Leader() {
@@ -276,7 +285,7 @@
 	return nil
 }
 
-// manageMembers is the driver of raft.MembershipManager.
+// manageMembers executes what raft.MembershipManager asks for.
 func (m *quorumMember) manageMembers() {
 	actions := m.members.Tick(m.s.now, m.peer(false), raft.WantedVoters(faultTolerance, len(m.s.members)), m.knownMembers)
 	if actions.Propose.Next != nil {
@@ -287,7 +296,8 @@
 	}
 }
 
-// knownMembers are the seeds, and the addresses that the gossip knows.
+// knownMembers are the addresses of the seeds and of the quorum members in the
+// membership list.
 func (m *quorumMember) knownMembers() []string {
 	known := slices.Clone(m.s.seeds)
 	for _, member := range m.group.Members() {
@@ -298,13 +308,13 @@
 	return known
 }
 
-// requestJoin asks a process for membership.
+// requestJoin asks the process at an address to add this one as a member.
 func (m *quorumMember) requestJoin(address string) {
-	place := slices.IndexFunc(m.s.members, func(o *quorumMember) bool { return o.name == address })
-	if place < 0 {
+	index := slices.IndexFunc(m.s.members, func(o *quorumMember) bool { return o.name == address })
+	if index < 0 {
 		return
 	}
-	other, incarnation := m.s.members[place], m.incarnation
+	other, incarnation := m.s.members[index], m.incarnation
 	self := m.peer(false)
 	m.s.call(&m.machine, &other.machine, proto.Size(self), joinCallTimeout, func(answer func(int, func())) {
 		other.post(func() {
--- a/internal/simulation/lab/result.go
+++ b/internal/simulation/lab/result.go
@@ -9,11 +9,11 @@
 type Counts struct {
 	Requests        int     `json:"asked"`
 	OnTime          int     `json:"in_aim"`
-	Late            int     `json:"late"`    // answered, past the aim
-	Refused         int     `json:"refused"` // with a promise, in the end
+	Late            int     `json:"late"`    // answered past the latency target
+	Refused         int     `json:"refused"` // in the end, with a promise that it has not run
 	Failed          int     `json:"failed"`
-	RetriedRefusals int     `json:"promises"` // refusals on the way
-	Value           float64 `json:"worth"`    // a request, at most 1
+	RetriedRefusals int     `json:"promises"` // refusals after which the client retried
+	Value           float64 `json:"worth"`    // mean of a request, at most 1
 }
 
 // Second is what happened in one second of a run.
@@ -21,16 +21,16 @@
 	Counts
 	ByPriority  []int   `json:"refused_by_priority"`
 	Retries     int     `json:"repeats"`
-	RetryBudget float64 `json:"budget"`     // part of the shared budget that was used, at its worst
-	LagMs       float64 `json:"lag_ms"`     // of updates, the worst
-	Leaderless  float64 `json:"leaderless"` // part of the second
+	RetryBudget float64 `json:"budget"`     // highest share of the retry budget that was used
+	LagMs       float64 `json:"lag_ms"`     // of updates, the longest
+	Leaderless  float64 `json:"leaderless"` // share of the second
 	P99Ms       float64 `json:"p99_ms"`
-	// Slots that were taken on average, by service; runs count in the second in
-	// which they end.
+	// Mean of the slots in use, by service. Runs count in the second in which they
+	// end.
 	Busy map[string]float64 `json:"busy"`
 }
 
-// RouteResult is how one route fared.
+// RouteResult is the result of one route. Percentiles are of answered requests.
 type RouteResult struct {
 	Counts
 	P50Ms  float64 `json:"p50_ms"`
@@ -39,37 +39,38 @@
 	P999Ms float64 `json:"p999_ms"`
 }
 
-// Result is what a run came to. Times are simulated.
+// Result is the result of a run. Times are simulated. Its JSON names are those of saved
+// results, which stay readable.
 type Result struct {
 	Scenario        string                 `json:"scenario"`
 	Text            string                 `json:"text"` // the scenario as TOML
 	Seed            uint64                 `json:"seed"`
-	Varied          string                 `json:"varied"` // what a sweep set, as key=value
+	Varied          string                 `json:"varied"` // the key that a sweep set, as key=value
 	Total           Counts                 `json:"total"`
 	Routes          map[string]RouteResult `json:"routes"`
 	Seconds         []Second               `json:"seconds"`
 	Retries         int                    `json:"repeats"`
-	RetryBudget     float64                `json:"budget"` // part of the shared budget that was used, at its worst
+	RetryBudget     float64                `json:"budget"` // highest share of the retry budget that was used
 	LagP50Ms        float64                `json:"lag_p50_ms"`
 	LagP99Ms        float64                `json:"lag_p99_ms"`
 	LagMaxMs        float64                `json:"lag_max_ms"`
-	Depth           int                    `json:"depth"`        // of the tree, at its deepest
-	StaleParents    int                    `json:"out_of_touch"` // times that a node left its parent for the age of what it sent
+	Depth           int                    `json:"depth"`        // highest depth of the relay tree
+	StaleParents    int                    `json:"out_of_touch"` // times that a node left a parent whose updates were too old
 	Elections       int                    `json:"elections"`
 	LeaderlessS     float64                `json:"leaderless_s"`
 	AckP50Ms        float64                `json:"ack_p50_ms"`
 	AckMaxMs        float64                `json:"ack_max_ms"`
 	Acks            int                    `json:"acks"`
-	Entries         uint64                 `json:"entries"`       // of the core's log that were committed
-	ProbesS         float64                `json:"probes_s"`      // a node and second
-	ProbeBytesS     float64                `json:"probe_bytes_s"` // the same
+	Entries         uint64                 `json:"entries"`       // committed entries of the log
+	ProbesS         float64                `json:"probes_s"`      // by node and second
+	ProbeBytesS     float64                `json:"probe_bytes_s"` // by node and second
 	FeedBytesS      float64                `json:"feed_bytes_s"`
-	BusiestBps      float64                `json:"busiest_bytes_s"` // out of the machine that sends most
-	CrossZoneBps    float64                `json:"crossed_bytes_s"` // between zones, all together
-	DiskBytes       int                    `json:"disk_bytes"`      // at one quorum member, at its most
+	BusiestBps      float64                `json:"busiest_bytes_s"` // sent by the machine that sends most
+	CrossZoneBps    float64                `json:"crossed_bytes_s"` // between zones, in total
+	DiskBytes       int                    `json:"disk_bytes"`      // highest at a quorum member
 	Violations      []string               `json:"faults"`
 	FirstViolationS float64                `json:"fault_at_s"`
-	RecentEvents    []string               `json:"recent"` // before the first fault
+	RecentEvents    []string               `json:"recent"` // before the first violation
 	Fingerprint     string                 `json:"fingerprint"`
 }
 
@@ -125,7 +126,7 @@
 	return r
 }
 
-// What a request is worth to its client.
+// The value of an answered request to its client.
 const (
 	valueOnTime = 1.0
 	valueLate   = 0.5
--- a/internal/simulation/lab/statistics.go
+++ b/internal/simulation/lab/statistics.go
@@ -63,11 +63,11 @@
 			d = append(d, y[i]-x[i])
 		}
 		diff := Average(d)
-		mark := ""
+		note := ""
 		if math.Abs(diff.Mean) > diff.HalfWidth {
-			mark = "  differs"
+			note = "  differs"
 		}
-		lines = append(lines, fmt.Sprintf("%-20s %12.4f %12.4f   %s%s", f.Name, stat.Mean(x, nil), stat.Mean(y, nil), diff, mark))
+		lines = append(lines, fmt.Sprintf("%-20s %12.4f %12.4f   %s%s", f.Name, stat.Mean(x, nil), stat.Mean(y, nil), diff, note))
 	}
 	return lines, nil
 }
