--- a/cmd/meshlab/check.go
+++ b/cmd/meshlab/check.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	rows, err := mutation.Try(ctx, list, mutation.Options{
+	rows, err := mutation.Run(ctx, list, mutation.Options{
 		Root: ".", Only: c.Only, Skip: c.Skip, States: c.States, Walks: c.Walks, Seeds: c.Seeds, Jobs: c.Jobs, Progress: os.Stderr,
 	})
 	if err != nil {
@@ -128,10 +128,10 @@
 	found, searched := 0, 0
 	for _, r := range rows {
 		fmt.Println(r)
-		if r.Found() {
+		if r.Killed() {
 			found++
 		}
-		if r.Searched() {
+		if r.KilledBySearch() {
 			searched++
 		}
 	}
--- a/internal/simulation/mutation/mutation.go
+++ b/internal/simulation/mutation/mutation.go
@@ -1,6 +1,6 @@
-// Package mutation is mutation testing: it puts bugs into the project's sources on purpose, one at a time and in an overlay
-// of the build alone, and sees which of the project's checks finds each. A check that finds nothing is worth nothing, and
-// says so here. It is called by meshlab mutate.
+// Package mutation is mutation testing of the project's own checks. It applies known bugs (mutants) to the sources, one at a
+// time and in an overlay of the build only, and reports which checks fail: the model checker, the simulations and the tests.
+// A check that kills no mutant proves little. It is called by meshlab mutate; the mutants are in lab/mutations.toml.
 package mutation
 
 import (
@@ -15,25 +15,25 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Bug is a change of one place of a source.
-type Bug struct {
+// Mutant is a change of one place in a source file.
+type Mutant struct {
 	Name string `toml:"name"`
 	File string `toml:"file"`
-	Old  string `toml:"old"` // stands in the file once
+	Old  string `toml:"old"` // occurs in the file exactly once
 	New  string `toml:"new"`
-	With string `toml:"with"` // the name of another bug of the list that is put in as well: each hides the other
+	With string `toml:"with"` // name of another mutant that is applied as well: each alone is masked by the other
 
-	Packages []string `toml:"packages"` // whose tests may find it, beside those that are tried in any case
+	Packages []string `toml:"packages"` // whose tests may kill it, beside those that always run
 }
 
-// List is what a file of bugs says.
+// List is a file of mutants.
 type List struct {
-	// Searches are the tests that go through many histories, drawn or all within bounds. All others try cases made by hand.
-	Searches []string `toml:"searches"`
-	Bugs     []Bug    `toml:"bug"`
+	// SearchTests are the tests that explore many histories, random ones or all within bounds. All others are hand-made cases.
+	SearchTests []string `toml:"searches"`
+	Mutants     []Mutant `toml:"bug"`
 }
 
-// Load reads a list of bugs and sees that each still has its place in the sources under root.
+// Load reads a list of mutants, and checks that each still applies to the sources under root.
 func Load(path, root string) (*List, error) {
 	list := new(List)
 	meta, err := toml.DecodeFile(path, list)
@@ -44,29 +44,29 @@
 	for _, key := range meta.Undecoded() {
 		faults = append(faults, fmt.Errorf("mutation: %s: %s is no key", path, key))
 	}
-	for _, b := range list.Bugs {
+	for _, b := range list.Mutants {
 		faults = append(faults, b.check(root))
 		if b.With != "" && list.find(b.With) == nil {
 			faults = append(faults, fmt.Errorf("mutation: %s: no bug %q to go with it", b.Name, b.With))
 		}
 	}
-	if len(list.Searches) > 0 {
-		faults = append(faults, checkTests(list.Searches, root))
+	if len(list.SearchTests) > 0 {
+		faults = append(faults, checkTests(list.SearchTests, root))
 	}
 	return list, errors.Join(faults...)
 }
 
-// find returns a bug by its name.
-func (l *List) find(name string) *Bug {
-	i := slices.IndexFunc(l.Bugs, func(b Bug) bool { return b.Name == name })
+// find returns a mutant by its name; nil: there is none.
+func (l *List) find(name string) *Mutant {
+	i := slices.IndexFunc(l.Mutants, func(b Mutant) bool { return b.Name == name })
 	if i < 0 {
 		return nil
 	}
-	return &l.Bugs[i]
+	return &l.Mutants[i]
 }
 
-// check sees that a bug has its place.
-func (b *Bug) check(root string) error {
+// check reports an error unless the mutant applies.
+func (b *Mutant) check(root string) error {
 	text, err := os.ReadFile(filepath.Join(root, b.File))
 	if err != nil {
 		return fmt.Errorf("mutation: %s: %w", b.Name, err)
@@ -79,7 +79,7 @@
 
 var testFunction = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 
-// checkTests sees that tests of these names are there.
+// checkTests reports an error unless there are tests of these names.
 func checkTests(names []string, root string) error {
 	known := map[string]bool{}
 	for _, pattern := range []string{"*_test.go", "*/*_test.go", "*/*/*_test.go", "*/*/*/*_test.go"} {
--- a/internal/simulation/mutation/mutation_test.go
+++ b/internal/simulation/mutation/mutation_test.go
@@ -7,45 +7,45 @@
 	"testing"
 )
 
-// TestBugsHaveTheirPlaces: each bug of the list can still be put in.
-func TestBugsHaveTheirPlaces(t *testing.T) {
-	bugs, err := Load("../../../lab/mutations.toml", "../../..")
+// TestMutantsApply: each mutant of the list still applies.
+func TestMutantsApply(t *testing.T) {
+	list, err := Load("../../../lab/mutations.toml", "../../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(bugs.Bugs) < 20 {
-		t.Errorf("%d bugs", len(bugs.Bugs))
+	if len(list.Mutants) < 20 {
+		t.Errorf("%d mutants", len(list.Mutants))
 	}
 	dir := t.TempDir()
-	source, list := filepath.Join(dir, "a.go"), filepath.Join(dir, "bugs.toml")
-	for name, text := range map[string]string{source: "one two two", list: "[[bug]]\nname = \"a\"\nfile = \"a.go\"\nold = \"two\"\nnew = \"x\"\n[[bug]]\nname = \"b\"\nfile = \"no.go\"\nwith = \"c\"\n"} {
+	source, file := filepath.Join(dir, "a.go"), filepath.Join(dir, "bugs.toml")
+	for name, text := range map[string]string{source: "one two two", file: "[[bug]]\nname = \"a\"\nfile = \"a.go\"\nold = \"two\"\nnew = \"x\"\n[[bug]]\nname = \"b\"\nfile = \"no.go\"\nwith = \"c\"\n"} {
 		if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := Load(list, dir); err == nil || !strings.Contains(err.Error(), "a.go 2 times") || !strings.Contains(err.Error(), "no.go") || !strings.Contains(err.Error(), `no bug "c"`) {
+	if _, err := Load(file, dir); err == nil || !strings.Contains(err.Error(), "a.go 2 times") || !strings.Contains(err.Error(), "no.go") || !strings.Contains(err.Error(), `no bug "c"`) {
 		t.Errorf("a list with three faults: %v", err)
 	}
 }
 
-// TestVerdicts: what checks print becomes a row.
+// TestVerdicts: the output of checks becomes a result.
 func TestVerdicts(t *testing.T) {
-	r := Row{Bug: Bug{Name: "bug"}}
-	if r.Found() {
-		t.Error("found by nobody, and found")
+	r := Result{Mutant: Mutant{Name: "bug"}}
+	if r.Killed() {
+		t.Error("killed by nothing, and killed")
 	}
-	r.Searches, r.Tests = testVerdicts("--- FAIL: TestA (0.0s)\n    --- FAIL: TestA/b\n--- FAIL: TestC (1s)\n", []string{"TestB", "TestC"})
-	if r.Tests != "TestA" || r.Searches != "TestC" || !r.Searched() {
-		t.Errorf("by hand %q, by a search %q", r.Tests, r.Searches)
+	r.SearchTests, r.Tests = testVerdicts("--- FAIL: TestA (0.0s)\n    --- FAIL: TestA/b\n--- FAIL: TestC (1s)\n", []string{"TestB", "TestC"})
+	if r.Tests != "TestA" || r.SearchTests != "TestC" || !r.KilledBySearch() {
+		t.Errorf("by hand %q, by a search %q", r.Tests, r.SearchTests)
 	}
-	if r.Searches = ""; r.Searched() || !r.Found() {
-		t.Error("what a case made by hand has found alone counts as searched, or as not found")
+	if r.SearchTests = ""; r.KilledBySearch() || !r.Killed() {
+		t.Error("what only a hand-made case has killed counts as killed by a search, or as not killed")
 	}
 	r.Model = modelVerdict("log  10 states\nmeshlab: figure-8: after 7 steps and 90 states members 0 and 1 lead in term 2\n")
 	r.Simulation = simulationVerdict("--- FAIL: T\n sim_test.go:1: seed 12: the history is not linearizable (go test)\n sim_test.go:1: seed 40: x\n")
 	r.Lab = labVerdict("meshlab: storm broken with seed 3: 4.1 s: node1 went back\n")
 	want := "| bug | figure-8, 90 states, 7 steps: members 0 and 1 lead in term 2 | seed 12: not linearizable | seed 3: 4.1 s: node1 went back | - | TestA |"
-	if r.String() != want || !r.Searched() {
+	if r.String() != want || !r.KilledBySearch() {
 		t.Errorf("%s\nwant\n%s", r, want)
 	}
 	if got := modelVerdict("meshlab: walks: after 80 steps and 300 walks, with seed 17, member 1 votes twice\n"); got != "walk 17, 80 steps: member 1 votes twice" {
@@ -56,13 +56,13 @@
 	}
 }
 
-// TestOverlay: a bug that needs another is put in with it, also into the same file.
+// TestOverlay: a mutant that needs another is applied with it, also to the same file.
 func TestOverlay(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "a.go"), []byte("one two three"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	r := Row{Bug: Bug{File: "a.go", Old: "one", New: "1"}, with: &Bug{File: "a.go", Old: "three", New: "3"}}
+	r := Result{Mutant: Mutant{File: "a.go", Old: "one", New: "1"}, with: &Mutant{File: "a.go", Old: "three", New: "3"}}
 	if _, err := r.writeOverlay(dir, dir); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/mutation/run.go
+++ b/internal/simulation/mutation/run.go
@@ -15,56 +15,56 @@
 	"sync"
 )
 
-// packages have the tests that speak of what is decided, beside those of the changed file's own package and those that a
-// bug names; the drivers' take long and find little more.
-var packages = []string{
+// decisionPackages are those whose tests run for every mutant, beside those of the changed file's own package and those that the
+// mutant names. The tests of the I/O drivers take long and kill few more.
+var decisionPackages = []string{
 	"./decide", "./internal/controlplane/catalog", "./internal/dataplane/router", "./internal/dataplane/localserver", "./internal/distribution/relay",
 	"./internal/cluster/membership", "./internal/dataplane/budget", "./internal/dataplane/health", "./internal/controlplane/store",
 }
 
-// Options say how much is tried.
+// Options say which mutants and checks run, and how long.
 type Options struct {
 	Root     string
 	Only     []string // parts of names; empty: all
 	Skip     []string // checks that are not run: model, simulation, lab, tests
-	States   int      // of each search of the model checker, at most
-	Walks    int      // of the model checker
-	Seeds    int      // runs of the consensus's simulation
-	Jobs     int      // bugs at a time
+	States   int      // maximum of each search of the model checker
+	Walks    int      // random walks of the model checker
+	Seeds    int      // runs of the simulation of raft
+	Jobs     int      // mutants at a time
 	Progress io.Writer
 }
 
 func (o *Options) skips(check string) bool { return slices.Contains(o.Skip, check) }
 
-// Row is what became of one bug. Empty words stand for checks that have not found it.
-type Row struct {
-	Bug
-	Model      string // the model checker: a search or a random walk
-	Simulation string // of the consensus, with its disks, clients and operators
-	Lab        string // of whole meshes
-	Searches   string // tests that go through many histories
-	Tests      string // tests of cases made by hand
-
-	with     *Bug
-	searches []string // names of the tests that are searches
+// Result is which checks killed a mutant, and how. A check that did not has an empty string.
+type Result struct {
+	Mutant
+	Model       string // the model checker: a search or a random walk
+	Simulation  string // of raft, with disks, clients and operators
+	Lab         string // of whole meshes
+	SearchTests string // tests that explore many histories
+	Tests       string // tests of hand-made cases
+
+	with        *Mutant
+	searchTests []string // names of the tests that explore many histories
 }
 
-// Found reports whether any check has found the bug.
-func (r Row) Found() bool { return r.Searched() || r.Tests != "" }
+// Killed reports whether any check has killed the mutant.
+func (r Result) Killed() bool { return r.KilledBySearch() || r.Tests != "" }
 
-// Searched reports whether a search or a simulated run has found the bug, and not only a case made by hand.
-func (r Row) Searched() bool { return r.Model+r.Simulation+r.Lab+r.Searches != "" }
+// KilledBySearch reports whether a search or a simulation has killed the mutant, and not only a hand-made case.
+func (r Result) KilledBySearch() bool { return r.Model+r.Simulation+r.Lab+r.SearchTests != "" }
 
-// Header is the head of a table of rows.
+// Header is the header of a table of results.
 const Header = "| bug | model checker | simulation | lab | searching tests | hand-made tests |\n|---|---|---|---|---|---|"
 
-func (r Row) String() string {
+func (r Result) String() string {
 	name := r.Name
 	if r.With != "" {
 		name += " (with: " + r.With + ")"
 	}
 	cells := []string{name}
-	for _, text := range []string{r.Model, r.Simulation, r.Lab, r.Searches, r.Tests} {
+	for _, text := range []string{r.Model, r.Simulation, r.Lab, r.SearchTests, r.Tests} {
 		if text == "" {
 			text = "-"
 		}
@@ -73,36 +73,36 @@
 	return "| " + strings.Join(cells, " | ") + " |"
 }
 
-// Try puts in one bug after another. It returns a row for each, in order.
-func Try(ctx context.Context, list *List, opt Options) ([]Row, error) {
-	var rows []Row
-	for _, b := range list.Bugs {
+// Run runs the checks on one mutant after another, and returns a result for each, in order.
+func Run(ctx context.Context, list *List, opt Options) ([]Result, error) {
+	var results []Result
+	for _, b := range list.Mutants {
 		wanted := len(opt.Only) == 0
 		for _, part := range opt.Only {
 			wanted = wanted || strings.Contains(b.Name, part)
 		}
 		if wanted {
-			rows = append(rows, Row{Bug: b, with: list.find(b.With), searches: list.Searches})
+			results = append(results, Result{Mutant: b, with: list.find(b.With), searchTests: list.SearchTests})
 		}
 	}
-	places := make(chan struct{}, max(1, opt.Jobs))
-	errs := make([]error, len(rows))
+	slots := make(chan struct{}, max(1, opt.Jobs))
+	errs := make([]error, len(results))
 	var running sync.WaitGroup
-	for i := range rows {
-		places <- struct{}{}
+	for i := range results {
+		slots <- struct{}{}
 		running.Go(func() {
-			defer func() { <-places }()
-			errs[i] = rows[i].try(ctx, opt)
+			defer func() { <-slots }()
+			errs[i] = results[i].run(ctx, opt)
 			if opt.Progress != nil {
-				fmt.Fprintln(opt.Progress, rows[i])
+				fmt.Fprintln(opt.Progress, results[i])
 			}
 		})
 	}
 	running.Wait()
-	return rows, errors.Join(errs...)
+	return results, errors.Join(errs...)
 }
 
-// build is the sources with a bug.
+// build is a build of the sources with a mutant.
 type build struct {
 	ctx     context.Context
 	root    string
@@ -110,7 +110,7 @@
 	meshlab string
 }
 
-// tool runs the Go tool on the sources with the bug.
+// tool runs a command of the Go tool on the mutated sources.
 func (b *build) tool(args ...string) (output string, ok bool) {
 	return b.run("go", append([]string{args[0], "-overlay", b.overlay}, args[1:]...)...)
 }
@@ -119,12 +119,12 @@
 func (b *build) run(program string, args ...string) (output string, ok bool) {
 	cmd := exec.CommandContext(b.ctx, program, args...)
 	cmd.Dir = b.root
-	out, err := cmd.CombinedOutput()
-	return string(out), err == nil
+	combined, err := cmd.CombinedOutput()
+	return string(combined), err == nil
 }
 
-// try runs the checks that reach it on sources with the bug.
-func (r *Row) try(ctx context.Context, opt Options) error {
+// run runs the checks that can reach the mutant.
+func (r *Result) run(ctx context.Context, opt Options) error {
 	dir, err := os.MkdirTemp("", "mutation")
 	if err != nil {
 		return fmt.Errorf("mutation: %w", err)
@@ -134,68 +134,68 @@
 	if b.overlay, err = r.writeOverlay(dir, opt.Root); err != nil {
 		return err
 	}
-	if out, ok := b.tool("build", "-o", b.meshlab, "./cmd/meshlab"); !ok {
-		return fmt.Errorf("mutation: %s does not build:\n%s", r.Name, out)
+	if output, ok := b.tool("build", "-o", b.meshlab, "./cmd/meshlab"); !ok {
+		return fmt.Errorf("mutation: %s does not build:\n%s", r.Name, output)
 	}
 	consensus := strings.HasPrefix(r.File, "internal/controlplane/raft/")
 	state := strings.HasPrefix(r.File, "internal/controlplane/catalog/")
 	if consensus && !opt.skips("model") {
-		r.tryModel(b, opt)
+		r.runModelChecker(b, opt)
 	}
 	if (consensus || state) && !opt.skips("simulation") {
-		r.trySimulation(b, opt)
+		r.runSimulation(b, opt)
 	}
-	if !consensus && !opt.skips("lab") { // what it would find of the consensus is found above
-		r.tryLab(b, opt)
+	if !consensus && !opt.skips("lab") { // raft has its own simulation above
+		r.runLab(b, opt)
 	}
 	if !opt.skips("tests") {
-		r.tryTests(b, consensus)
+		r.runTests(b, consensus)
 	}
 	return ctx.Err()
 }
 
-func (r *Row) tryModel(b *build, opt Options) {
-	out, ok := b.run(b.meshlab, "check", "--states", strconv.Itoa(opt.States), "--walks", strconv.Itoa(opt.Walks))
+func (r *Result) runModelChecker(b *build, opt Options) {
+	output, ok := b.run(b.meshlab, "check", "--states", strconv.Itoa(opt.States), "--walks", strconv.Itoa(opt.Walks))
 	if !ok {
-		r.Model = modelVerdict(out)
+		r.Model = modelVerdict(output)
 	}
 }
 
-func (r *Row) trySimulation(b *build, opt Options) {
-	out, ok := b.tool("test", "./internal/controlplane/raft", "-run", "Linearizable", "-stop", "-seeds", strconv.Itoa(opt.Seeds))
+func (r *Result) runSimulation(b *build, opt Options) {
+	output, ok := b.tool("test", "./internal/controlplane/raft", "-run", "Linearizable", "-stop", "-seeds", strconv.Itoa(opt.Seeds))
 	if !ok {
-		r.Simulation = simulationVerdict(out)
+		r.Simulation = simulationVerdict(output)
 	}
 }
 
-func (r *Row) tryLab(b *build, opt Options) {
-	out, ok := b.run(b.meshlab, "sweep", "lab/storm.toml", "--seeds", strconv.Itoa(max(1, opt.Seeds/20)))
+func (r *Result) runLab(b *build, opt Options) {
+	output, ok := b.run(b.meshlab, "sweep", "lab/storm.toml", "--seeds", strconv.Itoa(max(1, opt.Seeds/20)))
 	if !ok {
-		r.Lab = labVerdict(out)
+		r.Lab = labVerdict(output)
 	}
 }
 
-func (r *Row) tryTests(b *build, consensus bool) {
-	args := []string{"test", "-skip", "Linearizable"} // it is run above
+func (r *Result) runTests(b *build, consensus bool) {
+	args := []string{"test", "-skip", "Linearizable"} // run above
 	if consensus {
 		args = append(args, "./internal/controlplane/raft")
 	} else {
-		args = append(args, packages...)
+		args = append(args, decisionPackages...)
 		for _, own := range append([]string{"./" + filepath.ToSlash(filepath.Dir(r.File))}, r.Packages...) {
-			if !slices.Contains(packages, own) {
+			if !slices.Contains(decisionPackages, own) {
 				args = append(args, own)
 			}
 		}
 	}
-	if out, ok := b.tool(args...); !ok {
-		r.Searches, r.Tests = testVerdicts(out, r.searches)
+	if output, ok := b.tool(args...); !ok {
+		r.SearchTests, r.Tests = testVerdicts(output, r.searchTests)
 	}
 }
 
-// writeOverlay writes the sources with the bug, and what tells the Go tools to build with them.
-func (r *Row) writeOverlay(dir, root string) (string, error) {
+// writeOverlay writes the mutated sources and an overlay file for the Go tool, and returns the path of that.
+func (r *Result) writeOverlay(dir, root string) (string, error) {
 	changed := map[string]string{} // text by file
-	bugs := []*Bug{&r.Bug}
+	bugs := []*Mutant{&r.Mutant}
 	if r.with != nil {
 		bugs = append(bugs, r.with)
 	}
--- a/internal/simulation/mutation/verdict.go
+++ b/internal/simulation/mutation/verdict.go
@@ -8,30 +8,31 @@
 	"strings"
 )
 
-// What the checks print of what they have found.
+// The messages of the checks.
 var (
-	searchLine = regexp.MustCompile(`meshlab: ([\w-]+): after (\d+) steps and (\d+) states (.*)`)
-	walkLine   = regexp.MustCompile(`meshlab: walks: after (\d+) steps and (\d+) walks, with seed (\d+), (.*)`)
-	seedLine   = regexp.MustCompile(`seed (\d+): (.*)`)
-	labLine    = regexp.MustCompile(`broken with seed (\d+): (.*)`)
-	failLine   = regexp.MustCompile(`(?m)^--- FAIL: (\w+)`)
+	searchPattern = regexp.MustCompile(`meshlab: ([\w-]+): after (\d+) steps and (\d+) states (.*)`)
+	walkPattern   = regexp.MustCompile(`meshlab: walks: after (\d+) steps and (\d+) walks, with seed (\d+), (.*)`)
+	seedPattern   = regexp.MustCompile(`seed (\d+): (.*)`)
+	labPattern    = regexp.MustCompile(`broken with seed (\d+): (.*)`)
+	failPattern   = regexp.MustCompile(`(?m)^--- FAIL: (\w+)`)
 )
 
-func modelVerdict(out string) string {
-	if m := walkLine.FindStringSubmatch(out); m != nil {
+// modelVerdict returns what the model checker found.
+func modelVerdict(output string) string {
+	if m := walkPattern.FindStringSubmatch(output); m != nil {
 		return fmt.Sprintf("walk %s, %s steps: %s", m[3], m[1], m[4])
 	}
-	if m := searchLine.FindStringSubmatch(out); m != nil {
+	if m := searchPattern.FindStringSubmatch(output); m != nil {
 		return fmt.Sprintf("%s, %s states, %s steps: %s", m[1], m[3], m[2], m[4])
 	}
-	return otherFailure(out)
+	return otherFailure(output)
 }
 
-// simulationVerdict gives the first run that went wrong.
-func simulationVerdict(out string) string {
-	m := seedLine.FindStringSubmatch(out)
+// simulationVerdict returns the first run that failed.
+func simulationVerdict(output string) string {
+	m := seedPattern.FindStringSubmatch(output)
 	if m == nil {
-		return otherFailure(out)
+		return otherFailure(output)
 	}
 	what := m[2]
 	if strings.Contains(what, "linearizable") {
@@ -40,17 +41,18 @@
 	return fmt.Sprintf("seed %s: %s", m[1], what)
 }
 
-func labVerdict(out string) string {
-	if m := labLine.FindStringSubmatch(out); m != nil {
+// labVerdict returns the first run in which an invariant was violated.
+func labVerdict(output string) string {
+	if m := labPattern.FindStringSubmatch(output); m != nil {
 		return fmt.Sprintf("seed %s: %s", m[1], m[2])
 	}
-	return otherFailure(out)
+	return otherFailure(output)
 }
 
-// testVerdicts names the tests that failed: those that search, and the others.
-func testVerdicts(out string, searches []string) (searching, handMade string) {
+// testVerdicts returns the names of the tests that failed: those that explore many histories, and the others.
+func testVerdicts(output string, searches []string) (searching, handMade string) {
 	var found, others []string
-	for _, m := range failLine.FindAllStringSubmatch(out, -1) {
+	for _, m := range failPattern.FindAllStringSubmatch(output, -1) {
 		list := &others
 		if slices.Contains(searches, m[1]) {
 			list = &found
@@ -60,14 +62,14 @@
 		}
 	}
 	if len(found)+len(others) == 0 {
-		return "", otherFailure(out)
+		return "", otherFailure(output)
 	}
 	return strings.Join(found, ", "), strings.Join(others, ", ")
 }
 
-// otherFailure tells of an end that no check has worded.
-func otherFailure(out string) string {
-	lines := bufio.NewScanner(strings.NewReader(out))
+// otherFailure describes a failure without a message of its own.
+func otherFailure(output string) string {
+	lines := bufio.NewScanner(strings.NewReader(output))
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		if line := lines.Text(); strings.HasPrefix(line, "panic: ") {
