--- a/cmd/meshlab/check.go
+++ b/cmd/meshlab/check.go
@@ -74,9 +74,9 @@
 			extent = "not all"
 		}
 		fmt.Printf("%-18s %9d states (%s), %9d steps, %2d deep, %s\n", set.Name, r.States, extent, r.Steps, r.Depth, r.Took.Round(time.Millisecond))
-		if r.Broken != "" {
+		if r.Violation != "" {
 			fmt.Println("  " + strings.Join(r.Trace, "\n  "))
-			return fmt.Errorf("%s: after %d steps and %d states %s", set.Name, len(r.Trace), r.States, r.Broken)
+			return fmt.Errorf("%s: after %d steps and %d states %s", set.Name, len(r.Trace), r.States, r.Violation)
 		}
 	}
 	if c.Walks == 0 || c.Terms > 0 || !c.wanted("walks") {
@@ -93,12 +93,12 @@
 	}
 	r := modelcheck.Walks(opt)
 	fmt.Printf("%-18s %9d walks, %9d steps, %s\n", "walks", r.Walks, r.Steps, r.Took.Round(time.Millisecond))
-	if r.Broken != "" {
+	if r.Violation != "" {
 		fmt.Println("  " + strings.Join(r.Trace, "\n  "))
-		return fmt.Errorf("walks: after %d steps and %d walks, with seed %d, %s", len(r.Trace), r.Walks, r.Seed, r.Broken)
+		return fmt.Errorf("walks: after %d steps and %d walks, with seed %d, %s", len(r.Trace), r.Walks, r.Seed, r.Violation)
 	}
 	if !r.Complete {
-		return fmt.Errorf("%d of %d walks were gone through within %v", r.Walks, c.Walks, c.Limit)
+		return fmt.Errorf("%d of %d walks were run within %v", r.Walks, c.Walks, c.Limit)
 	}
 	return nil
 }
--- a/internal/simulation/demo/demo.go
+++ b/internal/simulation/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo starts a small mesh on this machine: three core and three sidecar
-// processes of the real programs, each with a loopback address of its own, a model
-// server beside each sidecar, and clients. It shows what the mesh does while a
-// server drains and the leader is lost.
+// Package demo runs a small mesh on this machine: three quorum members and three sidecars
+// as processes of the real programs, each with a loopback address of its own, a stand-in
+// server beside each sidecar, and clients. During the run it drains a server and kills the
+// leader. It is called by meshlab demo.
 package demo
 
 import (
@@ -30,27 +30,27 @@
 )
 
 const (
-	machines  = 3 // of each kind
-	host      = "demo.example"
-	startWait = 20 * time.Second
-	stopWait  = 8 * time.Second
-	maxAway   = 512 // requests under way
+	machinesPerKind = 3 // quorum members, and sidecars
+	host            = "demo.example"
+	startWait       = 20 * time.Second
+	stopWait        = 8 * time.Second
+	maxInFlight     = 512 // requests
 )
 
-// Options say what to show.
+// Options are the options of a run.
 type Options struct {
 	Programs string        // folder of ivydeck-data and ivydeck-control
 	Length   time.Duration // of the traffic
 	Rate     float64       // requests a second
-	Out      io.Writer
+	Output   io.Writer
 }
 
-// mesh is the demo under way.
+// mesh is a running demo.
 type mesh struct {
 	Options
-	dir   string
-	net   string // the first three numbers of all addresses
-	ports [5]int // nodes, control, outbound, readiness, server
+	dir    string
+	subnet string // the first three numbers of all addresses
+	ports  [5]int // nodes, control, outbound, readiness, server
 
 	mu        sync.Mutex
 	processes map[string]*process
@@ -62,11 +62,11 @@
 	done chan struct{} // closed at its end
 }
 
-func (m *mesh) ip(n int) string        { return fmt.Sprintf("%s.%d", m.net, n) }
-func (m *mesh) at(n, port int) string  { return fmt.Sprintf("%s:%d", m.ip(n), m.ports[port]) }
-func (m *mesh) say(f string, a ...any) { fmt.Fprintf(m.Out, f+"\n", a...) }
+func (m *mesh) ip(n int) string            { return fmt.Sprintf("%s.%d", m.subnet, n) }
+func (m *mesh) address(n, port int) string { return fmt.Sprintf("%s:%d", m.ip(n), m.ports[port]) }
+func (m *mesh) printf(f string, a ...any)  { fmt.Fprintf(m.Output, f+"\n", a...) }
 
-// Run plays the demo, and ends all that it has started.
+// Run runs the demo, and stops everything that it has started.
 func Run(ctx context.Context, o Options) error {
 	for _, name := range []string{"ivydeck-data", "ivydeck-control"} {
 		if _, err := os.Stat(filepath.Join(o.Programs, name)); err != nil {
@@ -77,9 +77,9 @@
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	m := &mesh{Options: o, dir: dir, processes: map[string]*process{}, net: fmt.Sprintf("127.%d.%d", 20+rand.IntN(200), 1+rand.IntN(250))}
+	m := &mesh{Options: o, dir: dir, processes: map[string]*process{}, subnet: fmt.Sprintf("127.%d.%d", 20+rand.IntN(200), 1+rand.IntN(250))}
 	defer os.RemoveAll(dir)
-	defer m.end()
+	defer m.stop()
 	for i := range m.ports {
 		l, err := net.Listen("tcp", m.ip(1)+":0")
 		if err != nil {
@@ -89,26 +89,26 @@
 		m.ports[i] = l.Addr().(*net.TCPAddr).Port
 		l.Close()
 	}
-	core := &operator.Client{}
-	for n := 1; n <= machines; n++ {
+	controlPlane := &operator.Client{}
+	for n := 1; n <= machinesPerKind; n++ {
 		if err := m.start(n, "core", "ivydeck-control"); err != nil {
 			return err
 		}
-		core.Addresses = append(core.Addresses, m.at(n, 1))
+		controlPlane.Addresses = append(controlPlane.Addresses, m.address(n, 1))
 	}
-	for n := machines + 1; n <= 2*machines; n++ {
+	for n := machinesPerKind + 1; n <= 2*machinesPerKind; n++ {
 		if err := m.start(n, "sidecar", "ivydeck-data"); err != nil {
 			return err
 		}
 	}
-	m.say("started 3 core and 3 sidecar processes on %s.1 to .%d", m.net, 2*machines)
-	if err := m.ready(ctx, core); err != nil {
+	m.printf("started 3 quorum members and 3 sidecars on %s.1 to .%d", m.subnet, 2*machinesPerKind)
+	if err := m.prepare(ctx, controlPlane); err != nil {
 		return err
 	}
-	return m.play(ctx, core)
+	return m.sendTraffic(ctx, controlPlane)
 }
 
-// start writes a machine's settings and starts its program.
+// start writes a machine's settings file and starts its program.
 func (m *mesh) start(n int, class, program string) error {
 	name := fmt.Sprintf("%s%d", class, n)
 	text := fmt.Sprintf(`node_name=%s
@@ -125,19 +125,19 @@
 data_dir=%s
 heartbeat_ms=500
 seed_nodes=%s,%s,%s
-`, name, class, m.ip(n), string(rune('a'+(n-1)%machines)), m.at(n, 1), m.at(n, 2), m.at(n, 3), m.at(n, 4), m.ports[0],
-		filepath.Join(m.dir, name), m.at(1, 1), m.at(2, 1), m.at(3, 1))
+`, name, class, m.ip(n), string(rune('a'+(n-1)%machinesPerKind)), m.address(n, 1), m.address(n, 2), m.address(n, 3), m.address(n, 4), m.ports[0],
+		filepath.Join(m.dir, name), m.address(1, 1), m.address(2, 1), m.address(3, 1))
 	file := filepath.Join(m.dir, name+".conf")
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	out, err := os.Create(filepath.Join(m.dir, name+".log"))
+	logFile, err := os.Create(filepath.Join(m.dir, name+".log"))
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	defer out.Close()
+	defer logFile.Close()
 	cmd := exec.Command(filepath.Join(m.Programs, program), "--settings", file)
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// end stops all processes and servers.
-func (m *mesh) end() {
+// stop stops all processes and servers.
+func (m *mesh) stop() {
 	for _, s := range m.servers {
 		s.Stop()
 	}
@@ -162,19 +162,19 @@
 	for _, p := range m.processes {
 		p.cmd.Process.Signal(syscall.SIGTERM)
 	}
-	patience := time.After(stopWait)
+	timeout := time.After(stopWait)
 	for _, p := range m.processes {
 		select {
 		case <-p.done:
-		case <-patience:
+		case <-timeout:
 			p.cmd.Process.Kill()
 			<-p.done
 		}
 	}
 }
 
-// died tells which process has ended by itself, with the end of its log.
-func (m *mesh) died() error {
+// checkProcesses returns an error if a process has ended by itself, with the end of its log.
+func (m *mesh) checkProcesses() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, p := range m.processes {
@@ -188,14 +188,14 @@
 	return nil
 }
 
-// wait asks f until it holds.
-func (m *mesh) wait(ctx context.Context, what string, f func(ctx context.Context) bool) error {
+// waitFor polls until f returns true.
+func (m *mesh) waitFor(ctx context.Context, what string, f func(ctx context.Context) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for !f(ctx) {
-		if err := m.died(); err != nil {
+		if err := m.checkProcesses(); err != nil {
 			return err
 		}
 		select {
@@ -207,8 +207,8 @@
 	return nil
 }
 
-// ready brings the mesh to where it serves.
-func (m *mesh) ready(ctx context.Context, core *operator.Client) error {
+// prepare sends the configuration, starts the servers, and waits until all nodes are ready.
+func (m *mesh) prepare(ctx context.Context, controlPlane *operator.Client) error {
 	began := time.Now()
 	route := func(name string, kind meshconfig.Kind, priority int) *meshconfig.Route {
 		return &meshconfig.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, TargetLatencyMs: 200,
@@ -219,46 +219,48 @@
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	if err := m.wait(ctx, "the core", func(ctx context.Context) bool { return core.Apply(ctx, 0, body) == nil }); err != nil {
+	if err := m.waitFor(ctx, "a leader", func(ctx context.Context) bool { return controlPlane.Apply(ctx, 0, body) == nil }); err != nil {
 		return err
 	}
-	m.say("%5.1f s  the core has a leader, and the configuration on a majority of its disks", time.Since(began).Seconds())
-	for n := machines + 1; n <= 2*machines; n++ {
+	m.printf("%5.1f s  the quorum has a leader, and the configuration is on a majority of its disks", time.Since(began).Seconds())
+	for n := machinesPerKind + 1; n <= 2*machinesPerKind; n++ {
 		id := fmt.Sprintf("shop-%d", n)
-		s, err := standin.Start(standin.Options{ID: id, Service: "shop", Zone: "a", Address: m.at(n, 4), Control: m.at(n, 1), Slots: slots,
-			Heartbeat: heartbeatEvery, Handler: work(id)})
+		s, err := standin.Start(standin.Options{ID: id, Service: "shop", Zone: "a", Address: m.address(n, 4), Control: m.address(n, 1), Slots: slots,
+			Heartbeat: heartbeatInterval, Handler: workHandler(id)})
 		if err != nil {
 			return err
 		}
 		m.servers = append(m.servers, s)
 	}
-	for n := machines + 1; n <= 2*machines; n++ {
-		err := m.wait(ctx, "the nodes to be ready", func(ctx context.Context) bool {
-			req, err := http.NewRequestWithContext(ctx, "GET", "http://"+m.at(n, 3)+"/ready", nil)
-			if err != nil {
-				return false
-			}
-			resp, err := http.DefaultClient.Do(req)
-			if err != nil {
-				return false
-			}
-			resp.Body.Close()
-			return resp.StatusCode == 200
-		})
-		if err != nil {
+	for n := machinesPerKind + 1; n <= 2*machinesPerKind; n++ {
+		if err := m.waitFor(ctx, "the nodes to be ready", func(ctx context.Context) bool { return m.isReady(ctx, n) }); err != nil {
 			return err
 		}
 	}
-	m.say("%5.1f s  three nodes are ready, with three servers", time.Since(began).Seconds())
+	m.printf("%5.1f s  three nodes are ready, with three servers", time.Since(began).Seconds())
 	return nil
 }
 
-// tally counts the answers of some time.
+// isReady reports whether the n-th machine answers its readiness check.
+func (m *mesh) isReady(ctx context.Context, n int) bool {
+	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+m.address(n, 3)+"/ready", nil)
+	if err != nil {
+		return false
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// tally counts the responses of a period.
 type tally struct {
-	mu                     sync.Mutex
-	sent, ok, back, failed int
-	served                 map[string]int
-	latency                *hdrhistogram.Histogram
+	mu                        sync.Mutex
+	sent, ok, refused, failed int
+	served                    map[string]int
+	latency                   *hdrhistogram.Histogram
 }
 
 func newTally() *tally {
@@ -275,7 +277,7 @@
 		t.served[server]++
 		t.latency.RecordValue(max(1, took.Microseconds()))
 	case 503:
-		t.back++
+		t.refused++
 	default:
 		t.failed++
 	}
@@ -285,21 +287,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := func(q float64) float64 { return float64(t.latency.ValueAtQuantile(q)) / 1000 }
-	line := fmt.Sprintf("%5d requests, %5d answered (p50 %5.1f ms, p99 %5.1f ms), %d refused, %d failed; by", t.sent, t.ok, at(50), at(99), t.back, t.failed)
-	for n := machines + 1; n <= 2*machines; n++ {
-		line += fmt.Sprintf(" %d", t.served[fmt.Sprintf("shop-%d", n)])
+	text := fmt.Sprintf("%5d requests, %5d answered (p50 %5.1f ms, p99 %5.1f ms), %d refused, %d failed; by", t.sent, t.ok, at(50), at(99), t.refused, t.failed)
+	for n := machinesPerKind + 1; n <= 2*machinesPerKind; n++ {
+		text += fmt.Sprintf(" %d", t.served[fmt.Sprintf("shop-%d", n)])
 	}
-	return line
+	return text
 }
 
-// play sends traffic, drains a server at a third, and ends the leader at two thirds.
-func (m *mesh) play(ctx context.Context, core *operator.Client) error {
+// sendTraffic sends requests; it drains a server after a third of the time, and kills the leader after two
+// thirds.
+func (m *mesh) sendTraffic(ctx context.Context, controlPlane *operator.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, m.Length)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
-	all, now := newTally(), newTally()
-	var away atomic.Int64
+	total, current := newTally(), newTally()
+	var inFlight atomic.Int64
 	var running sync.WaitGroup
 	defer running.Wait()
 	began := time.Now()
@@ -312,37 +315,37 @@
 		select {
 		case <-ctx.Done():
 			running.Wait()
-			m.say("in all:  %v", all)
-			if err := m.died(); err != nil && !ended {
+			m.printf("in all:  %v", total)
+			if err := m.checkProcesses(); err != nil && !ended {
 				return err
 			}
-			if all.ok == 0 {
+			if total.ok == 0 {
 				return errors.New("demo: nothing was answered")
 			}
 			return nil
 		case <-second.C:
-			m.say("%5.1f s  %v", time.Since(began).Seconds(), now)
-			now = newTally()
+			m.printf("%5.1f s  %v", time.Since(began).Seconds(), current)
+			current = newTally()
 		case <-next.C:
 		}
 		if spent := time.Since(began); !drained && spent > m.Length/3 {
 			drained = true
-			m.say("         shop-%d drains", machines+1)
+			m.printf("         shop-%d drains", machinesPerKind+1)
 			m.servers[0].Drain()
 		} else if !ended && spent > 2*m.Length/3 {
 			ended = true
-			if err := m.endLeader(ctx, core); err != nil {
+			if err := m.killLeader(ctx, controlPlane); err != nil {
 				return err
 			}
 		}
-		if away.Load() >= maxAway {
+		if inFlight.Load() >= maxInFlight {
 			continue
 		}
-		away.Add(1)
-		tallies := []*tally{all, now}
+		inFlight.Add(1)
+		tallies := []*tally{total, current}
 		running.Go(func() {
-			defer away.Add(-1)
-			status, server, took := m.ask(client, i)
+			defer inFlight.Add(-1)
+			status, server, took := m.sendRequest(client, i)
 			for _, t := range tallies {
 				t.add(status, server, took)
 			}
@@ -350,12 +353,12 @@
 	}
 }
 
-// endLeader kills the quorum member that leads.
-func (m *mesh) endLeader(ctx context.Context, core *operator.Client) error {
-	states, err := core.Status(ctx)
+// killLeader kills the quorum member that is the leader.
+func (m *mesh) killLeader(ctx context.Context, controlPlane *operator.Client) error {
+	states, err := controlPlane.Status(ctx)
 	for _, s := range states {
 		if s.IsLeader {
-			m.say("         the leader, %s, is killed", s.Node)
+			m.printf("         the leader, %s, is killed", s.Node)
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			m.processes[s.Node].cmd.Process.Kill()
@@ -364,15 +367,15 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("demo: nobody leads: %w", errors.Join(err...))
+	return fmt.Errorf("demo: no leader: %w", errors.Join(err...))
 }
 
 var paths = []string{"/order/", "/ask/", "/browse/", "/browse/"}
 
-// ask sends one request to one of the nodes.
-func (m *mesh) ask(client *http.Client, i int) (status int, server string, took time.Duration) {
+// sendRequest sends one request to one of the nodes.
+func (m *mesh) sendRequest(client *http.Client, i int) (status int, server string, took time.Duration) {
 	began := time.Now()
-	req, err := http.NewRequest("GET", fmt.Sprintf("http://%s%s%d", m.at(machines+1+i%machines, 2), paths[i%len(paths)], i), nil)
+	req, err := http.NewRequest("GET", fmt.Sprintf("http://%s%s%d", m.address(machinesPerKind+1+i%machinesPerKind, 2), paths[i%len(paths)], i), nil)
 	if err != nil {
 		return 0, "", 0
 	}
--- a/internal/simulation/modelcheck/directed.go
+++ b/internal/simulation/modelcheck/directed.go
@@ -1,7 +1,6 @@
 package modelcheck
 
-// directed are searches behind a scenario. The scenario is a history without a fault in it; what breaks a property, if
-// anything does, the search has to find.
+// directed are searches after a scenario. The scenario itself violates no property; the search looks for a violation after it.
 var directed = []Set{
 	// Figure 8 of the Raft paper: an entry of term 2 on one disk, a later one in its place on another.
 	{"figure-8", `
@@ -51,7 +50,7 @@
 		deliver all
 	`, Bounds{Members: 3, Terms: 3, Link: 1, Proposals: 1, Reads: 1, States: 400_000}},
 
-	// The answers to a leader's rounds of contact are still under way when it has restarted and leads again; a third member
+	// The answers to a leader's rounds of contact are still in flight when it has restarted and leads again; a third member
 	// leads after it, unknown to it.
 	{"late-answers", `
 		campaign 0
@@ -76,7 +75,7 @@
 		deliver 1 2 REQUEST_VOTE_RESPONSE
 	`, Bounds{Members: 3, Terms: 4, Link: 4, Proposals: 1, Reads: 1, Old: true, Unordered: true, States: 400_000}},
 
-	// A snapshot is under way to a member that gets the entries another way meanwhile.
+	// A snapshot is in flight to a member that gets the entries another way meanwhile.
 	{"late-snapshot", `
 		campaign 0
 		deliver all 0 1
@@ -84,7 +83,7 @@
 		deliver all 0 1
 	`, Bounds{Members: 3, Terms: 3, Link: 3, Proposals: 1, Snapshots: 2, Heartbeats: 1, Duplicates: 2, Unordered: true, States: 400_000}},
 
-	// A leadership transfer that was given up, while its message is still under way.
+	// A leadership transfer that was given up, while its message is still in flight.
 	{"late-transfer", `
 		campaign 0
 		deliver all
--- a/internal/simulation/modelcheck/driver.go
+++ b/internal/simulation/modelcheck/driver.go
@@ -9,9 +9,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// settle carries out what a member asks for, as its driver does: disk first, then messages, then what is committed, then
+// handleReady handles the Ready of a member as the driver does: disk first, then messages, then committed entries, then
 // reads.
-func (s *state) settle(n int, m *member) {
+func (s *state) handleReady(n int, m *member) {
 	for m.node != nil {
 		o := m.node.Ready()
 		if o.Empty() {
@@ -23,9 +23,9 @@
 			m.applied, m.digest = o.Snapshot.Index, decodeDigest(o.Snapshot.Data)
 		}
 		if o.HardState != nil {
-			s.checkVote(n, m.voted, o.HardState)
-			m.voted = o.HardState
-			if !s.left.LoseVotes {
+			s.checkVote(n, m.announced, o.HardState)
+			m.announced = o.HardState
+			if !s.bounds.LoseVotes {
 				m.hard = o.HardState
 			}
 		}
@@ -48,7 +48,7 @@
 	}
 }
 
-// applyEntry hands a committed entry to the member's state machine, which is a digest of all that it was handed.
+// applyEntry applies a committed entry to the member's state machine, which is a digest of all entries.
 func (s *state) applyEntry(n int, m *member, e *wire.Entry) {
 	if !s.checkApply(n, m, e) {
 		return
@@ -77,17 +77,17 @@
 	}
 	at := memberOf(m.From)*len(s.members) + memberOf(m.To)
 	link := append(slices.Clone(s.links[at]), m)
-	s.links[at] = link[max(0, len(link)-max(1, s.left.Link)):]
+	s.links[at] = link[max(0, len(link)-max(1, s.bounds.Link)):]
 }
 
 // sweep takes messages off their links that are for an earlier incarnation of a member's disk, or of a term before its
-// own: those could only tell their senders of the newer term, and count as lost.
+// own: those could only inform their senders of the newer term, and count as lost.
 func (s *state) sweep(n int, m *member) {
 	if m.node == nil {
 		return
 	}
 	id, term := m.node.ID(), m.node.Term()
-	dead := func(q *wire.RaftMessage) bool { return q.To != id || q.Term < term && !s.left.Old }
+	dead := func(q *wire.RaftMessage) bool { return q.To != id || q.Term < term && !s.bounds.Old }
 	for from := range s.members {
 		at := from*len(s.members) + n
 		if slices.ContainsFunc(s.links[at], dead) {
--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -36,34 +36,34 @@
 
 // event is one transition of a state.
 type event struct {
-	kind   eventKind
-	member int // where it happens
-	from   int // sender of the message
-	place  int // of the message on its link
-	what   wire.RaftMessage_Kind
-	term   uint64 // of the message
-	change change
+	kind        eventKind
+	member      int // where it happens
+	from        int // sender of the message
+	index       int // of the message on its link
+	messageKind wire.RaftMessage_Kind
+	term        uint64 // of the message
+	change      change
 }
 
 // change is a change of the members.
 type change struct {
-	what   string // what becomes of the member: join, learner or voter
+	kind   string // what becomes of the member: join, learner or voter
 	member int
-	next   []*wire.Peer // all members behind it
+	next   []*wire.Peer // all members after it
 }
 
 // String is the event as a line of a trace, or of a scenario.
 func (e event) String() string {
 	switch e.kind {
 	case deliver, duplicate, lose:
-		return fmt.Sprintf("%s %d %d %s@%d", eventNames[e.kind], e.from, e.member, e.what, e.term)
+		return fmt.Sprintf("%s %d %d %s@%d", eventNames[e.kind], e.from, e.member, e.messageKind, e.term)
 	case changeMembers:
-		return fmt.Sprintf("%s %d %s %d", eventNames[e.kind], e.member, e.change.what, e.change.member)
+		return fmt.Sprintf("%s %d %s %d", eventNames[e.kind], e.member, e.change.kind, e.change.member)
 	}
 	return fmt.Sprintf("%s %d", eventNames[e.kind], e.member)
 }
 
-// events returns all that may happen next, in a fixed order.
+// events returns all events that are possible next, in a fixed order.
 func (s *state) events() []event {
 	list := s.messageEvents(nil)
 	for n, m := range s.members {
@@ -72,7 +72,7 @@
 			continue
 		}
 		list = s.memberEvents(list, n, m)
-		if m.leads() {
+		if m.isLeader() {
 			list = s.leaderEvents(list, n, m)
 		}
 	}
@@ -84,11 +84,11 @@
 		from, to := at/len(s.members), at%len(s.members)
 		down := s.members[to].node == nil
 		for place, m := range link {
-			if place > 0 && !s.left.Unordered {
+			if place > 0 && !s.bounds.Unordered {
 				break
 			}
-			e := event{member: to, from: from, place: place, what: m.Kind, term: m.Term}
-			if !s.left.Unordered && (len(link) > 1 || down) { // else what is lost is as if it never came
+			e := event{member: to, from: from, index: place, messageKind: m.Kind, term: m.Term}
+			if !s.bounds.Unordered && (len(link) > 1 || down) { // otherwise a lost message is as if it never arrived
 				e.kind = lose
 				list = append(list, e)
 			}
@@ -97,7 +97,7 @@
 			}
 			e.kind = deliver
 			list = append(list, e)
-			if s.left.Duplicates > 0 {
+			if s.bounds.Duplicates > 0 {
 				e.kind = duplicate
 				list = append(list, e)
 			}
@@ -107,16 +107,16 @@
 }
 
 func (s *state) memberEvents(list []event, n int, m *member) []event {
-	if !m.leads() {
+	if !m.isLeader() {
 		list = append(list, event{kind: campaign, member: n})
 	}
-	if s.left.Crashes > 0 {
+	if s.bounds.Crashes > 0 {
 		list = append(list, event{kind: crash, member: n})
 	}
-	if s.left.Wipes > 0 && s.mayLoseDisk() {
+	if s.bounds.Wipes > 0 && s.mayLoseDisk() {
 		list = append(list, event{kind: wipe, member: n})
 	}
-	if s.left.Snapshots > 0 && m.applied > m.snapshot.GetIndex() {
+	if s.bounds.Snapshots > 0 && m.applied > m.snapshot.GetIndex() {
 		list = append(list, event{kind: takeSnapshot, member: n})
 	}
 	return list
@@ -126,19 +126,19 @@
 	for _, e := range []struct {
 		kind eventKind
 		left int
-	}{{heartbeat, s.left.Heartbeats}, {propose, s.left.Proposals}, {read, s.left.Reads}, {transfer, s.left.Transfers}} {
+	}{{heartbeat, s.bounds.Heartbeats}, {propose, s.bounds.Proposals}, {read, s.bounds.Reads}, {transfer, s.bounds.Transfers}} {
 		if e.left > 0 {
 			list = append(list, event{kind: e.kind, member: n})
 		}
 	}
-	if s.left.Changes > 0 {
+	if s.bounds.Changes > 0 {
 		list = append(list, s.changes(n, m.node)...)
 	}
 	return list
 }
 
-// mayLoseDisk reports whether the loss of a disk is the one that is to be borne: all members are there, under their first
-// identities, and vote.
+// mayLoseDisk reports whether the loss of a disk is one that Raft tolerates: all members run, under their first
+// identities, and are voters.
 func (s *state) mayLoseDisk() bool {
 	for _, m := range s.members {
 		if m.incarnation > 0 || m.node == nil || raft.Voters(m.node.Peers()) < len(s.members) {
@@ -148,8 +148,8 @@
 	return true
 }
 
-// changes are the sets of members that a leader may propose: one voter less, one more, or a member that has lost its
-// disk taken in.
+// changes are the sets of members that a leader may propose: one voter less, one more, or a member that has lost
+// its disk as a new one.
 func (s *state) changes(n int, leader *raft.Node) []event {
 	var list []event
 	add := func(c change) {
@@ -179,19 +179,19 @@
 	return list
 }
 
-// apply returns the state behind an event.
+// apply returns the state after an event.
 func (s *state) apply(e event) *state {
-	next := &state{members: slices.Clone(s.members), links: slices.Clone(s.links), history: s.history, left: s.left}
+	next := &state{members: slices.Clone(s.members), links: slices.Clone(s.links), history: s.history, bounds: s.bounds}
 	m := s.members[e.member].clone()
 	next.members[e.member] = m
 	next.perform(e, m)
-	next.settle(e.member, m)
+	next.handleReady(e.member, m)
 	next.sweep(e.member, m)
 	next.checkAfter(e.member, s.members[e.member])
 	return next
 }
 
-// perform lets an event happen at its member, which is the state's own.
+// perform executes an event at its member, which the state owns.
 func (s *state) perform(e event, m *member) {
 	switch e.kind {
 	case deliver, duplicate, lose:
@@ -199,56 +199,56 @@
 	case campaign:
 		m.node.Campaign(m.clock)
 	case heartbeat:
-		s.left.Heartbeats--
-		m.clock += silence
+		s.bounds.Heartbeats--
+		m.clock += leaderTimeout
 		m.node.Tick(m.clock)
 	case propose:
 		s.performProposal(m)
 	case read:
-		s.left.Reads--
-		m.asked = append(m.asked, s.history.acked)
-		m.node.ReadIndex(m.clock, uint64(len(m.asked)-1))
+		s.bounds.Reads--
+		m.readIndexes = append(m.readIndexes, s.history.acked)
+		m.node.ReadIndex(m.clock, uint64(len(m.readIndexes)-1))
 	case transfer:
-		s.left.Transfers--
+		s.bounds.Transfers--
 		m.node.TransferLeadership(m.clock)
 	case changeMembers:
-		s.left.Changes--
-		// What the leader refuses changes nothing.
+		s.bounds.Changes--
+		// A proposal that the leader rejects changes nothing.
 		_ = m.node.ProposeMembership(m.clock, e.change.next)
 	case takeSnapshot:
-		s.left.Snapshots--
+		s.bounds.Snapshots--
 		m.takeSnapshot()
 	case crash:
-		s.left.Crashes--
+		s.bounds.Crashes--
 		m.node = nil
 	case wipe:
-		s.left.Wipes--
+		s.bounds.Wipes--
 		*m = member{incarnation: m.incarnation + 1, processes: m.processes, clock: m.clock}
 	case restart:
-		m.start(e.member, s.left.Batch)
+		m.start(e.member, s.bounds.Batch)
 	}
 }
 
 func (s *state) performMessage(e event, m *member) {
 	at := e.from*len(s.members) + e.member
-	message := s.links[at][e.place]
+	message := s.links[at][e.index]
 	if e.kind == duplicate {
-		s.left.Duplicates--
+		s.bounds.Duplicates--
 	} else {
-		s.links[at] = slices.Delete(slices.Clone(s.links[at]), e.place, e.place+1)
+		s.links[at] = slices.Delete(slices.Clone(s.links[at]), e.index, e.index+1)
 	}
 	if e.kind == lose {
 		return
 	}
-	if message.Kind == wire.RaftMessage_REQUEST_VOTE && !m.leads() { // a voter that hears its leader gives none, which is as if this were lost
-		m.clock += silence
+	if message.Kind == wire.RaftMessage_REQUEST_VOTE && !m.isLeader() { // a voter in contact with its leader does not answer, as if this were lost
+		m.clock += leaderTimeout
 	}
 	m.node.Step(m.clock, message)
 }
 
 func (s *state) performProposal(m *member) {
-	data := strconv.Itoa(s.left.Proposals)
-	s.left.Proposals--
+	data := strconv.Itoa(s.bounds.Proposals)
+	s.bounds.Proposals--
 	if index, term, err := m.node.Propose(m.clock, []byte(data)); err == nil {
 		m.proposed[index] = term
 	}
--- a/internal/simulation/modelcheck/key.go
+++ b/internal/simulation/modelcheck/key.go
@@ -12,7 +12,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// key is a hash of the state, alike for states that differ by the members' names alone.
+// key is a hash of the state, equal for states that differ by the members' names only.
 func (s *state) key() uint64 {
 	n := len(s.members)
 	own := make([][]byte, n)
@@ -56,15 +56,15 @@
 
 // append encodes the state with the members in an order.
 func (s *state) append(order []int) []byte {
-	place := make([]uint64, len(order))
+	position := make([]uint64, len(order))
 	for at, n := range order {
-		place[n] = uint64(at)
+		position[n] = uint64(at)
 	}
 	rename := func(id uint64) uint64 {
 		if id == 0 {
 			return 0
 		}
-		return 1 + place[memberOf(id)] + maxMembers*((id-1)/maxMembers)
+		return 1 + position[memberOf(id)] + maxMembers*((id-1)/maxMembers)
 	}
 	b := make([]byte, 0, 1024)
 	for _, n := range order {
@@ -76,7 +76,7 @@
 		}
 	}
 	b = s.history.append(b, rename)
-	l := s.left
+	l := s.bounds
 	for _, left := range []int{l.Proposals, l.Reads, l.Heartbeats, l.Crashes, l.Wipes, l.Changes, l.Snapshots, l.Transfers, l.Duplicates} {
 		b = binary.AppendUvarint(b, uint64(left))
 	}
@@ -86,7 +86,7 @@
 // appendLink encodes a link's messages, as a set where they may overtake each other.
 func (s *state) appendLink(b []byte, link []*wire.RaftMessage, rename func(uint64) uint64) []byte {
 	b = binary.AppendUvarint(b, uint64(len(link)))
-	if !s.left.Unordered || len(link) < 2 {
+	if !s.bounds.Unordered || len(link) < 2 {
 		for _, m := range link {
 			b = raft.AppendMessage(b, m, rename)
 		}
@@ -105,7 +105,7 @@
 		b = binary.AppendUvarint(b, term)
 		b = binary.AppendUvarint(b, rename(h.leaders[term]))
 	}
-	for _, e := range h.agreed {
+	for _, e := range h.committed {
 		b = binary.AppendUvarint(b, e.term)
 		b = binary.AppendUvarint(b, e.in)
 		b = binary.AppendUvarint(b, uint64(len(e.data)))
@@ -120,7 +120,7 @@
 	if m.node != nil {
 		b = append(b, 1)
 		b = m.node.AppendFingerprint(b, rename)
-		for _, want := range m.asked {
+		for _, want := range m.readIndexes {
 			b = binary.AppendUvarint(b, want)
 		}
 		for _, index := range slices.Sorted(maps.Keys(m.proposed)) {
--- a/internal/simulation/modelcheck/modelcheck_test.go
+++ b/internal/simulation/modelcheck/modelcheck_test.go
@@ -28,8 +28,8 @@
 		{Bounds{Members: 3, Terms: 3, Link: 1, Transfers: 1}, 5000},
 	} {
 		r := search(t, c.b)
-		if r.Broken != "" || !r.Complete || r.States < c.least {
-			t.Errorf("%+v: %d states, complete %v; %s\n%s", c.b, r.States, r.Complete, r.Broken, strings.Join(r.Trace, "\n"))
+		if r.Violation != "" || !r.Complete || r.States < c.least {
+			t.Errorf("%+v: %d states, complete %v; %s\n%s", c.b, r.States, r.Complete, r.Violation, strings.Join(r.Trace, "\n"))
 		}
 		t.Logf("%+v: %d states, %d steps, %d deep, %v", c.b, r.States, r.Steps, r.Depth, r.Took)
 	}
@@ -40,8 +40,8 @@
 func TestFindsTheShortestWay(t *testing.T) {
 	b := Bounds{Members: 3, Terms: 2, Link: 1, Crashes: 1, LoseVotes: true}
 	r, again := search(t, b), search(t, b)
-	if !strings.Contains(r.Broken, "leads in term 2 with 1 votes of 3") || len(r.Trace) != r.Depth || r.Depth > 7 {
-		t.Errorf("%q after %d steps:\n%s", r.Broken, r.Depth, strings.Join(r.Trace, "\n"))
+	if !strings.Contains(r.Violation, "leads in term 2 with 1 votes of 3") || len(r.Trace) != r.Depth || r.Depth > 7 {
+		t.Errorf("%q after %d steps:\n%s", r.Violation, r.Depth, strings.Join(r.Trace, "\n"))
 	}
 	if strings.Join(r.Trace, "\n") != strings.Join(again.Trace, "\n") {
 		t.Errorf("two searches told two ways:\n%s\n\n%s", strings.Join(r.Trace, "\n"), strings.Join(again.Trace, "\n"))
@@ -87,8 +87,8 @@
 // TestWalks: random histories find nothing in the sources as they are, are alike for a seed, and are long.
 func TestWalks(t *testing.T) {
 	r := Walks(WalkOptions{Walks: 300, Seed: 1, Steps: 150})
-	if r.Broken != "" || !r.Complete || r.Steps < 300*100 {
-		t.Errorf("%d steps, seed %d: %s\n%s", r.Steps, r.Seed, r.Broken, strings.Join(r.Trace, "\n"))
+	if r.Violation != "" || !r.Complete || r.Steps < 300*100 {
+		t.Errorf("%d steps, seed %d: %s\n%s", r.Steps, r.Seed, r.Violation, strings.Join(r.Trace, "\n"))
 	}
 	t.Logf("%d steps in %v", r.Steps, r.Took)
 	a, b := walk(7, 100), walk(7, 100)
--- a/internal/simulation/modelcheck/scenario.go
+++ b/internal/simulation/modelcheck/scenario.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// unlimited is for a scenario, which is not bounded by what may follow it.
+// unlimited are the bounds within a scenario; those of its set apply after it.
 const unlimited = 1 << 20
 
-// play returns the state where a set's search begins: behind its scenario, or at the start.
+// play returns the state where a set's search begins: after its scenario, or the initial one.
 //
 // A scenario has an event a line, as traces print them ("deliver 0 1 REQUEST_VOTE@2"); the first that fits is taken, so that the
-// detail may be left out ("deliver 0 1"). "deliver all" delivers what is under way until nothing is, and "deliver all 0 1"
-// what is under way among these members; "lose all" loses what is under way, and "lose 0 1" what is between two members.
+// detail may be left out ("deliver 0 1"). "deliver all" delivers messages until none is in flight, and "deliver all 0 1"
+// messages in flight among these members; "lose all" loses all messages in flight, and "lose 0 1" what is between two members.
 func play(set Set) (*state, error) {
 	free := set.Bounds
 	free.Terms = unlimited
@@ -27,20 +27,20 @@
 		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
-		next, err := s.playLine(line)
+		next, err := s.replayLine(line)
 		if err != nil {
 			return nil, fmt.Errorf("modelcheck: scenario of %s: %w", set.Name, err)
 		}
-		if next.broken != "" {
-			return nil, fmt.Errorf("modelcheck: scenario of %s: %q: %s", set.Name, line, next.broken)
+		if next.violation != "" {
+			return nil, fmt.Errorf("modelcheck: scenario of %s: %q: %s", set.Name, line, next.violation)
 		}
 		s = next
 	}
-	s.left = set.Bounds
+	s.bounds = set.Bounds
 	return s, nil
 }
 
-func (s *state) playLine(line string) (*state, error) {
+func (s *state) replayLine(line string) (*state, error) {
 	if rest, ok := strings.CutPrefix(line, "deliver all"); ok {
 		return s.deliverAll(strings.Fields(rest)), nil
 	}
@@ -74,7 +74,7 @@
 	return &next, nil
 }
 
-// deliverAll delivers messages among some members, or among all, until none is under way.
+// deliverAll delivers messages among some members, or among all, until none is in flight.
 func (s *state) deliverAll(among []string) *state {
 	wanted := func(n int) bool {
 		if len(among) == 0 {
@@ -95,7 +95,7 @@
 				break
 			}
 		}
-		if found == nil || s.broken != "" {
+		if found == nil || s.violation != "" {
 			break
 		}
 		s = s.apply(*found)
--- a/internal/simulation/modelcheck/search.go
+++ b/internal/simulation/modelcheck/search.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Search goes through all states within a set's bounds, or stops at the first that breaks a property. A scenario that does
-// not fit the states, or breaks a property itself, is an error.
+// Search explores all states within a set's bounds, or stops at the first that violates a property. A scenario with
+// an event that is not possible, or that violates a property itself, is an error.
 func Search(set Set) (*Result, error) {
 	first, err := play(set)
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	q := &searcher{maxStates: set.States, seen: map[uint64]bool{first.key(): true}, visits: []visit{{parent: -1}}}
+	q := &searcher{maxStates: set.States, visited: map[uint64]bool{first.key(): true}, visits: []visit{{parent: -1}}}
 	q.run(first)
-	q.result.States, q.result.Took = len(q.seen), time.Since(began)
+	q.result.States, q.result.Took = len(q.visited), time.Since(began)
 	return &q.result, nil
 }
 
-// visit is how a state was met first.
+// visit is how a state was reached first.
 type visit struct {
 	parent int32
 	event  event
 }
 
-// searcher is a breadth-first search under way.
+// searcher is the state of a breadth-first search.
 type searcher struct {
 	maxStates int // 0: no bound
-	seen      map[uint64]bool
+	visited   map[uint64]bool
 	visits    []visit
 	result    Result
 }
 
-// full reports whether as many states have been met as are wanted.
-func (q *searcher) full() bool { return q.maxStates > 0 && len(q.seen) >= q.maxStates }
+// full reports whether the maximum number of states has been visited.
+func (q *searcher) full() bool { return q.maxStates > 0 && len(q.visited) >= q.maxStates }
 
 // reached is a state of the level that is searched, with its place among the visits.
 type reached struct {
@@ -48,7 +48,7 @@
 	level := []reached{{first, 0}}
 	for len(level) > 0 {
 		next := q.level(level)
-		if q.result.Broken != "" {
+		if q.result.Violation != "" {
 			q.result.Depth++
 			return
 		}
@@ -64,29 +64,29 @@
 	q.result.Complete = true
 }
 
-// level returns the new states behind those of a level.
+// level returns the new successors of a level.
 func (q *searcher) level(level []reached) (next []reached) {
-	for len(level) > 0 && !q.full() && q.result.Broken == "" {
-		part := level[:min(len(level), expandAtOnce)]
-		level = level[len(part):]
-		next = q.visit(part, next)
+	for len(level) > 0 && !q.full() && q.result.Violation == "" {
+		batch := level[:min(len(level), maxBatch)]
+		level = level[len(batch):]
+		next = q.visit(batch, next)
 	}
 	return next
 }
 
-// visit appends the new states behind some of a level's.
+// visit appends the new successors of a batch.
 func (q *searcher) visit(level, next []reached) []reached {
 	for i, successors := range expand(level) {
 		for _, f := range successors {
 			q.result.Steps++
-			if q.seen[f.key] {
+			if q.visited[f.key] {
 				continue
 			}
-			q.seen[f.key] = true
+			q.visited[f.key] = true
 			q.visits = append(q.visits, visit{level[i].visit, f.event})
 			at := int32(len(q.visits) - 1)
-			if f.state.broken != "" {
-				q.result.Broken, q.result.Trace = f.state.broken, q.trace(at)
+			if f.state.violation != "" {
+				q.result.Violation, q.result.Trace = f.state.violation, q.trace(at)
 				return nil
 			}
 			next = append(next, reached{f.state, at})
@@ -105,33 +105,33 @@
 	return trace
 }
 
-// expandAtOnce bounds the successors that are held at a time.
-const expandAtOnce = 20_000
+// maxBatch bounds the states that are expanded at a time.
+const maxBatch = 20_000
 
-// successor is a state behind another.
+// successor is a state that follows another by one event.
 type successor struct {
 	state *state
 	event event
 	key   uint64
 }
 
-// expand works out what follows on each state of a level, on all processors. The order of what it returns is the level's,
+// expand computes the successors of each state of a batch, on all processors. It returns them in the order of the batch,
 // so that searches repeat.
 func expand(level []reached) [][]successor {
-	out := make([][]successor, len(level))
+	successors := make([][]successor, len(level))
 	var running sync.WaitGroup
 	workers := runtime.GOMAXPROCS(0)
-	part := (len(level) + workers - 1) / workers
-	for from := 0; from < len(level); from += part {
-		to := min(from+part, len(level))
+	share := (len(level) + workers - 1) / workers
+	for from := 0; from < len(level); from += share {
+		to := min(from+share, len(level))
 		running.Go(func() {
 			for i := from; i < to; i++ {
-				out[i] = level[i].state.successors()
+				successors[i] = level[i].state.successors()
 			}
 		})
 	}
 	running.Wait()
-	return out
+	return successors
 }
 
 func (s *state) successors() (list []successor) {
--- a/internal/simulation/modelcheck/state.go
+++ b/internal/simulation/modelcheck/state.go
@@ -10,28 +10,28 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// member is a quorum member: its disk, and while it runs its part in the protocol. It is shared between states until
-// something happens to it.
+// member is a quorum member: its disk, and its raft.Node while it runs. It is shared between states until
+// an event changes it.
 type member struct {
 	incarnation uint64 // of its disk: its identity is its number and this
 	processes   uint64 // that it has had so far
 	hard        *wire.HardState
-	voted       *wire.HardState // what it has told others of its term and vote; hard, unless votes are lost on purpose
+	announced   *wire.HardState // the term and vote that it has announced to others; hard, unless votes are lost on purpose
 	snapshot    *wire.RaftSnapshot
 	entries     []*wire.Entry
 	node        *raft.Node // nil: down
 	clock       time.Duration
 	applied     uint64
 	digest      uint64            // of all that is applied
-	asked       []uint64          // what each read has to see, by token
-	proposed    map[uint64]uint64 // terms of its own proposals that wait, by index
+	readIndexes []uint64          // index that each read has to include, by token
+	proposed    map[uint64]uint64 // terms of its pending proposals, by index
 }
 
-// history is what has happened that properties speak of.
+// history is the part of the past that the properties refer to.
 type history struct {
-	leaders map[uint64]uint64 // identity of the leader, by term
-	agreed  []appliedEntry    // from index 2 on
-	acked   uint64            // newest index that a client was told of
+	leaders   map[uint64]uint64 // identity of the leader, by term
+	committed []appliedEntry    // from index 2 on
+	acked     uint64            // highest index acknowledged to a client
 }
 
 // appliedEntry is an entry that some member has applied.
@@ -39,29 +39,29 @@
 	term   uint64
 	data   string
 	in     uint64 // the term in which it was first applied
-	digest uint64 // of the state machine behind it
+	digest uint64 // of the state machine after it
 }
 
 // state is one state of all members and of the network between them.
 type state struct {
-	members []*member
-	links   [][]*wire.RaftMessage // by link, from*members+to
-	history *history
-	left    Bounds // what may still happen
-	broken  string
+	members   []*member
+	links     [][]*wire.RaftMessage // by link, from*members+to
+	history   *history
+	bounds    Bounds // of the events that may still occur
+	violation string
 }
 
 const (
 	maxMembers = 8
 
-	// startClock is far enough from zero that no member seems to have been heard, or been sent a snapshot, just before.
+	// startClock is far enough from zero that a zero time is not recent.
 	startClock = time.Minute
 
-	// silence is the time after which a voter forgets a leader that it has heard.
-	silence = 4 * raft.Heartbeat
+	// leaderTimeout is the time after which a voter without contact no longer follows a leader.
+	leaderTimeout = 4 * raft.Heartbeat
 )
 
-// identity is what a member is known by: its number, and the incarnation of its disk.
+// identity is the id of a member: its number and the incarnation of its disk.
 func identity(n int, incarnation uint64) uint64 { return uint64(n+1) + maxMembers*incarnation }
 
 // memberOf is the number in an identity.
@@ -72,7 +72,7 @@
 	for i := range b.Members {
 		peers.Peers = append(peers.Peers, &wire.Peer{Id: identity(i, 0), Address: strconv.Itoa(i), Voter: true})
 	}
-	s := &state{history: &history{leaders: map[uint64]uint64{}}, left: b, links: make([][]*wire.RaftMessage, b.Members*b.Members)}
+	s := &state{history: &history{leaders: map[uint64]uint64{}}, bounds: b, links: make([][]*wire.RaftMessage, b.Members*b.Members)}
 	for i := range b.Members {
 		m := &member{hard: &wire.HardState{Term: 1}, snapshot: &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers}, clock: startClock}
 		m.start(i, b.Batch)
@@ -81,29 +81,29 @@
 	return s
 }
 
-// start begins the member's process, from what is on its disk.
+// start starts the member's process from its disk.
 func (m *member) start(n, batch int) {
 	m.processes++
 	m.node = raft.New(identity(n, m.incarnation), m.hard, m.snapshot, slices.Clone(m.entries), m.processes, m.clock)
 	m.node.SetMaxBatchEntries(batch)
-	m.node.SetRetention(0, 0) // short logs have to need snapshots
-	m.voted = m.hard
+	m.node.SetRetention(0, 0) // so that short logs need snapshots
+	m.announced = m.hard
 	m.applied, m.digest = m.snapshot.GetIndex(), decodeDigest(m.snapshot.GetData())
-	m.asked, m.proposed = nil, map[uint64]uint64{}
+	m.readIndexes, m.proposed = nil, map[uint64]uint64{}
 }
 
-// clone copies what an event at the member may change.
+// clone copies the member, with what an event may change.
 func (m *member) clone() *member {
 	c := *m
 	if c.node != nil {
 		c.node = c.node.Clone()
 	}
-	c.entries, c.asked, c.proposed = slices.Clone(c.entries), slices.Clone(c.asked), maps.Clone(c.proposed)
+	c.entries, c.readIndexes, c.proposed = slices.Clone(c.entries), slices.Clone(c.readIndexes), maps.Clone(c.proposed)
 	return &c
 }
 
-// holds reports whether the member's disk has the entry of an index and term, or a snapshot past it.
-func (m *member) holds(index, term uint64) bool {
+// hasEntry reports whether the member's disk has the entry of an index and term, or a snapshot past it.
+func (m *member) hasEntry(index, term uint64) bool {
 	if index <= m.snapshot.GetIndex() {
 		return true
 	}
@@ -119,8 +119,8 @@
 	return m.snapshot.GetIndex(), m.snapshot.GetTerm()
 }
 
-// leads reports whether the member runs and believes that it leads.
-func (m *member) leads() bool { return m.node != nil && m.node.IsLeader() }
+// isLeader reports whether the member runs and considers itself leader.
+func (m *member) isLeader() bool { return m.node != nil && m.node.IsLeader() }
 
 // current returns the member that has an identity now; ok is false where its disk is lost.
 func (s *state) current(id uint64) (m *member, ok bool) {
@@ -132,17 +132,17 @@
 	return m, identity(n, m.incarnation) == id
 }
 
-// ownHistory gives the state a history that it shares with no other.
+// ownHistory gives the state its own copy of the history.
 func (s *state) ownHistory() *history {
 	h := s.history
-	s.history = &history{leaders: maps.Clone(h.leaders), agreed: slices.Clone(h.agreed), acked: h.acked}
+	s.history = &history{leaders: maps.Clone(h.leaders), committed: slices.Clone(h.committed), acked: h.acked}
 	return s.history
 }
 
 // withinBounds reports whether no member has passed the newest term.
 func (s *state) withinBounds() bool {
 	for _, m := range s.members {
-		if m.node != nil && m.node.Term() > s.left.Terms {
+		if m.node != nil && m.node.Term() > s.bounds.Terms {
 			return false
 		}
 	}
--- a/internal/simulation/modelcheck/walk.go
+++ b/internal/simulation/modelcheck/walk.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// WalkOptions say how many random histories are gone through.
+// WalkOptions are the options of Walks.
 type WalkOptions struct {
 	Walks int
 	Seed  uint64        // the first of them
-	Steps int           // events in one walk, at most
-	Limit time.Duration // no walk is begun after it; 0: no bound
+	Steps int           // maximum number of events in one walk
+	Limit time.Duration // no walk starts after it; 0: no bound
 }
 
-// Walks goes through random histories, on all processors. Each seed draws its own bounds, and how likely each kind of
-// event is. The result is that of the smallest seed that broke a property, if one did.
+// Walks explores random histories, on all processors. Each seed draws its own bounds, and how likely each kind of
+// event is. The result is that of the smallest seed that violates a property, if any does.
 func Walks(opt WalkOptions) *Result {
 	began := time.Now()
 	total := &Result{Complete: true}
@@ -26,7 +26,7 @@
 	take := func() (seed uint64, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if next >= uint64(opt.Walks) || total.Broken != "" {
+		if next >= uint64(opt.Walks) || total.Violation != "" {
 			return 0, false
 		}
 		if opt.Limit > 0 && time.Since(began) > opt.Limit {
@@ -48,8 +48,8 @@
 				total.Walks++
 				total.Steps += r.Steps
 				total.Depth = max(total.Depth, r.Steps)
-				if r.Broken != "" && (total.Broken == "" || seed < total.Seed) {
-					total.Broken, total.Trace, total.Seed = r.Broken, r.Trace, seed
+				if r.Violation != "" && (total.Violation == "" || seed < total.Seed) {
+					total.Violation, total.Trace, total.Seed = r.Violation, r.Trace, seed
 				}
 				mu.Unlock()
 			}
@@ -70,7 +70,7 @@
 	}
 }
 
-// drawWeights draws how likely each kind of event is: some never come, some often. Messages mostly arrive.
+// drawWeights draws the probability of each kind of event: some never occur, some often. Messages mostly arrive.
 func drawWeights(rng *rand.Rand) (weights [eventKinds]float64) {
 	levels := []float64{0, 0.02, 0.1, 0.3, 1}
 	for kind := range weights {
@@ -82,7 +82,7 @@
 	return weights
 }
 
-// walk goes through one random history.
+// walk explores one random history.
 func walk(seed uint64, steps int) *Result {
 	rng := rand.New(rand.NewPCG(seed, 0x5a1c))
 	bounds := drawBounds(rng)
@@ -97,8 +97,8 @@
 		s = s.apply(e)
 		r.Steps++
 		r.Trace = append(r.Trace, e.String())
-		if s.broken != "" {
-			r.Broken = s.broken
+		if s.violation != "" {
+			r.Violation = s.violation
 			return r
 		}
 	}
