--- a/internal/simulation/scale/agree.go
+++ b/internal/simulation/scale/agree.go
@@ -9,7 +9,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// latestIndex asks the quorum how far the updates have come.
+// latestIndex asks the quorum for the index of the last update.
 func (r *run) latestIndex(ctx context.Context) (uint64, bool) {
 	for member := range quorumSize {
 		call, cancel := context.WithTimeout(ctx, time.Second)
@@ -23,9 +23,9 @@
 	return 0, false
 }
 
-// listed is the number of servers in the leader's list.
-func (r *run) listed(ctx context.Context) int {
-	all, _ := r.core.Status(ctx)
+// registeredServers is the number of servers in the leader's registry.
+func (r *run) registeredServers(ctx context.Context) int {
+	all, _ := r.operatorClient.Status(ctx)
 	for _, s := range all {
 		if s.IsLeader {
 			return len(s.Servers)
@@ -34,9 +34,9 @@
 	return -1
 }
 
-// leader returns the process that leads, or nil.
+// leader returns the leader's process; nil: there is none.
 func (r *run) leader(ctx context.Context) *child {
-	all, _ := r.core.Status(ctx)
+	all, _ := r.operatorClient.Status(ctx)
 	for _, s := range all {
 		for _, c := range r.list(quorumRole) {
 			if s.IsLeader && s.Node == c.name {
@@ -47,56 +47,56 @@
 	return nil
 }
 
-// agreement is how far all nodes agree.
-type agreement struct {
+// convergence is the result of a check that all nodes have the same state.
+type convergence struct {
 	updates bool   // all have the latest update, and the list has all their servers
 	all     bool   // they know each other, too
-	why     string // not all
+	reason  string // not all
 }
 
-// agreed asks all nodes.
-func (r *run) agreed(ctx context.Context) (a agreement) {
+// checkConvergence compares the states of all nodes.
+func (r *run) checkConvergence(ctx context.Context) (a convergence) {
 	for _, c := range r.list(quorumRole, realRole) {
-		if err := c.died(); err != nil {
-			return agreement{why: err.Error()}
+		if err := c.exited(); err != nil {
+			return convergence{reason: err.Error()}
 		}
 	}
 	latest, ok := r.latestIndex(ctx)
 	if !ok {
-		return agreement{why: "no leader"}
+		return convergence{reason: "no leader"}
 	}
 	answers, err := r.each(func(*child) *command { return &command{State: true} })
 	if err != nil {
-		return agreement{why: err.Error()}
+		return convergence{reason: err.Error()}
 	}
 	for _, answer := range answers {
 		switch s := answer.State; {
 		case s.Nodes == 0:
 		case s.MinIndex < latest:
-			return agreement{why: fmt.Sprintf("a node knows of update %d of %d", s.MinIndex, latest)}
+			return convergence{reason: fmt.Sprintf("a node knows of update %d of %d", s.MinIndex, latest)}
 		case s.Ready < s.Nodes:
-			return agreement{why: fmt.Sprintf("%d of %d nodes of a process are ready", s.Ready, s.Nodes)}
+			return convergence{reason: fmt.Sprintf("%d of %d nodes of a process are ready", s.Ready, s.Nodes)}
 		}
 	}
-	if n := r.listed(ctx); n != len(r.running) {
-		return agreement{why: fmt.Sprintf("%d of %d servers are listed", n, len(r.running))}
+	if n := r.registeredServers(ctx); n != len(r.running) {
+		return convergence{reason: fmt.Sprintf("%d of %d servers are listed", n, len(r.running))}
 	}
 	a.updates = true
 	members := quorumSize + len(r.running)
 	for _, answer := range answers {
 		if s := answer.State; s.Nodes > 0 && (s.MinMembers != members || s.MaxMembers != members) {
-			a.why = fmt.Sprintf("nodes know %d to %d members, there are %d", s.MinMembers, s.MaxMembers, members)
+			a.reason = fmt.Sprintf("nodes know %d to %d members, there are %d", s.MinMembers, s.MaxMembers, members)
 			return a
 		}
 	}
-	a.why = r.realDisagree(ctx, latest, members)
-	a.all = a.why == ""
+	a.reason = r.divergentRealNode(ctx, latest, members)
+	a.all = a.reason == ""
 	return a
 }
 
-// realDisagree says which real node does not know of an update or of so many members; empty: all do. They are asked last
-// and seldom, as showing its figures costs a node more than all else that it does in a quiet second.
-func (r *run) realDisagree(ctx context.Context, latest uint64, members int) string {
+// divergentRealNode names a real node without an update, or with another number of members; empty: there is none. Real
+// nodes are asked last and seldom, as serving its metrics costs a node more than all else in a second without load.
+func (r *run) divergentRealNode(ctx context.Context, latest uint64, members int) string {
 	real, err := r.samples(ctx, realRole)
 	if err != nil {
 		return err.Error()
@@ -109,8 +109,8 @@
 	return ""
 }
 
-// untilAgreed waits until all agree, and reports how long that took from a moment on.
-func (r *run) untilAgreed(ctx context.Context, e *EventReport, from time.Time) {
+// awaitConvergence waits until all nodes have the same state, and reports how long that took from a time.
+func (r *run) awaitConvergence(ctx context.Context, e *EventReport, from time.Time) {
 	patience, cancel := context.WithTimeout(ctx, r.Settle)
 	defer cancel()
 	since := func() *float64 {
@@ -118,7 +118,7 @@
 		return &took
 	}
 	for polls := 0; patience.Err() == nil; polls++ { // seldom where it takes long
-		a := r.agreed(patience)
+		a := r.checkConvergence(patience)
 		if a.updates && e.UpdatesS == nil {
 			e.UpdatesS = since()
 		}
@@ -127,9 +127,9 @@
 			return
 		}
 		if patience.Err() == nil {
-			e.Disagree = a.why
+			e.Disagree = a.reason
 		}
 		timerpool.Sleep(patience, pollEvery*time.Duration(1+polls/20))
 	}
-	r.say("  no agreement within %v: %s", r.Settle, e.Disagree)
+	r.logf("  no agreement within %v: %s", r.Settle, e.Disagree)
 }
--- a/internal/simulation/scale/changes.go
+++ b/internal/simulation/scale/changes.go
@@ -8,14 +8,14 @@
 	"ivydeck/internal/pkg/timerpool"
 )
 
-// sent is a change that the operator has made.
-type sent struct {
+// appliedChange is an acknowledged change of the operator.
+type appliedChange struct {
 	index uint64
 	at    time.Time
 }
 
-// changeRoute changes one route, and says by which update all nodes know of it.
-func (r *run) changeRoute(ctx context.Context) (s sent, ack time.Duration, err error) {
+// changeRoute changes one route, and returns the index of its update.
+func (r *run) changeRoute(ctx context.Context) (s appliedChange, ack time.Duration, err error) {
 	base := r.config.Revision
 	r.config.Revision++
 	r.config.Routes[int(r.config.Revision)%len(r.config.Routes)].TargetLatencyMs = 100 + float64(r.config.Revision%1000)
@@ -38,12 +38,12 @@
 	}
 }
 
-// changes makes changes at a rate for some time, and measures when the nodes know of each.
+// changes makes changes at a rate for some time, and measures when each node has each.
 func (r *run) changes(ctx context.Context, e *EventReport, count int, every time.Duration) error {
 	spread := &Spread{}
 	e.Spread = spread
 	var acks []float64
-	var all []sent
+	var all []appliedChange
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for i := range count {
@@ -60,8 +60,8 @@
 				return ctx.Err()
 			}
 			spread.Refused++
-			r.say("  a change was refused: %v", err)
-			if e := r.readBack(ctx); e != nil {
+			r.logf("  a change was refused: %v", err)
+			if e := r.readConfig(ctx); e != nil {
 				return e
 			}
 			continue
@@ -75,17 +75,17 @@
 	return ctx.Err()
 }
 
-// readBack begins again with the configuration in force, where it is not known whether a change was taken.
-func (r *run) readBack(ctx context.Context) error {
-	_, config, err := r.core.Read(ctx)
+// readConfig reads the configuration in force, after a change without a definite answer.
+func (r *run) readConfig(ctx context.Context) error {
+	_, config, err := r.operatorClient.Read(ctx)
 	if err == nil && config != nil {
 		r.config = config
 	}
 	return err
 }
 
-// collect waits for the last change to be known everywhere, and takes when each was.
-func (r *run) collect(ctx context.Context, spread *Spread, all []sent) {
+// collect waits until all nodes have the last change, and collects when they got each.
+func (r *run) collect(ctx context.Context, spread *Spread, all []appliedChange) {
 	hollow := 0
 	for m := range r.running {
 		if m >= quorumSize+r.Real {
@@ -107,7 +107,7 @@
 	}
 }
 
-// arrivals says when hollow nodes knew of an update, in unix microseconds.
+// arrivals returns when hollow nodes received an update, in Unix microseconds.
 func (r *run) arrivals(index uint64) (list []int64) {
 	answers, err := r.each(func(*child) *command { return &command{Index: index} })
 	if err != nil {
--- a/internal/simulation/scale/events.go
+++ b/internal/simulation/scale/events.go
@@ -24,27 +24,27 @@
 	readingTime   = 2 * time.Second // of the figures, at most
 )
 
-// event is something that is played and measured.
+// event is a step of a run that is measured.
 type event struct {
 	name  string
 	about string
 	play  func(r *run, ctx context.Context, e *EventReport) error
 }
 
-// events in their order; a run with fewer plays them in the same.
+// events is all events in their order, also of runs with fewer of them.
 var events = []event{
 	{startEvent, "all nodes start at once, beside a quorum with a configuration", (*run).start},
 	{"quiet", "nothing happens", (*run).quiet},
-	{"operator", "an operator reads", (*run).operator},
+	{"operator", "an operator reads", (*run).operatorCalls},
 	{"change", "one route is changed", (*run).oneChange},
 	{"stream-day", "one route is changed again and again, at the rate of 49,000 changes a day", (*run).dayStream},
 	{"stream-10", "the same, 10 times a second", (*run).fastStream},
 	{"restart", "a server and its node leave as planned and start again", (*run).restart},
-	{"roll", "a tenth of the hollow nodes restart as planned, in ten groups, a second apart", (*run).roll},
-	{"loss", "a tenth of the hollow nodes are lost in the same moment", (*run).loss},
-	{"return", "they start again", (*run).comeBack},
-	{"cut", "a region is cut off, and a route is changed meanwhile; the time until all agree is that from the healing on", (*run).cutRegion},
-	{"cold", "all processes are killed, and start again at the same time", (*run).cold},
+	{"roll", "a tenth of the hollow nodes restart as planned, in ten groups, a second apart", (*run).rollingRestart},
+	{"loss", "a tenth of the hollow nodes are lost in the same moment", (*run).zoneLoss},
+	{"return", "they start again", (*run).recover},
+	{"cut", "a region is cut off, and a route is changed meanwhile; the time until all agree is that from the healing on", (*run).regionPartition},
+	{"cold", "all processes are killed, and start again at the same time", (*run).coldStart},
 }
 
 // EventNames lists the events in their order.
@@ -55,9 +55,9 @@
 	return names
 }
 
-// event plays one event and reports what it has cost.
+// event runs one event and reports its costs.
 func (r *run) event(ctx context.Context, e event) error {
-	r.say("%s: %s", e.name, e.about)
+	r.logf("%s: %s", e.name, e.about)
 	report := EventReport{Name: e.name, About: e.about}
 	before, err := r.samples(ctx)
 	if err != nil {
@@ -74,14 +74,14 @@
 	if err != nil {
 		return err
 	}
-	r.uses(ctx, &report, before, after)
+	r.addUsage(ctx, &report, before, after)
 	r.report.Events = append(r.report.Events, report)
 	r.summary(&report)
 	return nil
 }
 
-// uses works out what each role has used. A process that was not there at the event's beginning counts from its start.
-func (r *run) uses(ctx context.Context, report *EventReport, before, after map[*child]sample) {
+// addUsage computes the usage of each role. A process that did not run at the beginning of the event counts from its start.
+func (r *run) addUsage(ctx context.Context, report *EventReport, before, after map[*child]sample) {
 	leader := r.leader(ctx)
 	roles := map[string]*Use{}
 	began := time.Now().Add(-time.Duration(report.Seconds*float64(time.Second)) - readingTime)
@@ -115,20 +115,20 @@
 	}
 }
 
-// summary says in a line or two what an event has cost.
+// summary prints the costs of an event in a line or two.
 func (r *run) summary(e *EventReport) {
 	for _, name := range []string{"leader", "real", "hollow"} {
 		if u, ok := e.Roles[name]; ok {
-			r.say("  %-6s a node: %8.0f B/s out, %6.1f messages/s out, %5.2f %% of a core, %6.1f MB, %4.0f sockets",
+			r.logf("  %-6s a node: %8.0f B/s out, %6.1f messages/s out, %5.2f %% of a core, %6.1f MB, %4.0f sockets",
 				name, u.BytesOut, u.MessagesOut, u.Processor, u.ResidentMB, u.Sockets)
 		}
 	}
 	if s := e.Spread; s != nil {
-		r.say("  %d changes: acknowledged after %.0f ms (at most %.0f), known after %.0f ms, p99 %.0f, at most %.0f; %d missing, %d refused",
+		r.logf("  %d changes: acknowledged after %.0f ms (at most %.0f), known after %.0f ms, p99 %.0f, at most %.0f; %d missing, %d refused",
 			s.Changes, s.AckP50Ms, s.AckMaxMs, s.P50Ms, s.P99Ms, s.MaxMs, s.Missing, s.Refused)
 	}
 	if e.AgreeS != nil {
-		r.say("  all agree after %.1f s (on updates after %.1f); %.1f cores", *e.AgreeS, *e.UpdatesS, e.Machine)
+		r.logf("  all agree after %.1f s (on updates after %.1f); %.1f cores", *e.AgreeS, *e.UpdatesS, e.Machine)
 	}
 }
 
@@ -140,7 +140,7 @@
 	if err := r.startNodes(r.hollowMachines()); err != nil {
 		return err
 	}
-	r.untilAgreed(ctx, e, began)
+	r.awaitConvergence(ctx, e, began)
 	return nil
 }
 
@@ -149,24 +149,24 @@
 	return ctx.Err()
 }
 
-// operator makes the calls that read, at the leader.
-func (r *run) operator(ctx context.Context, e *EventReport) error {
+// operatorCalls makes the calls that read, at the leader.
+func (r *run) operatorCalls(ctx context.Context, e *EventReport) error {
 	leader := r.leader(ctx)
 	if leader == nil {
 		return fmt.Errorf("nobody leads")
 	}
 	for _, path := range []string{"/status", "/config/read", "/backup"} {
-		var most Call
+		var slowest Call
 		for range operatorCalls {
 			c, err := r.fetch(ctx, leader.machines[0], path)
 			if err != nil {
 				return err
 			}
-			if c.Ms >= most.Ms {
-				most = c
+			if c.Ms >= slowest.Ms {
+				slowest = c
 			}
 		}
-		e.Calls = append(e.Calls, most)
+		e.Calls = append(e.Calls, slowest)
 	}
 	return nil
 }
--- a/internal/simulation/scale/failures.go
+++ b/internal/simulation/scale/failures.go
@@ -7,8 +7,8 @@
 	"ivydeck/internal/pkg/timerpool"
 )
 
-// some returns a part of the hollow nodes: each tenth, from one on.
-func (r *run) some(from, step int) (list []int) {
+// everyNth returns a part of the hollow nodes: each tenth, from one on.
+func (r *run) everyNth(from, step int) (list []int) {
 	all := r.hollowMachines()
 	for i := from; i < len(all); i += step {
 		list = append(list, all[i])
@@ -26,12 +26,12 @@
 	if err := r.startNodes(one); err != nil {
 		return err
 	}
-	r.untilAgreed(ctx, e, began)
+	r.awaitConvergence(ctx, e, began)
 	return nil
 }
 
-func (r *run) roll(ctx context.Context, e *EventReport) error {
-	all := r.some(1, tenth)
+func (r *run) rollingRestart(ctx context.Context, e *EventReport) error {
+	all := r.everyNth(1, tenth)
 	began := time.Now()
 	for step := range rollSteps {
 		var group []int
@@ -50,21 +50,21 @@
 		}
 		timerpool.Sleep(ctx, rollPause)
 	}
-	r.untilAgreed(ctx, e, began)
+	r.awaitConvergence(ctx, e, began)
 	return nil
 }
 
-func (r *run) loss(ctx context.Context, e *EventReport) error {
+func (r *run) zoneLoss(ctx context.Context, e *EventReport) error {
 	began := time.Now()
-	if err := r.stopNodes(r.some(2, tenth), false); err != nil {
+	if err := r.stopNodes(r.everyNth(2, tenth), false); err != nil {
 		return err
 	}
-	r.untilAgreed(ctx, e, began)
+	r.awaitConvergence(ctx, e, began)
 	return nil
 }
 
-// comeBack starts all hollow nodes that do not run.
-func (r *run) comeBack(ctx context.Context, e *EventReport) error {
+// recover starts all hollow nodes that do not run.
+func (r *run) recover(ctx context.Context, e *EventReport) error {
 	var list []int
 	for _, m := range r.hollowMachines() {
 		if !r.running[m] {
@@ -75,37 +75,37 @@
 	if err := r.startNodes(list); err != nil {
 		return err
 	}
-	r.untilAgreed(ctx, e, began)
+	r.awaitConvergence(ctx, e, began)
 	return nil
 }
 
-// setCut cuts a region off, or heals where there is none.
-func (r *run) setCut(region int) error {
-	_, err := r.each(func(*child) *command { return &command{Cut: &region} })
+// partitionRegion partitions a region from the others; -1 ends the partition.
+func (r *run) partitionRegion(region int) error {
+	_, err := r.each(func(*child) *command { return &command{Partition: &region} })
 	return err
 }
 
-func (r *run) cutRegion(ctx context.Context, e *EventReport) error {
-	if err := r.setCut(r.Regions - 1); err != nil {
+func (r *run) regionPartition(ctx context.Context, e *EventReport) error {
+	if err := r.partitionRegion(r.Regions - 1); err != nil {
 		return err
 	}
 	timerpool.Sleep(ctx, r.Cut/2)
 	if _, _, err := r.changeRoute(ctx); err != nil {
-		r.say("  a change during the cut: %v", err)
-		if err := r.readBack(ctx); err != nil {
+		r.logf("  a change during the cut: %v", err)
+		if err := r.readConfig(ctx); err != nil {
 			return err
 		}
 	}
 	timerpool.Sleep(ctx, r.Cut/2)
 	healed := time.Now()
-	if err := r.setCut(-1); err != nil {
+	if err := r.partitionRegion(-1); err != nil {
 		return err
 	}
-	r.untilAgreed(ctx, e, healed)
+	r.awaitConvergence(ctx, e, healed)
 	return nil
 }
 
-func (r *run) cold(ctx context.Context, e *EventReport) error {
+func (r *run) coldStart(ctx context.Context, e *EventReport) error {
 	r.killAll()
 	clear(r.running)
 	began := time.Now()
@@ -121,6 +121,6 @@
 	if err := r.startNodes(r.hollowMachines()); err != nil {
 		return err
 	}
-	r.untilAgreed(ctx, e, began)
+	r.awaitConvergence(ctx, e, began)
 	return nil
 }
--- a/internal/simulation/scale/fit.go
+++ b/internal/simulation/scale/fit.go
@@ -14,7 +14,7 @@
 
 const confidence = 0.95
 
-// Target is the size that fits are carried on to, and what a node may spend there.
+// Target is the size that fits are extrapolated to, and the budget of a node there.
 type Target struct {
 	Nodes      int
 	BytesS     float64 // bytes a second
@@ -23,10 +23,10 @@
 	ChangeMs   float64 // until a change is known everywhere
 }
 
-// UsersTarget is the one that docs/CAPACITY.md is about.
+// UsersTarget is the target of docs/CAPACITY.md.
 var UsersTarget = Target{Nodes: 28_000, BytesS: 13_000, Processor: 2.9, ResidentMB: 32, ChangeMs: 4000}
 
-// Line is a least-squares line through points, with what an interval needs.
+// Line is a least-squares fit of points by a line, with the sums for its intervals.
 type Line struct {
 	Intercept, Slope float64
 	points           int
@@ -34,8 +34,8 @@
 	residual         float64 // standard error of a point
 }
 
-// fitLine returns the line through points; ok is false where they lie at fewer than two places.
-func fitLine(x, y []float64) (l Line, ok bool) {
+// linearFit fits a line; ok is false for fewer than two distinct x.
+func linearFit(x, y []float64) (l Line, ok bool) {
 	l.points = len(x)
 	if l.points < 2 {
 		return l, false
@@ -59,7 +59,7 @@
 	return l, true
 }
 
-// half returns half of an interval for a standard error; infinite where two points leave nothing to judge by.
+// half returns the half width of the interval of a standard error; infinite with two points.
 func (l Line) half(deviation float64) float64 {
 	if l.points <= 2 {
 		return math.Inf(1)
@@ -67,16 +67,16 @@
 	return deviation * distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(l.points - 2)}.Quantile(0.5+confidence/2)
 }
 
-// SlopeError is half of the slope's interval.
+// SlopeError is the half width of the slope's interval.
 func (l Line) SlopeError() float64 { return l.half(l.residual / math.Sqrt(l.sumXX)) }
 
-// At returns the line's value, and half of the interval of a new measurement there.
+// At returns the line's value, and the half width of the prediction interval there.
 func (l Line) At(x float64) (y, half float64) {
 	spread := 1 + 1/float64(l.points) + (x-l.meanX)*(x-l.meanX)/l.sumXX
 	return l.Intercept + l.Slope*x, l.half(l.residual * math.Sqrt(spread))
 }
 
-// Series is one figure at several sizes.
+// Series is one measure at several sizes.
 type Series struct {
 	Event, Role, Measure string
 	Nodes, Values        []float64
@@ -93,10 +93,10 @@
 		}
 		x, y = append(x, math.Log(s.Nodes[i])), append(y, math.Log(v))
 	}
-	return fitLine(x, y)
+	return linearFit(x, y)
 }
 
-// measure is a figure of a node of a role.
+// measure is a measure of a node of a role.
 type measure struct {
 	name   string
 	of     func(u Use) float64
@@ -115,7 +115,7 @@
 	{"goroutines", func(u Use) float64 { return u.Goroutines }, noBudget},
 }
 
-// stateMeasures are the figures of StateReport, which stand among the others as those of an event.
+// stateMeasures are the measures of StateReport, listed as those of an event.
 var stateMeasures = []struct {
 	role, name string
 	of         func(s StateSize) float64
@@ -145,7 +145,7 @@
 	allNodes       = "all"
 )
 
-// SeriesOf sorts the figures of reports by event, role and measure. Reports of one size stand beside each other.
+// SeriesOf groups the measures of reports by event, role and measure.
 func SeriesOf(reports []*Report, t Target) []*Series {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(a, b *Report) int { return cmp.Compare(a.Nodes, b.Nodes) })
@@ -206,12 +206,12 @@
 	return all
 }
 
-// WriteTable prints series as a table, each with its fits and what these lead to at the target.
-func WriteTable(out io.Writer, all []*Series, t Target) {
-	fmt.Fprintf(out, "| event | role | measure | nodes: value | power | linear | at %d by the power | by the line | budget | verdict |\n", t.Nodes)
-	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|")
+// WriteTable prints series as a table, each with its fits and their values at the target.
+func WriteTable(w io.Writer, all []*Series, t Target) {
+	fmt.Fprintf(w, "| event | role | measure | nodes: value | power | linear | at %d by the power | by the line | budget | verdict |\n", t.Nodes)
+	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|")
 	for _, s := range all {
-		fmt.Fprintln(out, s.row(t))
+		fmt.Fprintln(w, s.row(t))
 	}
 }
 
@@ -221,26 +221,26 @@
 	for i, v := range s.Values {
 		values = append(values, fmt.Sprintf("%.0f: %s", s.Nodes[i], short(v)))
 	}
-	power, linear, atPower, atLine := "-", "-", "-", "-"
+	power, linear, atPower, atLinear := "-", "-", "-", "-"
 	low, high := math.Inf(1), math.Inf(-1) // of the two models, without their intervals
 	if l, ok := s.power(); ok {
 		y, half := l.At(math.Log(float64(t.Nodes)))
 		power, atPower = plusMinus(l.Slope, l.SlopeError()), fmt.Sprintf("%s (%s to %s)", short(math.Exp(y)), short(math.Exp(y-half)), short(math.Exp(y+half)))
 		low, high = min(low, math.Exp(y)), max(high, math.Exp(y))
 	}
-	if l, ok := fitLine(s.Nodes, s.Values); ok {
+	if l, ok := linearFit(s.Nodes, s.Values); ok {
 		y, half := l.At(float64(t.Nodes))
-		linear, atLine = fmt.Sprintf("%s + %s a node", short(l.Intercept), plusMinus(l.Slope, l.SlopeError())), plusMinus(y, half)
+		linear, atLinear = fmt.Sprintf("%s + %s a node", short(l.Intercept), plusMinus(l.Slope, l.SlopeError())), plusMinus(y, half)
 		low, high = min(low, y), max(high, y)
 	}
 	budget, verdict := "", ""
 	if s.Budget > 0 {
 		budget, verdict = short(s.Budget), judge(low, high, s.Budget)
 	}
-	return "| " + strings.Join([]string{s.Event, s.Role, s.Measure, strings.Join(values, ", "), power, linear, atPower, atLine, budget, verdict}, " | ") + " |"
+	return "| " + strings.Join([]string{s.Event, s.Role, s.Measure, strings.Join(values, ", "), power, linear, atPower, atLinear, budget, verdict}, " | ") + " |"
 }
 
-// judge says whether what the models lead to is within a budget.
+// judge states whether the fitted values are within a budget.
 func judge(low, high, budget float64) string {
 	switch {
 	case low > high:
@@ -260,7 +260,7 @@
 	return fmt.Sprintf("%s ± %s", short(x), short(half))
 }
 
-// short prints a number with three digits.
+// short formats a number with three digits.
 func short(x float64) string {
 	switch abs := math.Abs(x); {
 	case math.IsInf(x, 0):
--- a/internal/simulation/scale/hollow.go
+++ b/internal/simulation/scale/hollow.go
@@ -34,19 +34,19 @@
 
 // hollowNode is a node that carries no requests.
 type hollowNode struct {
-	machine int
-	agent   *agent.Agent
-	server  localserver.Heartbeat
-	gone    atomic.Bool   // the server has left
-	changed chan struct{} // tells of that
-	end     context.CancelFunc
-	ended   chan struct{}
+	machine      int
+	agent        *agent.Agent
+	server       localserver.Heartbeat
+	deregistered atomic.Bool   // the server has left
+	changed      chan struct{} // tells of that
+	end          context.CancelFunc
+	ended        chan struct{}
 
 	mu       sync.Mutex
 	arrivals []arrival // oldest first
 }
 
-// arrival is when a node first knew of all updates up to one.
+// arrival is when a node first had all updates up to an index.
 type arrival struct {
 	index uint64
 	at    time.Time
@@ -60,8 +60,8 @@
 }
 
 // RunHollow runs hollow nodes by the commands on standard input, until that ends.
-func RunHollow(in io.Reader, out io.Writer) error {
-	decoder, encoder := json.NewDecoder(in), json.NewEncoder(out)
+func RunHollow(in io.Reader, w io.Writer) error {
+	decoder, encoder := json.NewDecoder(in), json.NewEncoder(w)
 	p := &hollowProcess{nodes: map[int]*hollowNode{}}
 	defer func() {
 		for machine := range p.nodes {
@@ -77,14 +77,14 @@
 		if err := decoder.Decode(&c); err != nil {
 			return nil // whoever has started this process is gone
 		}
-		if err := encoder.Encode(p.do(&c)); err != nil {
+		if err := encoder.Encode(p.handle(&c)); err != nil {
 			return nil
 		}
 	}
 }
 
-// do carries a command out.
-func (p *hollowProcess) do(c *command) (a answer) {
+// handle executes a command.
+func (p *hollowProcess) handle(c *command) (a answer) {
 	for _, machine := range c.Stop {
 		p.stop(machine)
 	}
@@ -95,8 +95,8 @@
 			return a
 		}
 	}
-	if c.Cut != nil {
-		p.network.setCut(*c.Cut)
+	if c.Partition != nil {
+		p.network.setPartition(*c.Partition)
 	}
 	if c.State {
 		a.State = p.state()
@@ -136,8 +136,8 @@
 	ctx, end := context.WithCancel(context.Background())
 	log := slog.New(slog.DiscardHandler)
 	pool := rpc.NewPool(ctx, rpc.PoolOptions{Dial: p.network.dialer(machine)})
-	beat := localserver.Heartbeat{ID: serverName(machine), Service: set.Backend, Address: fmt.Sprintf("%s:%d", set.IP, p.job.Ports.Server), Zone: set.Zone, Slots: slots}
-	n := &hollowNode{machine: machine, server: beat, changed: make(chan struct{}, 1), end: end, ended: make(chan struct{})}
+	heartbeat := localserver.Heartbeat{ID: serverName(machine), Service: set.Backend, Address: fmt.Sprintf("%s:%d", set.IP, p.job.Ports.Server), Zone: set.Zone, Slots: slots}
+	n := &hollowNode{machine: machine, server: heartbeat, changed: make(chan struct{}, 1), end: end, ended: make(chan struct{})}
 	n.agent = agent.New(agent.Options{
 		Settings: func() *nodefile.Settings { return set }, Pool: pool, Seed: rand.Uint64(), Log: log,
 		Servers: n.servers, ServersChanged: n.changed, Draining: func() bool { return false },
@@ -156,32 +156,32 @@
 	return nil
 }
 
-// servers are what stands on the node's machine.
+// servers are the application servers on the node's machine.
 func (n *hollowNode) servers() []localserver.Heartbeat {
-	if n.gone.Load() {
+	if n.deregistered.Load() {
 		return nil
 	}
 	return []localserver.Heartbeat{n.server}
 }
 
-// leave ends nodes as planned: the server goes off the list, and others are told.
+// leave shuts nodes down gracefully: they deregister their servers and announce their end.
 func (p *hollowProcess) leave(machines []int) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
 	defer cancel()
-	var leaving sync.WaitGroup
+	var draining sync.WaitGroup
 	for _, machine := range machines {
 		if n := p.nodes[machine]; n != nil {
-			leaving.Go(func() { n.leave(ctx) })
+			draining.Go(func() { n.leave(ctx) })
 		}
 	}
-	leaving.Wait()
+	draining.Wait()
 	for _, machine := range machines {
 		p.stop(machine)
 	}
 }
 
 func (n *hollowNode) leave(ctx context.Context) {
-	n.gone.Store(true)
+	n.deregistered.Store(true)
 	select {
 	case n.changed <- struct{}{}:
 	default:
@@ -198,7 +198,7 @@
 	n.agent.Gossip.Leave(last)
 }
 
-// stop ends a node without a word to others, as a machine's loss does.
+// stop ends a node without an announcement, like the loss of its machine.
 func (p *hollowProcess) stop(machine int) {
 	n := p.nodes[machine]
 	if n == nil {
@@ -209,11 +209,11 @@
 	<-n.ended
 }
 
-// watch remembers when updates came.
+// watch records when updates arrive.
 func (n *hollowNode) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := n.agent.Hub.Changed()
-		n.arrived(n.agent.Hub.Index(), time.Now())
+		n.recordArrival(n.agent.Hub.Index(), time.Now())
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -221,7 +221,7 @@
 	}
 }
 
-func (n *hollowNode) arrived(index uint64, at time.Time) {
+func (n *hollowNode) recordArrival(index uint64, at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.arrivals) > 0 && n.arrivals[len(n.arrivals)-1].index >= index {
@@ -233,7 +233,7 @@
 	n.arrivals = append(n.arrivals, arrival{index, at})
 }
 
-// arrivals says when each node knew of an update; those that do not yet are left out.
+// arrivals returns when each node received an update; nodes without it are left out.
 func (p *hollowProcess) arrivals(index uint64) (list []int64) {
 	for _, n := range p.nodes {
 		n.mu.Lock()
@@ -248,7 +248,7 @@
 	return list
 }
 
-// state says how far the nodes agree.
+// state returns the range of the nodes' states.
 func (p *hollowProcess) state() *state {
 	s := &state{Nodes: len(p.nodes)}
 	first := true
--- a/internal/simulation/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -24,16 +24,16 @@
 
 // Bounds of a paired benchmark.
 const (
-	maxDepth    = 20
-	maxRequests = 20_000
-	maxWorkers  = 256
-	hopSlots    = 512
-	hopTimeout  = 5 * time.Second
-	warmUp      = 200 // requests before those that count, at each depth
-	readyWait   = 20 * time.Second
+	maxDepth       = 20
+	maxRequests    = 20_000
+	maxWorkers     = 256
+	hopSlots       = 512
+	hopTimeout     = 5 * time.Second
+	warmupRequests = 200 // requests before those that count, at each depth
+	readyWait      = 20 * time.Second
 )
 
-// HopOptions say what a paired benchmark is.
+// HopOptions are the options of a paired benchmark.
 type HopOptions struct {
 	Programs string
 	Depth    int           // the longest chain of calls
@@ -46,7 +46,7 @@
 	Progress io.Writer
 }
 
-// HopReport is what a paired benchmark has measured.
+// HopReport is the result of a paired benchmark.
 type HopReport struct {
 	Command string      `json:"command"`
 	Began   time.Time   `json:"began"`
@@ -69,7 +69,7 @@
 	AddedP99Ms float64 `json:"added_p99_ms"` // the difference of the two p99
 }
 
-// LoadResult is what calls cost the nodes' processors under load.
+// LoadResult is the processor time of the nodes under load.
 type LoadResult struct {
 	Workers      int     `json:"workers"`
 	Seconds      float64 `json:"seconds"`
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// chain is a benchmark under way.
+// chain is a running benchmark.
 type chain struct {
 	*run
 	HopOptions
@@ -102,7 +102,7 @@
 	count   atomic.Int64   // of requests, for their ids
 }
 
-// Hops plays a paired benchmark and ends all that it has started.
+// Hops runs a paired benchmark, and stops everything that it has started.
 func Hops(ctx context.Context, o HopOptions) (*HopReport, error) {
 	if err := o.check(); err != nil {
 		return nil, fmt.Errorf("hops: %w", err)
@@ -121,9 +121,9 @@
 		return nil, fmt.Errorf("hops: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	c := &chain{HopOptions: o, run: &run{layout: l, dir: dir, core: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), began: time.Now(), running: map[int]bool{}, report: new(Report)}}
-	defer c.end()
-	report, err := c.play(ctx)
+	c := &chain{HopOptions: o, run: &run{layout: l, dir: dir, operatorClient: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), began: time.Now(), running: map[int]bool{}, report: new(Report)}}
+	defer c.stopAll()
+	report, err := c.measure(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("hops: %w", err)
 	}
@@ -137,7 +137,7 @@
 	return report, os.WriteFile(o.Report, append(text, '\n'), 0o644)
 }
 
-// entry is the machine whose node takes the benchmark's own requests; the ones behind it have the servers.
+// machine returns the machine of a hop. Hop 0 takes the benchmark's own requests; the others have the servers.
 func (c *chain) machine(hop int) int { return quorumSize + hop }
 
 func (c *chain) config() *meshconfig.Config {
@@ -151,8 +151,8 @@
 	return m
 }
 
-// play starts the machines and measures.
-func (c *chain) play(ctx context.Context) (*HopReport, error) {
+// measure starts the machines and measures.
+func (c *chain) measure(ctx context.Context) (*HopReport, error) {
 	if err := c.startAll(ctx); err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.say("%2d hops: with nodes p50 %.2f ms, p99 %.2f; without %.2f, %.2f; added p99 %.2f ms (of pairs: p50 %.2f, p99 %.2f); %d failed", depth,
+		c.logf("%2d hops: with nodes p50 %.2f ms, p99 %.2f; without %.2f, %.2f; added p99 %.2f ms (of pairs: p50 %.2f, p99 %.2f); %d failed", depth,
 			result.MeshP50Ms, result.MeshP99Ms, result.PlainP50Ms, result.PlainP99Ms, result.AddedP99Ms, result.PairP50Ms, result.PairP99Ms, result.Failed)
 		report.Depths = append(report.Depths, result)
 	}
@@ -171,7 +171,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.say("load: %.0f calls/s, %.1f µs of the nodes' processors a call; %d failed", load.CallsS, load.NodeMicros, load.Failed)
+		c.logf("load: %.0f calls/s, %.1f µs of the nodes' processors a call; %d failed", load.CallsS, load.NodeMicros, load.Failed)
 		report.Load = load
 	}
 	return report, nil
@@ -179,7 +179,7 @@
 
 func (c *chain) startAll(ctx context.Context) error {
 	for member := range quorumSize {
-		c.core.Addresses = append(c.core.Addresses, fmt.Sprintf("%s:%d", c.ip(member), c.ports.Control))
+		c.operatorClient.Addresses = append(c.operatorClient.Addresses, fmt.Sprintf("%s:%d", c.ip(member), c.ports.Control))
 	}
 	if err := c.startQuorum(); err != nil {
 		return err
@@ -195,28 +195,28 @@
 		c.clients = append(c.clients, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxWorkers}, Timeout: hopTimeout})
 		machine := c.machine(hop)
 		s, err := standin.Start(standin.Options{ID: serverName(machine), Service: serviceName(machine % c.Services), Zone: c.zone(machine),
-			Address: c.at(machine, c.ports.Server), Control: c.at(machine, c.ports.Control), Slots: hopSlots, Heartbeat: heartbeat, Handler: c.server(hop)})
+			Address: c.address(machine, c.ports.Server), Control: c.address(machine, c.ports.Control), Slots: hopSlots, Heartbeat: heartbeat, Handler: c.server(hop)})
 		if err != nil {
 			return err
 		}
 		c.servers = append(c.servers, s)
 	}
 	var start EventReport
-	if c.untilAgreed(ctx, &start, time.Now()); start.AgreeS == nil {
+	if c.awaitConvergence(ctx, &start, time.Now()); start.AgreeS == nil {
 		return fmt.Errorf("the nodes do not agree: %s", start.Disagree)
 	}
 	return nil
 }
 
-func (c *chain) at(machine, port int) string { return fmt.Sprintf("%s:%d", c.ip(machine), port) }
+func (c *chain) address(machine, port int) string { return fmt.Sprintf("%s:%d", c.ip(machine), port) }
 
-// Ways of a chain.
+// Paths of a chain's calls.
 const (
-	meshWay   = "mesh"
-	directWay = "direct"
+	meshPath   = "mesh"
+	directPath = "direct"
 )
 
-// server answers a hop's call, behind the call of the next hop where the chain goes on: /hop-HOP/WAY/DEPTH.
+// server answers a hop's call, after the call of the next hop if the chain goes on: /hop-HOP/PATH/DEPTH.
 func (c *chain) server(hop int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Attempt-Id")
@@ -239,13 +239,13 @@
 	})
 }
 
-// call makes the call of the hop behind a machine, by its node or without one.
-func (c *chain) call(ctx context.Context, hop int, way string, depth int, id string) error {
-	address := c.at(c.machine(hop+1), c.ports.Server)
-	if way == meshWay {
-		address = c.at(c.machine(hop), c.ports.Outbound)
+// call makes the call of the next hop from a machine, through its node or without one.
+func (c *chain) call(ctx context.Context, hop int, path string, depth int, id string) error {
+	address := c.address(c.machine(hop+1), c.ports.Server)
+	if path == meshPath {
+		address = c.address(c.machine(hop), c.ports.Outbound)
 	}
-	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/hop-%d/%s/%d", address, hop+1, way, depth), nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/hop-%d/%s/%d", address, hop+1, path, depth), nil)
 	if err != nil {
 		return err
 	}
@@ -266,11 +266,11 @@
 	return nil
 }
 
-// timed makes a whole chain of calls.
-func (c *chain) timed(ctx context.Context, way string, depth int) (time.Duration, error) {
+// timed measures a chain of calls.
+func (c *chain) timed(ctx context.Context, path string, depth int) (time.Duration, error) {
 	id := fmt.Sprintf("hops%d", c.count.Add(1))
 	began := time.Now()
-	err := c.call(ctx, 0, way, depth, id)
+	err := c.call(ctx, 0, path, depth, id)
 	return time.Since(began), err
 }
 
@@ -278,9 +278,9 @@
 func (c *chain) compare(ctx context.Context, depth int) (HopResult, error) {
 	result := HopResult{Hops: depth}
 	var mesh, direct, pairs []float64
-	for i := range warmUp + c.Requests {
+	for i := range warmupRequests + c.Requests {
 		took := map[string]float64{}
-		ways := []string{meshWay, directWay}
+		ways := []string{meshPath, directPath}
 		if i%2 == 1 {
 			slices.Reverse(ways)
 		}
@@ -293,15 +293,15 @@
 				took[way] = milliseconds(d)
 			}
 		}
-		if i < warmUp {
+		if i < warmupRequests {
 			continue
 		}
 		if len(took) < len(ways) {
 			result.Failed++
 			continue
 		}
-		mesh, direct = append(mesh, took[meshWay]), append(direct, took[directWay])
-		pairs = append(pairs, took[meshWay]-took[directWay])
+		mesh, direct = append(mesh, took[meshPath]), append(direct, took[directPath])
+		pairs = append(pairs, took[meshPath]-took[directPath])
 	}
 	for _, list := range [][]float64{mesh, direct, pairs} {
 		slices.Sort(list)
@@ -314,7 +314,7 @@
 	return result, nil
 }
 
-// nodesProcessor is what all nodes have used so far, in seconds.
+// nodesProcessor is the processor time of all nodes so far, in seconds.
 func (c *chain) nodesProcessor() (sum float64, err error) {
 	for _, child := range c.list(realRole) {
 		used, err := processorTime(fmt.Sprintf("/proc/%d", child.command.Process.Pid))
@@ -352,7 +352,7 @@
 		for range c.Workers {
 			working.Go(func() {
 				for until.Err() == nil { // a call that has begun is ended, also behind the load's time
-					if _, err := c.timed(ctx, meshWay, 1); err == nil {
+					if _, err := c.timed(ctx, meshPath, 1); err == nil {
 						calls.Add(1)
 					} else {
 						failed.Add(1)
--- a/internal/simulation/scale/machines.go
+++ b/internal/simulation/scale/machines.go
@@ -13,7 +13,7 @@
 	"ivydeck/internal/simulation/standin"
 )
 
-// list returns the processes of some roles, all where none is named.
+// list returns the processes of some roles; of all if none is named.
 func (r *run) list(roles ...role) (list []*child) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,8 +31,8 @@
 	r.children = append(r.children, c)
 }
 
-// end kills all processes that the run has started, by their ids, and waits for their ends.
-func (r *run) end() {
+// stopAll kills all processes that the run has started, by their ids, and waits for their ends.
+func (r *run) stopAll() {
 	for _, s := range r.servers {
 		s.Stop()
 	}
@@ -51,7 +51,7 @@
 	r.children = slices.DeleteFunc(r.children, func(c *child) bool { return len(roles) == 0 || slices.Contains(roles, c.role) })
 }
 
-// settings writes the file of a real process.
+// settings writes the settings file of a real process.
 func (r *run) settings(machine int, class string) (string, error) {
 	ip := r.ip(machine)
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
@@ -71,7 +71,7 @@
 	return file, os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o644)
 }
 
-// startReal runs a real process of a machine.
+// startReal starts a real process of a machine.
 func (r *run) startReal(machine int, class, program string, as role) error {
 	file, err := r.settings(machine, class)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// startQuorum runs the quorum members.
+// startQuorum starts the quorum members.
 func (r *run) startQuorum() error {
 	for machine := range quorumSize {
 		if err := r.startReal(machine, "core", "ivydeck-control", quorumRole); err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// startRealNodes runs the real nodes.
+// startRealNodes starts the real nodes.
 func (r *run) startRealNodes() error {
 	for machine := quorumSize; machine < quorumSize+r.Real; machine++ {
 		if err := r.startReal(machine, "sidecar", "ivydeck-data", realRole); err != nil {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// startServers runs the stand-ins beside real nodes.
+// startServers starts the stand-ins beside real nodes.
 func (r *run) startServers() error {
 	for machine := quorumSize; machine < quorumSize+r.Real; machine++ {
 		ip := r.ip(machine)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// startHollow runs the processes of hollow nodes, still without nodes.
+// startHollow starts the processes of hollow nodes, without any nodes yet.
 func (r *run) startHollow(ctx context.Context) error {
 	first := quorumSize + r.Real
 	for i := range r.processes() {
@@ -148,7 +148,7 @@
 	return err
 }
 
-// each has all hollow processes carry out a command at the same time; f makes the command, nil is none.
+// each calls all hollow processes concurrently; f makes the command for each, nil: none.
 func (r *run) each(f func(c *child) *command) ([]*answer, error) {
 	var mu sync.Mutex
 	var answers []*answer
@@ -160,7 +160,7 @@
 			continue
 		}
 		asking.Go(func() {
-			a, err := c.ask(q)
+			a, err := c.call(q)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -174,7 +174,7 @@
 	return answers, errors.Join(faults...)
 }
 
-// change has hollow nodes of some machines started or stopped, each process its own.
+// change starts or stops hollow nodes of some machines, in each process its own.
 func (r *run) change(machines []int, build func(mine []int) *command) error {
 	wanted := map[int]bool{}
 	for _, m := range machines {
@@ -202,7 +202,7 @@
 	return r.change(machines, func(mine []int) *command { return &command{Start: mine} })
 }
 
-// stopNodes ends hollow nodes: planned, with a last word to others, or as a loss of their machines.
+// stopNodes ends hollow nodes: planned ones gracefully, others like the loss of their machines.
 func (r *run) stopNodes(machines []int, planned bool) error {
 	for _, m := range machines {
 		delete(r.running, m)
--- a/internal/simulation/scale/messages.go
+++ b/internal/simulation/scale/messages.go
@@ -2,7 +2,7 @@
 
 import "ivydeck/internal/transport/rpc"
 
-// job is what a process of hollow nodes is told first.
+// job is the first message to a process of hollow nodes.
 type job struct {
 	Network, Real, Zones, Regions, Services int
 	Ports                                   ports
@@ -10,15 +10,15 @@
 
 func (j *job) zoneOf(machine int) int { return zoneOf(machine, j.Real, j.Zones, j.Regions) }
 
-// command is for a process of hollow nodes, which answers each.
+// command is a command for a process of hollow nodes, which answers each.
 type command struct {
-	Stop  []int  `json:",omitempty"` // machines
-	Leave []int  `json:",omitempty"` // the same as a planned end: servers go off the list, and others are told
-	Start []int  `json:",omitempty"`
-	Cut   *int   `json:",omitempty"` // region to be cut off; -1: none
-	State bool   `json:",omitempty"`
-	Index uint64 `json:",omitempty"` // of an update, whose arrivals are asked for
-	Usage bool   `json:",omitempty"`
+	Stop      []int  `json:",omitempty"` // machines
+	Leave     []int  `json:",omitempty"` // the same as a planned end: servers go off the list, and others are told
+	Start     []int  `json:",omitempty"`
+	Partition *int   `json:",omitempty"` // region to be cut off; -1: none
+	State     bool   `json:",omitempty"`
+	Index     uint64 `json:",omitempty"` // of an update, whose arrivals are asked for
+	Usage     bool   `json:",omitempty"`
 }
 
 type answer struct {
@@ -28,7 +28,7 @@
 	Usage    *usage  `json:",omitempty"`
 }
 
-// state is how far some nodes agree.
+// state is the range of states of some nodes.
 type state struct {
 	Nodes, Ready           int
 	MinIndex, MaxIndex     uint64
@@ -36,7 +36,7 @@
 	MaxAgeMs               int64
 }
 
-// usage is what a process says of itself.
+// usage is the resource usage that a process reports.
 type usage struct {
 	Traffic    rpc.Traffic
 	Goroutines int
--- a/internal/simulation/scale/network.go
+++ b/internal/simulation/scale/network.go
@@ -11,12 +11,12 @@
 
 const dialTime = 250 * time.Millisecond // of one try of a connection
 
-// network is the hollow nodes' way to others. A region can be cut off: what crosses its border is lost in silence, as
-// between machines that a network no longer joins.
+// network is the hollow nodes' network. A region can be partitioned from the others: bytes between them are dropped
+// without an error, as in a real partition.
 type network struct {
-	number int
-	region func(machine int) int
-	cut    atomic.Int64 // region, -1: none
+	number      int
+	region      func(machine int) int
+	partitioned atomic.Int64 // region, -1: none
 
 	mu   sync.Mutex
 	open map[*crossing]bool
@@ -25,11 +25,11 @@
 func newNetwork(j *job) *network {
 	perRegion := j.Zones / j.Regions
 	n := &network{number: j.Network, region: func(machine int) int { return j.zoneOf(machine) / perRegion }, open: map[*crossing]bool{}}
-	n.cut.Store(-1)
+	n.partitioned.Store(-1)
 	return n
 }
 
-// crossing is a connection that may cross a border.
+// crossing is a connection that may be between two regions.
 type crossing struct {
 	net.Conn
 	network  *network
@@ -49,19 +49,19 @@
 	return n.region(machine)
 }
 
-// parts reports whether two regions are cut off from each other.
-func (n *network) parts(from, to int) bool {
-	cut := int(n.cut.Load())
-	return cut >= 0 && (from == cut) != (to == cut)
+// separated reports whether two regions are partitioned from each other.
+func (n *network) separated(from, to int) bool {
+	region := int(n.partitioned.Load())
+	return region >= 0 && (from == region) != (to == region)
 }
 
-// setCut cuts a region off; -1 heals. Connections that a cut has broken stay broken.
-func (n *network) setCut(region int) {
+// setPartition partitions a region from the others; -1 ends it. Connections that lost bytes stay broken.
+func (n *network) setPartition(region int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut.Store(int64(region))
+	n.partitioned.Store(int64(region))
 	for c := range n.open {
-		if n.parts(c.from, c.to) {
+		if n.separated(c.from, c.to) {
 			c.lost.Store(true)
 		}
 	}
@@ -72,11 +72,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.open[c] = true
-	c.lost.Store(n.parts(from, to))
+	c.lost.Store(n.separated(from, to))
 	return c
 }
 
-// Write pretends to have sent what is lost.
+// Write reports dropped bytes as written.
 func (c *crossing) Write(b []byte) (int, error) {
 	if c.lost.Load() {
 		return len(b), nil
@@ -84,7 +84,7 @@
 	return c.Conn.Write(b)
 }
 
-// Read drops what is lost.
+// Read drops bytes that arrive during a partition.
 func (c *crossing) Read(b []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(b)
@@ -94,7 +94,7 @@
 	}
 }
 
-// Close forgets the connection.
+// Close closes the connection.
 func (c *crossing) Close() error {
 	c.network.mu.Lock()
 	delete(c.network.open, c)
@@ -102,13 +102,13 @@
 	return c.Conn.Close()
 }
 
-// dialer connects from a machine's own address, so that the other side knows where a connection comes from.
+// dialer connects from a machine's own address, so that the other side can tell its region.
 func (n *network) dialer(machine int) func(ctx context.Context, address string) (net.Conn, error) {
 	own := n.region(machine)
 	dialer := net.Dialer{Timeout: dialTime, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(n.number, machine))}}
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		other := n.regionAt(to)
-		if n.parts(own, other) {
+		if n.separated(own, other) {
 			timer := time.NewTimer(dialTime)
 			defer timer.Stop()
 			select {
--- a/internal/simulation/scale/plan.go
+++ b/internal/simulation/scale/plan.go
@@ -1,6 +1,6 @@
 // Package scale measures what a mesh costs as it grows. It starts real quorum members and some real nodes beside hollow
 // nodes, of which many share a process: a hollow node runs the code of a node's control plane (package agent) over
-// loopback sockets of its own, and carries no requests. It plays some events, reads what the processes use, and writes
+// loopback sockets of its own, and carries no requests. It runs some events, samples the usage of the processes, and writes
 // a report.
 package scale
 
@@ -32,15 +32,15 @@
 	nodePorts      = 4   // listeners of a real node
 )
 
-// What a run takes, for the check before it. Hollow nodes were seen to hold 4.1, 6.7 and 10.2 MB each at 100, 300 and
-// 1,000 nodes (docs/capacity/after-*.json), of which what they know of others grows with these.
+// Estimates for the check before a run. Hollow nodes used 4.1, 6.7 and 10.2 MB each at 100, 300 and 1,000 nodes
+// (docs/capacity/after-*.json); their view of other nodes grows with the number of these.
 const (
 	bytesPerProcess = 24 << 20
 	bytesPerNode    = 8 << 20
 	bytesPerPair    = 2000 // of a node and one that it knows, with the collector's room
 )
 
-// Options say what a run is.
+// Options are the options of a run.
 type Options struct {
 	Programs   string // folder of ivydeck-data and ivydeck-control
 	Self       string // the program that runs hollow nodes, see HollowCommand
@@ -65,7 +65,7 @@
 	Progress   io.Writer
 }
 
-// layout says where each machine stands: quorum members first, then real nodes, then hollow ones.
+// layout assigns addresses and zones to machines: quorum members first, then real nodes, then hollow ones.
 type layout struct {
 	Options
 	network    int // second number of all addresses
@@ -73,7 +73,7 @@
 	perProcess int
 }
 
-// ports are alike on all machines.
+// ports are the same on all machines.
 type ports struct {
 	Nodes, Control, Outbound, Readiness, Metrics, Server int
 }
@@ -98,8 +98,8 @@
 
 func (l *layout) ip(machine int) string { return address(l.network, machine) }
 
-// zone returns a machine's zone. Quorum members stand in different regions, but for the last one, which has neither
-// these nor real nodes: it can be cut off.
+// zoneOf returns a machine's zone. Quorum members are in different regions. The last region has neither these nor real
+// nodes, so that it can be partitioned.
 func zoneOf(machine, real, zones, regions int) int {
 	perRegion := zones / regions
 	switch {
@@ -115,7 +115,7 @@
 	return zoneName(zoneOf(machine, l.Real, l.Zones, l.Regions), l.Zones, l.Regions)
 }
 
-// zoneName is such as r2-b.
+// zoneName returns the name of a zone, such as r2-b.
 func zoneName(zone, zones, regions int) string {
 	perRegion := zones / regions
 	return fmt.Sprintf("r%d-%c", zone/perRegion+1, 'a'+rune(zone%perRegion))
@@ -126,17 +126,17 @@
 // processes is the number of processes that hollow nodes share.
 func (l *layout) processes() int { return (l.hollow() + l.perProcess - 1) / l.perProcess }
 
-// filesPerNode bounds the descriptors of one hollow node: a connection to and from each of those that it has probed,
-// or was probed by, lately.
+// filesPerNode bounds the descriptors of one hollow node: a connection to and from each node that it has probed,
+// or was probed by, recently.
 func filesPerNode(nodes int) int { return min(2*(nodes+quorumSize), 2*2*connectionsFor+40) }
 
-// memoryOf estimates what a run takes.
+// memoryOf estimates the memory of a run, in bytes.
 func (l *layout) memoryOf() int64 {
 	nodes := int64(l.Nodes)
 	return int64(l.processes()+l.Real+quorumSize)*bytesPerProcess + nodes*bytesPerNode + nodes*nodes*bytesPerPair
 }
 
-// check says in one line what is wrong with the options.
+// check returns an error of one line for invalid options.
 func (o *Options) check() error {
 	switch {
 	case o.Nodes < 2 || o.Nodes > maxNodes:
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// plan lays a run out, or says in one line why it can't be.
+// plan returns the layout of a run, or an error of one line.
 func plan(o Options) (*layout, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -175,11 +175,11 @@
 		return nil, fmt.Errorf("the limit of descriptors: %w", err)
 	}
 	l := &layout{Options: o, network: 20 + rand.IntN(200)}
-	room := (int(min(files.Cur, 1<<20)) - spareFiles) / filesPerNode(o.Nodes)
+	capacity := (int(min(files.Cur, 1<<20)) - spareFiles) / filesPerNode(o.Nodes)
 	if l.perProcess = o.PerProcess; l.perProcess == 0 {
-		l.perProcess = min(maxPerProcess, room)
+		l.perProcess = min(maxPerProcess, capacity)
 	}
-	if l.perProcess > room || l.perProcess < 1 {
+	if l.perProcess > capacity || l.perProcess < 1 {
 		return nil, fmt.Errorf("%d hollow nodes a process need %d descriptors, and this machine's limit is %d",
 			l.perProcess, max(1, l.perProcess)*filesPerNode(o.Nodes)+spareFiles, files.Cur)
 	}
@@ -194,7 +194,7 @@
 
 func gigabytes(bytes int64) float64 { return float64(bytes) / (1 << 30) }
 
-// findPorts takes free ports, or the ones that were asked for.
+// findPorts finds free ports, unless the options name them.
 func (l *layout) findPorts() error {
 	all := []*int{&l.ports.Nodes, &l.ports.Control, &l.ports.Outbound, &l.ports.Readiness, &l.ports.Metrics, &l.ports.Server}
 	var open []net.Listener
--- a/internal/simulation/scale/plot.go
+++ b/internal/simulation/scale/plot.go
@@ -15,7 +15,7 @@
 	plotPoints = 200
 )
 
-// plot draws, for each event with changes, which part of the nodes knew of a change after which time.
+// plot draws, for each event with changes, the share of the nodes that had a change over time.
 func (r *Report) plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d nodes: changes of one route of %d", r.Nodes, r.Routes)
@@ -27,14 +27,14 @@
 		if e.Spread == nil || len(e.Spread.durations) == 0 {
 			continue
 		}
-		line, err := plotter.NewLine(e.Spread.points())
+		curve, err := plotter.NewLine(e.Spread.points())
 		if err != nil {
 			return fmt.Errorf("the plot: %w", err)
 		}
-		line.Color = plotutil.Color(lines)
+		curve.Color = plotutil.Color(lines)
 		lines++
-		p.Add(line)
-		p.Legend.Add(e.Name, line)
+		p.Add(curve)
+		p.Legend.Add(e.Name, curve)
 	}
 	if err := p.Save(plotWidth, plotHeight, path); err != nil {
 		return fmt.Errorf("the plot: %w", err)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// points are a distribution of sorted durations.
+// points are the distribution function of sorted durations.
 func (s *Spread) points() plotter.XYs {
 	points := make(plotter.XYs, 0, plotPoints+1)
 	for i := range plotPoints + 1 {
--- a/internal/simulation/scale/process.go
+++ b/internal/simulation/scale/process.go
@@ -19,7 +19,7 @@
 	"ivydeck/internal/transport/rpc"
 )
 
-// role is what a process is in the mesh.
+// role is the role of a process in the mesh.
 type role string
 
 const (
@@ -34,7 +34,7 @@
 
 var errEnded = errors.New("the process has ended")
 
-// child is a process that this run has started.
+// child is a process that the run has started.
 type child struct {
 	name     string
 	role     role
@@ -44,16 +44,16 @@
 	began    time.Time
 	ended    chan struct{}
 	metrics  string // URL; of real processes
-	// What a hollow process holds before its first node: resident bytes, and descriptors.
+	// Of a hollow process before its first node: resident bytes, and descriptors.
 	base      int64
 	baseFiles int
 
-	mu  sync.Mutex // of a hollow process's standard input and output
-	in  *json.Encoder
-	out *json.Decoder
+	mu        sync.Mutex // of a hollow process's standard input and output
+	in        *json.Encoder
+	responses *json.Decoder
 }
 
-// startChild runs a program whose output goes to a file in a folder.
+// startChild starts a program, with a log file in a folder.
 func startChild(dir, name string, r role, program string, arguments ...string) (*child, error) {
 	c := &child{name: name, role: r, log: filepath.Join(dir, name+".log"), command: exec.Command(program, arguments...), ended: make(chan struct{})}
 	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -64,21 +64,21 @@
 	c.command.Stderr = log
 	if r != hollowRole {
 		c.command.Stdout = log
-		return c, c.begin()
+		return c, c.start()
 	}
 	in, err := c.command.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := c.command.StdoutPipe()
+	stdout, err := c.command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.in, c.out = json.NewEncoder(in), json.NewDecoder(out)
-	return c, c.begin()
+	c.in, c.responses = json.NewEncoder(in), json.NewDecoder(stdout)
+	return c, c.start()
 }
 
-func (c *child) begin() error {
+func (c *child) start() error {
 	c.began = time.Now()
 	if err := c.command.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", c.name, err)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// wait ends with the process, for which kill waits.
+// wait waits for the end of the process.
 func (c *child) wait() {
 	c.command.Wait()
 	close(c.ended)
@@ -106,8 +106,8 @@
 	<-c.ended
 }
 
-// died returns an error where the process has ended by itself.
-func (c *child) died() error {
+// exited returns an error if the process has ended by itself.
+func (c *child) exited() error {
 	select {
 	case <-c.ended:
 		text, _ := os.ReadFile(c.log)
@@ -117,15 +117,15 @@
 	}
 }
 
-// ask has a hollow process carry out a command.
-func (c *child) ask(q *command) (*answer, error) {
+// call sends a command to a hollow process and returns its answer.
+func (c *child) call(q *command) (*answer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.in.Encode(q); err != nil {
 		return nil, fmt.Errorf("%s: %w", c.name, errEnded)
 	}
 	a := new(answer)
-	if err := c.out.Decode(a); err != nil {
+	if err := c.responses.Decode(a); err != nil {
 		return nil, fmt.Errorf("%s: %w", c.name, errEnded)
 	}
 	if a.Fault != "" {
@@ -134,7 +134,7 @@
 	return a, nil
 }
 
-// sample is what a process has used so far, and what it holds at the moment.
+// sample is the usage of a process so far, and its memory and descriptors now.
 type sample struct {
 	at         time.Time
 	processor  float64 // seconds
@@ -147,7 +147,7 @@
 	members    int    // others that a real node knows
 }
 
-// sample reads what the process uses.
+// sample reads the usage of the process.
 func (c *child) sample(ctx context.Context) (s sample, err error) {
 	proc := "/proc/" + strconv.Itoa(c.command.Process.Pid)
 	s.at = time.Now()
@@ -164,7 +164,7 @@
 	s.files = len(files)
 	if c.role == hollowRole {
 		s.sockets = s.files - c.baseFiles // it opens nothing else, and has some thousands
-		a, err := c.ask(&command{Usage: true})
+		a, err := c.call(&command{Usage: true})
 		if err != nil {
 			return s, err
 		}
@@ -179,7 +179,7 @@
 	return s, s.readMetrics(ctx, c.metrics)
 }
 
-// processorTime is what a process has used, in seconds.
+// processorTime is the processor time of a process, in seconds.
 func processorTime(proc string) (float64, error) {
 	text, err := os.ReadFile(proc + "/stat")
 	if err != nil {
@@ -223,7 +223,7 @@
 	return load
 }
 
-// readMetrics takes what a real process shows of itself.
+// readMetrics reads the metrics of a real process.
 func (s *sample) readMetrics(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, metricsWait)
 	defer cancel()
--- a/internal/simulation/scale/report.go
+++ b/internal/simulation/scale/report.go
@@ -10,8 +10,7 @@
 	"ivydeck/internal/transport/rpc"
 )
 
-// Report is what a run has measured. All of it is of one machine that played all others; it holds no paths of that
-// machine.
+// Report is the result of a run. All processes ran on one machine; the report has no paths of it.
 type Report struct {
 	Command     string        `json:"command"`
 	Began       time.Time     `json:"began"`
@@ -31,7 +30,7 @@
 	Fault       string        `json:"fault,omitempty"` // why the run has ended early
 }
 
-// EventReport is one event. Uses are those of its whole length.
+// EventReport is the result of one event. Uses cover its whole duration.
 type EventReport struct {
 	Name    string   `json:"name"`
 	About   string   `json:"about,omitempty"`
@@ -41,7 +40,7 @@
 	Machine float64  `json:"machine_cores"`     // that all processes of the run kept busy
 	Load    float64  `json:"load_average"`      // of the whole machine, over a minute: what else ran
 	AgreeS  *float64 `json:"agree_s,omitempty"` // from the event on until all agree; absent: not within the event's time
-	// The same until all have the latest update and all servers are listed; part of agreeing.
+	// The same until all have the latest update and all servers are registered; part of agreeing.
 	UpdatesS *float64       `json:"updates_s,omitempty"`
 	Disagree string         `json:"disagree,omitempty"` // why not all agreed
 	Spread   *Spread        `json:"spread,omitempty"`
@@ -69,7 +68,7 @@
 	Bytes int     `json:"bytes"`
 }
 
-// Use is what one node of a role has used: the mean over the role's nodes, a second where that has a meaning.
+// Use is the usage of one node of a role: the mean over the role's nodes, by second where that applies.
 type Use struct {
 	Nodes       int                   `json:"nodes"`
 	BytesOut    float64               `json:"bytes_out_s"`
@@ -85,7 +84,7 @@
 	Methods     map[string]MethodRate `json:"methods"`
 }
 
-// MethodRate is the part of a method.
+// MethodRate is the traffic of one RPC method.
 type MethodRate struct {
 	BytesOut    float64 `json:"bytes_out_s"`
 	BytesIn     float64 `json:"bytes_in_s"`
@@ -105,7 +104,7 @@
 	}
 }
 
-// add adds what a process has used between two samples.
+// add adds the usage of a process between two samples.
 func (u *Use) add(c *child, before, after sample) {
 	seconds := after.at.Sub(before.at).Seconds()
 	if seconds <= 0 {
@@ -147,7 +146,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// sum works out the figures of a spread.
+// sum computes the quantiles of a spread.
 func (s *Spread) sum(acks []float64) {
 	slices.Sort(acks)
 	slices.Sort(s.durations)
@@ -155,7 +154,7 @@
 	s.P50Ms, s.P99Ms, s.MaxMs = quantile(s.durations, 0.5), quantile(s.durations, 0.99), quantile(s.durations, 1)
 }
 
-// write keeps the report in a file.
+// write writes the report to a file.
 func (r *Report) write(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- a/internal/simulation/scale/run.go
+++ b/internal/simulation/scale/run.go
@@ -28,21 +28,21 @@
 	routeHost   = "scale.example"
 )
 
-// Why a run has ended early.
+// Reasons for which a run ends early.
 var (
 	errMemory      = errors.New("the run's processes take more memory than they may")
 	errInterrupted = errors.New("interrupted; all that was started is ended")
 )
 
-// run is a run under way.
+// run is a running benchmark.
 type run struct {
 	*layout
-	report *Report
-	dir    string
-	core   *operator.Client
-	pool   *rpc.Pool
-	client http.Client
-	began  time.Time
+	report         *Report
+	dir            string
+	operatorClient *operator.Client
+	pool           *rpc.Pool
+	client         http.Client
+	began          time.Time
 
 	mu       sync.Mutex
 	children []*child
@@ -52,7 +52,7 @@
 	running map[int]bool // machines of nodes
 }
 
-// Run plays a run and ends all that it has started.
+// Run runs the events, and stops everything that it has started.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	l, err := plan(o)
 	if err != nil {
@@ -67,21 +67,21 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &run{layout: l, dir: dir, core: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), began: time.Now(), running: map[int]bool{}}
+	r := &run{layout: l, dir: dir, operatorClient: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), began: time.Now(), running: map[int]bool{}}
 	r.report = &Report{
 		Command: o.Command, Began: r.began.UTC().Truncate(time.Second), Cores: runtime.NumCPU(), Nodes: o.Nodes, Real: o.Real,
 		Processes: l.processes(), Routes: o.Routes, Services: o.Services, Zones: o.Zones, Regions: o.Regions,
 	}
 	var guard sync.WaitGroup
 	guard.Go(func() { r.guardMemory(ctx, fail) })
-	err = r.play(ctx)
+	err = r.runEvents(ctx)
 	fail(nil)
 	guard.Wait()
-	r.end()
+	r.stopAll()
 	return r.report, r.finish(ctx, err)
 }
 
-// finish keeps what was measured, also of a run that has ended early.
+// finish writes the report, also of a run that has ended early.
 func (r *run) finish(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if err != nil && cause != nil && !errors.Is(cause, context.Canceled) {
@@ -98,7 +98,7 @@
 	}
 	r.report.Seconds = time.Since(r.began).Seconds()
 	if r.report.Fault != "" {
-		r.say("ended early: %s", r.report.Fault)
+		r.logf("ended early: %s", r.report.Fault)
 	}
 	if r.Report != "" {
 		if e := r.report.write(r.Report); e != nil {
@@ -116,11 +116,11 @@
 	return nil
 }
 
-func (r *run) say(format string, arguments ...any) {
+func (r *run) logf(format string, arguments ...any) {
 	fmt.Fprintf(r.Progress, "%6.1f s  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// guardMemory ends the run where it takes too much.
+// guardMemory ends the run if it uses too much memory.
 func (r *run) guardMemory(ctx context.Context, fail context.CancelCauseFunc) {
 	tick := time.NewTicker(memoryEvery)
 	defer tick.Stop()
@@ -143,7 +143,7 @@
 	}
 }
 
-// samples reads what processes use. One that does not say so in time is left out.
+// samples samples processes. One that does not answer in time is left out.
 func (r *run) samples(ctx context.Context, roles ...role) (map[*child]sample, error) {
 	var mu sync.Mutex
 	all := map[*child]sample{}
@@ -163,7 +163,7 @@
 	}
 	reading.Wait()
 	for _, err := range faults {
-		r.say("  not read: %v", err)
+		r.logf("  not read: %v", err)
 	}
 	if len(all) == 0 && len(faults) > 0 {
 		return nil, faults[0]
@@ -193,14 +193,14 @@
 		return err
 	}
 	r.report.ConfigBytes = len(body)
-	return r.core.Apply(ctx, base, body)
+	return r.operatorClient.Apply(ctx, base, body)
 }
 
-// play starts the mesh and plays the events.
-func (r *run) play(ctx context.Context) error {
-	r.say("%d nodes: %d real, %d hollow in %d processes, %d quorum members, on 127.%d.0.0/16", r.Nodes, r.Real, r.hollow(), r.processes(), quorumSize, r.network)
+// runEvents starts the mesh and runs the events.
+func (r *run) runEvents(ctx context.Context) error {
+	r.logf("%d nodes: %d real, %d hollow in %d processes, %d quorum members, on 127.%d.0.0/16", r.Nodes, r.Real, r.hollow(), r.processes(), quorumSize, r.network)
 	for member := range quorumSize {
-		r.core.Addresses = append(r.core.Addresses, fmt.Sprintf("%s:%d", r.ip(member), r.ports.Control))
+		r.operatorClient.Addresses = append(r.operatorClient.Addresses, fmt.Sprintf("%s:%d", r.ip(member), r.ports.Control))
 	}
 	if err := r.startQuorum(); err != nil {
 		return err
@@ -212,7 +212,7 @@
 	if err := r.firstApply(ctx); err != nil {
 		return err
 	}
-	r.say("the quorum has a leader and a configuration of %d routes, %d bytes", r.Routes, r.report.ConfigBytes)
+	r.logf("the quorum has a leader and a configuration of %d routes, %d bytes", r.Routes, r.report.ConfigBytes)
 	if err := r.startServers(); err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 	return ctx.Err()
 }
 
-// firstApply puts the first configuration in force, once there is a quorum.
+// firstApply applies the first configuration, once there is a quorum.
 func (r *run) firstApply(ctx context.Context) error {
 	patience, cancel := context.WithTimeout(ctx, quorumWait)
 	defer cancel()
@@ -243,7 +243,7 @@
 			return nil
 		}
 		for _, c := range r.list(quorumRole) {
-			if err := c.died(); err != nil {
+			if err := c.exited(); err != nil {
 				return err
 			}
 		}
--- a/internal/simulation/scale/scale_test.go
+++ b/internal/simulation/scale/scale_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestRefusals: what can't be run is said in one line, when it is planned and nothing has been started.
-func TestRefusals(t *testing.T) {
+// TestInvalidOptions: what can't be run is said in one line, when it is planned and nothing has been started.
+func TestInvalidOptions(t *testing.T) {
 	taken, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,9 +131,9 @@
 	return string(all)
 }
 
-// TestCut: what crosses the border of a region that is cut off is lost in silence, whichever side knows of the cut, and
+// TestPartition: what crosses the border of a region that is cut off is lost in silence, whichever side knows of the cut, and
 // new connections are to be had once it is healed.
-func TestCut(t *testing.T) {
+func TestPartition(t *testing.T) {
 	j := &job{Network: 99, Real: 0, Zones: 4, Regions: 2}
 	n := newNetwork(j)
 	inside, outside := quorumSize, quorumSize
@@ -158,7 +158,7 @@
 		return nc
 	}
 	before := dial()
-	n.setCut(1)
+	n.setPartition(1)
 	if got := hear(t, plain, before, "lost"); got != "" {
 		t.Errorf("%q was sent across the border", got)
 	}
@@ -173,7 +173,7 @@
 	if got := hear(t, wrapped, foreign, "lost"); got != "" {
 		t.Errorf("%q was heard across the border", got)
 	}
-	n.setCut(-1)
+	n.setPartition(-1)
 	if got := hear(t, wrapped, dial(), "heard"); got != "heard" {
 		t.Errorf("after healing %q is heard", got)
 	}
@@ -214,14 +214,14 @@
 		t.Errorf("a square: %+v, %v", l, ok)
 	}
 	// y = 1 + 2 x, with residuals of 1, -1, -1, 1: standard error of a point sqrt(4/2), of the slope that over sqrt(5).
-	l, ok = fitLine([]float64{0, 1, 2, 3}, []float64{2, 2, 4, 8})
+	l, ok = linearFit([]float64{0, 1, 2, 3}, []float64{2, 2, 4, 8})
 	if want := 4.303 * math.Sqrt(2) / math.Sqrt(5); !ok || math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Intercept-1) > 1e-9 || math.Abs(l.SlopeError()-want) > 0.01 {
 		t.Errorf("a line: %+v, ± %g", l, l.SlopeError())
 	}
-	if l, ok = fitLine([]float64{1, 2}, []float64{1, 2}); !ok || !math.IsInf(l.SlopeError(), 1) {
+	if l, ok = linearFit([]float64{1, 2}, []float64{1, 2}); !ok || !math.IsInf(l.SlopeError(), 1) {
 		t.Errorf("two sizes leave an interval of %g", l.SlopeError())
 	}
-	if _, ok = fitLine([]float64{5, 5}, []float64{1, 2}); ok {
+	if _, ok = linearFit([]float64{5, 5}, []float64{1, 2}); ok {
 		t.Error("one size has a slope")
 	}
 	for want, bounds := range map[string][2]float64{"fits, by a factor of 2.00": {1, 5}, "does not fit, by a factor of 2.00": {20, 90}, "open": {5, 50}} {
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -29,7 +29,7 @@
 	maxState     = 60_000
 )
 
-// StateOptions say which states are measured.
+// StateOptions are the options of MeasureState.
 type StateOptions struct {
 	Nodes            []int
 	Services, Routes int
@@ -38,7 +38,7 @@
 	Progress         io.Writer
 }
 
-// StateReport is what one node holds of a mesh, without its connections and its runtime.
+// StateReport is the memory and time that the state of a mesh takes at one node, without connections and runtime.
 type StateReport struct {
 	Command  string      `json:"command"`
 	Routes   int         `json:"routes"`
@@ -46,7 +46,7 @@
 	Sizes    []StateSize `json:"sizes"`
 }
 
-// StateSize is the state of a mesh of one size. Heap is what lives after a collection.
+// StateSize is the state of a mesh of one size. Heap is the live heap after a collection.
 type StateSize struct {
 	Nodes         int     `json:"nodes"`
 	ConfigHeapMB  float64 `json:"config_heap_mb"`  // routes and services alone, with the tables of requests
@@ -63,7 +63,7 @@
 	AnswerMs      float64 `json:"answer_ms"`        // of processor time to make and encode an answer with a whole view
 }
 
-// nodeState is one node's state, as its program holds it.
+// nodeState is the state of one node, in the types of the real program.
 type nodeState struct {
 	hub      *relay.Hub
 	group    *membership.Memberlist
@@ -71,7 +71,7 @@
 	outbound *proxy.Outbound
 }
 
-// liveHeap is what lives after a collection, in bytes.
+// liveHeap is the live heap after a collection, in bytes.
 func liveHeap() int64 {
 	runtime.GC()
 	runtime.GC() // finalizers, and pools
@@ -80,7 +80,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// MeasureState measures what one node holds of meshes of some sizes, and writes a report.
+// MeasureState measures the state of one node in meshes of some sizes, and writes a report.
 func MeasureState(o StateOptions) (*StateReport, error) {
 	report := &StateReport{Command: o.Command, Routes: o.Routes, Services: o.Services}
 	for _, nodes := range o.Nodes {
@@ -141,7 +141,7 @@
 	return c, nil
 }
 
-// take takes in a feed as it comes over the wire, up to the tables that requests go by.
+// take applies an encoded feed, up to the routing tables.
 func (n *nodeState) take(data []byte) error {
 	feed := new(wire.Feed)
 	if err := proto.Unmarshal(data, feed); err != nil {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// takeMembers takes in updates of members as they come over the wire.
+// takeMembers applies encoded updates of members.
 func (n *nodeState) takeMembers(now time.Duration, data []byte) error {
 	answer := new(wire.ProbeResponse)
 	if err := proto.Unmarshal(data, answer); err != nil {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// median of some times, in µs.
+// median returns the median of some times, in µs.
 func median(f func(i int) error) (float64, error) {
 	var all []float64
 	for i := range stateChanges {
@@ -182,7 +182,7 @@
 	return quantile(all, 0.5), nil
 }
 
-// newNodeState returns a node that knows of nothing.
+// newNodeState returns a node with an empty state.
 func newNodeState(o *StateOptions) *nodeState {
 	n := &nodeState{hub: relay.NewHub(func() time.Duration { return 0 }), group: membership.New(o.member(0), 1, 0)}
 	n.outbound = &proxy.Outbound{Node: nodeName(0), Zone: o.zone(0), Backend: serviceName(0), Ratio: 0.2, Window: 10 * time.Second,
@@ -223,18 +223,18 @@
 	return size, o.measureChanges(source, n, size)
 }
 
-// firstFeeds are what a node gets first: the configuration, and then the list as a difference. Both together are the
-// whole state that a node gets in one feed.
+// firstFeeds returns the first feeds of a node: the configuration, and then the registry as a difference. Together they
+// are the full state that a node gets in one feed.
 func (o *StateOptions) firstFeeds(source *catalog.Catalog, size *StateSize) (feeds [][]byte, err error) {
-	whole := source.FullChanges()
-	data, err := proto.Marshal(&wire.Feed{Changes: whole})
+	full := source.FullChanges()
+	data, err := proto.Marshal(&wire.Feed{Changes: full})
 	if err != nil {
 		return nil, err
 	}
 	size.StateBytes = len(data)
-	config := &wire.Changes{Full: true, To: 1, Floor: whole.Floor}
-	servers := &wire.Changes{From: 1, To: whole.To}
-	for _, r := range whole.Resources {
+	config := &wire.Changes{Full: true, To: 1, Floor: full.Floor}
+	servers := &wire.Changes{From: 1, To: full.To}
+	for _, r := range full.Resources {
 		if r.GetServer() != nil {
 			servers.Resources = append(servers.Resources, r)
 		} else {
@@ -251,7 +251,7 @@
 	return feeds, nil
 }
 
-// measureMembers gives a node the view of all members, and takes the times of single deaths.
+// measureMembers gives a node the membership list, and measures single deaths.
 func (o *StateOptions) measureMembers(n *nodeState, size *StateSize) error {
 	all := &wire.ProbeResponse{}
 	for machine := 1; machine < size.Nodes; machine++ {
@@ -285,7 +285,7 @@
 	return err
 }
 
-// measureChanges changes servers and routes one by one at the source, and takes each in at the node.
+// measureChanges changes servers and routes one by one at the source, and applies each at the node.
 func (o *StateOptions) measureChanges(source *catalog.Catalog, n *nodeState, size *StateSize) (err error) {
 	var feeds [][]byte
 	size.ServerChange, feeds, err = changeFeeds(source, func(i int) *wire.Command {
@@ -319,7 +319,7 @@
 	return &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: source.Revision(), Body: body}}}
 }
 
-// changeFeeds makes changes at the source, and returns the feeds that tell of them, and the median of their bytes.
+// changeFeeds makes changes at the source, and returns their feeds, and the median of their bytes.
 func changeFeeds(source *catalog.Catalog, command func(i int) *wire.Command) (bytes int, feeds [][]byte, err error) {
 	var lengths []float64
 	for i := range stateChanges {
