--- a/internal/cluster/membership/agreement_test.go
+++ b/internal/cluster/membership/agreement_test.go
@@ -28,9 +28,9 @@
 	return f.now - began
 }
 
-// TestManyNodesAgreeSoon: nodes that all start at once know each other within seconds, and so they do behind a restart and
+// TestManyNodesConverge: nodes that all start at once know each other within seconds, and so they do behind a restart and
 // a loss of a tenth, although updates of the start still wait to be passed on.
-func TestManyNodesAgreeSoon(t *testing.T) {
+func TestManyNodesConverge(t *testing.T) {
 	const nodes = 300
 	f := newFleet(t, 1)
 	f.loss = 0.01
@@ -60,9 +60,9 @@
 	check("their return", 10*time.Second)
 }
 
-// TestWhoMissedAChangeIsToldByOthers: nodes that lack a change which all others know, and would compare their views long
+// TestMissedUpdateArrivesByPushPull: nodes that lack a change which all others know, and would compare their views long
 // after it, are asked by one of the others soon, and look into it.
-func TestWhoMissedAChangeIsToldByOthers(t *testing.T) {
+func TestMissedUpdateArrivesByPushPull(t *testing.T) {
 	const (
 		nodes  = 300
 		missed = 20
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestDeathIsKnownToAll(t *testing.T) {
+func TestDeathReachesAll(t *testing.T) {
 	f := newFleet(t, 20)
 	f.run(11 * time.Second)
 	f.want(20, "at first")
@@ -114,9 +114,9 @@
 	f.want(19, "after it left")
 }
 
-// TestLossAndCutsAreNoDeath: third parties vouch for a node that some can't reach,
+// TestMessageLossAndPartitionsAreNotDeath: third parties vouch for a node that some can't reach,
 // and a node refutes what is said of it.
-func TestLossAndCutsAreNoDeath(t *testing.T) {
+func TestMessageLossAndPartitionsAreNotDeath(t *testing.T) {
 	f := newFleet(t, 12)
 	f.loss = 0.05
 	f.cut = func(a, b string) bool { return a == "n1" && b == "n2" || a == "n2" && b == "n1" }
--- a/internal/cluster/membership/push_pull_test.go
+++ b/internal/cluster/membership/push_pull_test.go
@@ -32,9 +32,9 @@
 	return g
 }
 
-// TestSearchOfComparisons draws two views that differ in members, generations and deaths: behind one comparison each knows
+// TestSearchOfPushPulls draws two views that differ in members, generations and deaths: behind one comparison each knows
 // all that the other knows better, and the digests tell the truth about it.
-func TestSearchOfComparisons(t *testing.T) {
+func TestSearchOfPushPulls(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 0xd16e))
 		all := []int{3, 60, 70, 300, 2000}[rng.IntN(5)]
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestComparisonsCostWhatDiffers: a comparison of two views of the largest mesh that differ in one member takes some
+// TestPushPullCostsOnlyDifferences: a comparison of two views of the largest mesh that differ in one member takes some
 // kilobytes, and none is made of views that are alike.
-func TestComparisonsCostWhatDiffers(t *testing.T) {
+func TestPushPullCostsOnlyDifferences(t *testing.T) {
 	var members []*wire.Member
 	for i := range 28_000 {
 		name := fmt.Sprint("node-of-some-zone-", i)
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestComparisonsAreBounded: questions that make no sense are answered by a whole view, and not with more ranges than there
+// TestPushPullIsBounded: questions that make no sense are answered by a whole view, and not with more ranges than there
 // are.
-func TestComparisonsAreBounded(t *testing.T) {
+func TestPushPullIsBounded(t *testing.T) {
 	g := groupOf("x", []*wire.Member{{Name: "n", Address: "n", Generation: 1}})
 	for _, ranges := range []uint32{3, maxRanges * 2, 1 << 31} {
 		if a := g.HandleProbe(&wire.ProbeRequest{FullView: true, Ranges: ranges, Differing: []uint32{1 << 30}}); len(a.Updates) != 2 || len(a.RangeDigests) > 0 {
--- a/internal/config/meshconfig/fuzz_test.go
+++ b/internal/config/meshconfig/fuzz_test.go
@@ -21,8 +21,8 @@
 	return b
 }
 
-// TestFaultsHaveTheirPlace gives every kind of bad configuration.
-func TestFaultsHaveTheirPlace(t *testing.T) {
+// TestErrorsHavePositions gives every kind of bad configuration.
+func TestErrorsHavePositions(t *testing.T) {
 	for want, change := range map[string]func(m, route map[string]any){
 		"revision is 0":            func(m, _ map[string]any) { m["revision"] = 0 },
 		"has no hostname":          func(_, r map[string]any) { r["hostname"] = "" },
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -110,8 +110,8 @@
 	return len(places) == len(c.Routes)
 }
 
-// TestPatchesAddUp: a configuration that is patched by what differs says what the next one says.
-func TestPatchesAddUp(t *testing.T) {
+// TestPatchesCompose: a configuration that is patched by what differs says what the next one says.
+func TestPatchesCompose(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now := &Config{}
--- a/internal/config/nodefile/nodefile_test.go
+++ b/internal/config/nodefile/nodefile_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestFaultsAreNamed gives files that are incomplete or contradict themselves:
+// TestErrorsAreNamed gives files that are incomplete or contradict themselves:
 // one line names the key.
-func TestFaultsAreNamed(t *testing.T) {
+func TestErrorsAreNamed(t *testing.T) {
 	for change, want := range map[string]string{
 		"zone=z":                       "zone is missing",
 		"backend=s":                    "backend is missing",
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -49,9 +49,9 @@
 	return dir
 }
 
-// TestThereAndBack: what a folder holds is in its backup, in the file, and in the folder that is made of it; what would be
+// TestRoundTrip: what a folder holds is in its backup, in the file, and in the folder that is made of it; what would be
 // lost is told; nothing that is there is written over.
-func TestThereAndBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	dir := folder(t, 4)
 	b, beyond, err := OfStore(dir)
 	if err != nil || beyond != 5 || b.State.Revision() != 4 || b.Index != 5 {
--- a/internal/controlplane/catalog/accept_test.go
+++ b/internal/controlplane/catalog/accept_test.go
@@ -40,9 +40,9 @@
 	return current.Command(base, config, body)
 }
 
-// TestCommandsHoldWhatDiffers: what goes into the log is the difference, replicas rebuild the very body from it, and the
+// TestCommandsAreDeltas: what goes into the log is the difference, replicas rebuild the very body from it, and the
 // verdicts are those on whole bodies.
-func TestCommandsHoldWhatDiffers(t *testing.T) {
+func TestCommandsAreDeltas(t *testing.T) {
 	c, replica := New(), New()
 	apply := func(cmd *wire.Command) (bool, error) {
 		t.Helper()
--- a/internal/controlplane/catalog/accepted_test.go
+++ b/internal/controlplane/catalog/accepted_test.go
@@ -9,9 +9,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestResendsAreNeverRefused: a change that was accepted is known after any number of later ones, or its sender is told
+// TestAcceptedResendIsNeverRefused: a change that was accepted is known after any number of later ones, or its sender is told
 // that this is not known. A snapshot in between changes nothing, nor does one of a version with a smaller memory.
-func TestResendsAreNeverRefused(t *testing.T) {
+func TestAcceptedResendIsNeverRefused(t *testing.T) {
 	const step, changes = 3, maxAccepted + maxAccepted/4
 	c := New()
 	bodies := make([][]byte, changes)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestSnapshotsOfOldVersions: one that is full has forgotten, and does not say so.
-func TestSnapshotsOfOldVersions(t *testing.T) {
+// TestRestoreOldVersions: one that is full has forgotten, and does not say so.
+func TestRestoreOldVersions(t *testing.T) {
 	for _, kept := range []int{earlierMaxAccepted, earlierMaxAccepted - 1} {
 		s := &wire.Snapshot{State: &wire.State{Config: config(t, 9000, nil)}}
 		for i := range kept {
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -34,7 +34,7 @@
 	return &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: base, Body: body}}}
 }
 
-func TestVerdictsOnConfigurations(t *testing.T) {
+func TestAcceptConfig(t *testing.T) {
 	c := New()
 	three, seven := config(t, 3, nil), config(t, 7, nil)
 	route := func(key string, value any) func(map[string]any) {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestSnapshotsKeepAll(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	c := New()
 	body := config(t, 3, nil)
 	c.Apply(put(0, body))
--- a/internal/controlplane/catalog/image_test.go
+++ b/internal/controlplane/catalog/image_test.go
@@ -8,9 +8,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestAnImageStaysAsItWas while the state that it was taken of goes on: servers come, change and go, and configurations
+// TestImageIsImmutable while the state that it was taken of goes on: servers come, change and go, and configurations
 // are accepted.
-func TestAnImageStaysAsItWas(t *testing.T) {
+func TestImageIsImmutable(t *testing.T) {
 	c := New()
 	apply := func(cmd *wire.Command) {
 		t.Helper()
--- a/internal/controlplane/catalog/search_test.go
+++ b/internal/controlplane/catalog/search_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestSearchBehindTheFloor removes more servers than are remembered, while children lag at random, and the source begins
+// TestSearchBelowFloor removes more servers than are remembered, while children lag at random, and the source begins
 // anew by its snapshot, or by an earlier one as a history of its own: each child shows what its source shows once it has asked.
-func TestSearchBehindTheFloor(t *testing.T) {
+func TestSearchBelowFloor(t *testing.T) {
 	const batch = maxTombstones / 3
 	wholes := 0
 	for seed := range uint64(4) {
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -122,10 +122,10 @@
 	return list(a) == list(b)
 }
 
-// TestChildrenShowWhatTheSourceHad plays random changes down a random tree, in which links lose and hold back what is sent
+// TestDifferencesMatchSource plays random changes down a random tree, in which links lose and hold back what is sent
 // and nodes turn to other parents: each child shows a state that the source had, at that index, and what it is sent is
 // bounded by what has changed.
-func TestChildrenShowWhatTheSourceHad(t *testing.T) {
+func TestDifferencesMatchSource(t *testing.T) {
 	for seed := range uint64(12) {
 		clear(lines)
 		o := newOperatorState(seed)
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// TestGapsAndOldChanges: changes that begin elsewhere are refused, old ones change nothing.
-func TestGapsAndOldChanges(t *testing.T) {
+// TestApplyRejectsGapsAndOldChanges: changes that begin elsewhere are refused, old ones change nothing.
+func TestApplyRejectsGapsAndOldChanges(t *testing.T) {
 	v := NewView()
 	server := func(from, to uint64, slots uint32) *wire.Changes {
 		return &wire.Changes{From: from, To: to, Resources: []*wire.Resource{serverResource(to, &wire.Server{Member: "i", Slots: slots})}}
@@ -260,9 +260,9 @@
 	}
 }
 
-// TestSnapshotsKeepWhatIsForgotten: a member that begins by a snapshot sends a difference to nobody to whom the others
+// TestSnapshotKeepsFloor: a member that begins by a snapshot sends a difference to nobody to whom the others
 // would not.
-func TestSnapshotsKeepWhatIsForgotten(t *testing.T) {
+func TestSnapshotKeepsFloor(t *testing.T) {
 	c := New()
 	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: "i"}}})
 	c.Apply(put(0, config(t, 3, nil)))
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestSnapshotsOfTheVersionBefore have no indexes.
-func TestSnapshotsOfTheVersionBefore(t *testing.T) {
+// TestRestorePreviousVersion have no indexes.
+func TestRestorePreviousVersion(t *testing.T) {
 	body := config(t, 3, nil)
 	data, err := proto.Marshal(&wire.Snapshot{State: &wire.State{Index: 40, Config: body, Servers: []*wire.Server{{Member: "i"}}}})
 	if err != nil {
--- a/internal/controlplane/raft/coldstart_test.go
+++ b/internal/controlplane/raft/coldstart_test.go
@@ -31,8 +31,8 @@
 	return messages, sent
 }
 
-// TestProposalsThatWaitShareMessages: those that are taken before the next output go out together.
-func TestProposalsThatWaitShareMessages(t *testing.T) {
+// TestPendingProposalsShareMessages: those that are taken before the next output go out together.
+func TestPendingProposalsShareMessages(t *testing.T) {
 	c := leading(t)
 	settle(c)
 	const burst = 3 * maxEntries
--- a/internal/controlplane/raft/compaction_test.go
+++ b/internal/controlplane/raft/compaction_test.go
@@ -39,9 +39,9 @@
 	return list
 }
 
-// TestAMemberThatLagsGetsEntries: one that lags at the moment of a snapshot goes on by entries, from a leader that has
+// TestLaggingMemberGetsEntries: one that lags at the moment of a snapshot goes on by entries, from a leader that has
 // been up and from one that has just started from its disk.
-func TestAMemberThatLagsGetsEntries(t *testing.T) {
+func TestLaggingMemberGetsEntries(t *testing.T) {
 	c := leading(t)
 	proposeMany(t, c, 20, 10)
 	snapshot := c.Compact(c.applied, []byte("state"))
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestTheTailIsBounded by the number of entries and by their bytes; a disk is told what may go.
-func TestTheTailIsBounded(t *testing.T) {
+// TestTailIsBounded by the number of entries and by their bytes; a disk is told what may go.
+func TestTailIsBounded(t *testing.T) {
 	c := leading(t)
 	c.SetRetention(8, 64)
 	proposeMany(t, c, 50, 10)
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestLargeStatesAreWrittenLessOften: a snapshot that is as large as many entries waits for as many.
-func TestLargeStatesAreWrittenLessOften(t *testing.T) {
+// TestLargeStatesAreSnapshottedLessOften: a snapshot that is as large as many entries waits for as many.
+func TestLargeStatesAreSnapshottedLessOften(t *testing.T) {
 	c := leading(t)
 	proposeMany(t, c, snapshotEntries, 100)
 	c.Compact(c.applied, make([]byte, 8<<20))
@@ -114,10 +114,10 @@
 	return c
 }
 
-// TestOneTransferAtATime: while a snapshot is under way to a member, it gets heartbeats and no other snapshot; the same one
+// TestOneSnapshotTransferAtATime: while a snapshot is under way to a member, it gets heartbeats and no other snapshot; the same one
 // goes on after a failure, although newer ones were taken, since the log leads on from it; and it ends with what the
 // member says to have.
-func TestOneTransferAtATime(t *testing.T) {
+func TestOneSnapshotTransferAtATime(t *testing.T) {
 	c := needsSnapshot(t)
 	begun := sentTo(settle(c), 3, wire.RaftMessage_INSTALL_SNAPSHOT)
 	if len(begun) != 1 || c.SnapshotInTransfer(3) != begun[0].Snapshot.Index {
@@ -173,9 +173,9 @@
 	}
 }
 
-// TestATransferThatTakesTooLongIsSuperseded: where the log can't lead on from a snapshot within its bound, and for a member
+// TestSlowTransferIsSuperseded: where the log can't lead on from a snapshot within its bound, and for a member
 // that has gone, nothing is kept for it.
-func TestATransferThatTakesTooLongIsSuperseded(t *testing.T) {
+func TestSlowTransferIsSuperseded(t *testing.T) {
 	c := needsSnapshot(t)
 	first := sentTo(settle(c), 3, wire.RaftMessage_INSTALL_SNAPSHOT)[0].Snapshot
 	proposeMany(t, c, 20, tailBytes/4)
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestAMemberWithASnapshotOfAnotherGoesOn: one that got to where the log leads on, by a transfer that nobody told the
+// TestMemberContinuesFromForeignSnapshot: one that got to where the log leads on, by a transfer that nobody told the
 // leader of, is not sent another.
-func TestAMemberWithASnapshotOfAnotherGoesOn(t *testing.T) {
+func TestMemberContinuesFromForeignSnapshot(t *testing.T) {
 	c := needsSnapshot(t)
 	first := sentTo(settle(c), 3, wire.RaftMessage_INSTALL_SNAPSHOT)[0].Snapshot
 	proposeMany(t, c, 10, 10)
@@ -218,9 +218,9 @@
 	}
 }
 
-// TestADivergedLogJoins: a member that led, and was cut off with a thousand entries that no other has, joins the log of the
+// TestDivergedLogConverges: a member that led, and was cut off with a thousand entries that no other has, joins the log of the
 // next leader within a few rounds of messages, each of which takes longer than the time between heartbeats.
-func TestADivergedLogJoins(t *testing.T) {
+func TestDivergedLogConverges(t *testing.T) {
 	// Two members have led in turn, each cut off from the other.
 	var own, diverged []*wire.Entry
 	for i := range uint64(1000) {
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestAFollowerKeepsNothingForTransfers: one that led, and was transferring a snapshot, keeps the usual tail from then on.
-func TestAFollowerKeepsNothingForTransfers(t *testing.T) {
+// TestFollowerKeepsNoTransferTail: one that led, and was transferring a snapshot, keeps the usual tail from then on.
+func TestFollowerKeepsNoTransferTail(t *testing.T) {
 	c := needsSnapshot(t)
 	if c.SnapshotInTransfer(3) == 0 {
 		t.Fatal("no transfer is under way")
--- a/internal/controlplane/raft/election_test.go
+++ b/internal/controlplane/raft/election_test.go
@@ -6,8 +6,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestAMemberForgetsALeaderThatItDoesNotHear: a learner, which never campaigns, as well as a voter.
-func TestAMemberForgetsALeaderThatItDoesNotHear(t *testing.T) {
+// TestLeaderIsForgottenWithoutContact: a learner, which never campaigns, as well as a voter.
+func TestLeaderIsForgottenWithoutContact(t *testing.T) {
 	peers := voters(3)
 	peers.Peers = append(peers.Peers, &wire.Peer{Id: 4})
 	for _, id := range []uint64{1, 4} {
--- a/internal/controlplane/raft/leadership_transfer_test.go
+++ b/internal/controlplane/raft/leadership_transfer_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestHandOver: a leader that ends, or whose disk is far slower than the others', is followed by another within some
+// TestLeadershipTransfer: a leader that ends, or whose disk is far slower than the others', is followed by another within some
 // messages' time; what is proposed meanwhile is turned away unrun, and a transfer target that says nothing is not waited for.
-func TestHandOver(t *testing.T) {
+func TestLeadershipTransfer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		hand  func(w *simulation, lead *simMember) // makes the leader give the lead away
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/lease_sim_test.go
@@ -386,11 +386,11 @@
 	return w, recovered
 }
 
-// TestCutOffMembers cuts the leader, a follower or the learner off for twenty seconds or forty, one way or both, with restarts,
+// TestPartitionedMembers cuts the leader, a follower or the learner off for twenty seconds or forty, one way or both, with restarts,
 // pauses and slow links on both sides. At no moment is a state older than its holder says, down to the second relay below
 // each member, and no relay that starts meanwhile is ready by an older one than it may; no read misses a change that was acknowledged before it; a member that hears nobody acknowledges nothing
 // and no longer leads after an election timeout; and all are current again soon after the end.
-func TestCutOffMembers(t *testing.T) {
+func TestPartitionedMembers(t *testing.T) {
 	var recoveries []time.Duration
 	acked, answered := 0, 0
 	for i := range *seeds {
--- a/internal/controlplane/raft/membership_search_test.go
+++ b/internal/controlplane/raft/membership_search_test.go
@@ -203,9 +203,9 @@
 	t.Logf("changes: %v", found)
 }
 
-// TestSearchOfDepartures draws the same, and a member that is about to end with a last entry of any index and term: it is
+// TestSearchOfLeaves draws the same, and a member that is about to end with a last entry of any index and term: it is
 // let go only when that entry was never committed, or is on a majority of the voters that stay.
-func TestSearchOfDepartures(t *testing.T) {
+func TestSearchOfLeaves(t *testing.T) {
 	let := 0
 	for seed := range uint64(searchedQuorums) {
 		q := drawQuorum(t, seed)
--- a/internal/controlplane/raft/membership_sim_test.go
+++ b/internal/controlplane/raft/membership_sim_test.go
@@ -36,9 +36,9 @@
 	return w
 }
 
-// TestAMemberThatWasAwayVotesAgain: a member that was cut off, whether or not another has taken its place meanwhile, is
+// TestRejoinAfterPartition: a member that was cut off, whether or not another has taken its place meanwhile, is
 // a voter again within seconds of the cut's end, without a hand.
-func TestAMemberThatWasAwayVotesAgain(t *testing.T) {
+func TestRejoinAfterPartition(t *testing.T) {
 	type variant struct {
 		name     string
 		replaced bool // an empty machine takes its place meanwhile
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestSilenceIsNoReasonToLoseAVote: a voter that is silent and has no successor keeps its vote, in odd and even sets.
-func TestSilenceIsNoReasonToLoseAVote(t *testing.T) {
+// TestUnresponsiveVoterKeepsVote: a voter that is silent and has no successor keeps its vote, in odd and even sets.
+func TestUnresponsiveVoterKeepsVote(t *testing.T) {
 	for machines := 3; machines <= 5; machines++ {
 		w := grown(t, 3, machines, 3)
 		away := w.processes[1]
@@ -137,7 +137,7 @@
 	rejoinBy  time.Duration // it has to vote again by then; 0: nothing is due
 }
 
-// losses plays the losses that the pages allow on a quorum, each at the first moment at which it may come.
+// losses plays tolerated losses on a quorum, each at the first moment at which it may come.
 type losses struct {
 	*membershipWorld
 	slots     []*machineSlot
@@ -283,11 +283,11 @@
 	}
 }
 
-// TestEveryLossThatThePagesAllow plays losses of disks, replacements, planned ones too, cuts, freezes and restarts, with
-// elections in between, each at the first moment at which the pages allow it. At every step the voters that do not
+// TestToleratedLosses plays losses of disks, replacements, planned ones too, cuts, freezes and restarts, with
+// elections in between, each at the first moment at which it is tolerated. At every step the voters that do not
 // count as lost are enough, even after as many more losses as are allowed at that moment; what was acknowledged stays;
 // a machine that is back votes again in time.
-func TestEveryLossThatThePagesAllow(t *testing.T) {
+func TestToleratedLosses(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(*membershipSeeds) {
 		sizes := [][2]int{{3, 1}, {4, 1}, {3, 1}, {5, 2}}[(*firstOne+seed)%4]
--- a/internal/controlplane/raft/membership_test.go
+++ b/internal/controlplane/raft/membership_test.go
@@ -40,9 +40,9 @@
 	return c
 }
 
-// TestRemovalsAreRefused: nobody can take out a member that runs, or one without which fewer voters than wanted are
+// TestRemovalIsRefused: nobody can take out a member that runs, or one without which fewer voters than wanted are
 // left or the rest bears less.
-func TestRemovalsAreRefused(t *testing.T) {
+func TestRemovalIsRefused(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		voters    int
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestNoRemovalLeavesLessToSpare: a voter that does its part goes only where the rest has as much to spare.
-func TestNoRemovalLeavesLessToSpare(t *testing.T) {
+// TestRemovalKeepsSpareVoters: a voter that does its part goes only where the rest has as much to spare.
+func TestRemovalKeepsSpareVoters(t *testing.T) {
 	for _, c := range []struct {
 		voters    int
 		inContact []uint64
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestALostDiskIsEvidenceAtOnce: a voter whose address came back with another identity goes without any silence, where
+// TestLostDiskIsRemovedAtOnce: a voter whose address came back with another identity goes without any silence, where
 // more voters than wanted are left; else once the newcomer has caught up.
-func TestALostDiskIsEvidenceAtOnce(t *testing.T) {
+func TestLostDiskIsRemovedAtOnce(t *testing.T) {
 	for _, n := range []int{3, 4} {
 		c := leadingOf(t, n, others(n)...)
 		for i, p := range c.Peers() {
@@ -136,8 +136,8 @@
 	return ids
 }
 
-// TestALearnerVotesOnceItHasTheLog: neither before, nor only when nothing new comes any more.
-func TestALearnerVotesOnceItHasTheLog(t *testing.T) {
+// TestLearnerIsPromotedWithLog: neither before, nor only when nothing new comes any more.
+func TestLearnerIsPromotedWithLog(t *testing.T) {
 	c := leadingOf(t, 3, 2, 3)
 	change, _ := c.JoinChange(&wire.Peer{Id: 9, Address: "new"})
 	if err := c.ProposeMembership(c.now, change.Next); err != nil {
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestDeparture: a member may end once the others hold its last entry, and is out first where more voters than wanted
+// TestLeave: a member may end once the others hold its last entry, and is out first where more voters than wanted
 // are there.
-func TestDeparture(t *testing.T) {
+func TestLeave(t *testing.T) {
 	ask := func(c *Node, index, term uint64, wanted int) LeaveStatus {
 		d, ok := c.Leave(c.now, 3, index, term, wanted)
 		if !ok {
@@ -261,8 +261,8 @@
 	})
 }
 
-// TestRefusalsSayWhy: who is refused a vote is told why, so that one that was taken out can join again.
-func TestRefusalsSayWhy(t *testing.T) {
+// TestRefusalReasons: who is refused a vote is told why, so that one that was taken out can join again.
+func TestRefusalReasons(t *testing.T) {
 	c := leadingOf(t, 3, 2, 3)
 	for _, r := range []struct {
 		from, term uint64
--- a/internal/controlplane/raft/quorum_contact_test.go
+++ b/internal/controlplane/raft/quorum_contact_test.go
@@ -7,8 +7,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestContactIsMeasuredByTheReceiversClock: what a follower makes of its leader's word on the quorum.
-func TestContactIsMeasuredByTheReceiversClock(t *testing.T) {
+// TestContactUsesReceiverClock: what a follower makes of its leader's word on the quorum.
+func TestContactUsesReceiverClock(t *testing.T) {
 	const process, other = 7, 8
 	now := 10 * time.Second
 	for _, c := range []struct {
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestLeadersReturnTheNewestStamp: with the age of the quorum's contact at its receipt, and not before an entry of the
+// TestLeaderReturnsNewestStamp: with the age of the quorum's contact at its receipt, and not before an entry of the
 // leader's own term is committed.
-func TestLeadersReturnTheNewestStamp(t *testing.T) {
+func TestLeaderReturnsNewestStamp(t *testing.T) {
 	leader := leading(t)
 	now := lateNow
 	last := func() *wire.RaftMessage {
--- a/internal/controlplane/raft/raft_test.go
+++ b/internal/controlplane/raft/raft_test.go
@@ -7,9 +7,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestOlderTermsAreNotCommittedByCount: an entry of an earlier term that a majority
+// TestOlderTermsAreNotCommittedByCounting: an entry of an earlier term that a majority
 // has may still be replaced by another leader's; only one of the own term ends that.
-func TestOlderTermsAreNotCommittedByCount(t *testing.T) {
+func TestOlderTermsAreNotCommittedByCounting(t *testing.T) {
 	peers := &wire.Peers{Peers: []*wire.Peer{{Id: 1, Voter: true}, {Id: 2, Voter: true}, {Id: 3, Voter: true}}}
 	c := New(1, &wire.HardState{Term: 3}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers},
 		[]*wire.Entry{{Term: 2, Index: 2, Kind: wire.Entry_NO_OP}}, 1, 0)
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestOneChangeOfMembersAtATime: the next waits until the one before is committed,
+// TestOneMembershipChangeAtATime: the next waits until the one before is committed,
 // and for a first entry of the leader's own term.
-func TestOneChangeOfMembersAtATime(t *testing.T) {
+func TestOneMembershipChangeAtATime(t *testing.T) {
 	one := &wire.Peer{Id: 1, Voter: true}
 	c := New(1, &wire.HardState{Term: 1}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: &wire.Peers{Peers: []*wire.Peer{one}}}, nil, 1, 0)
 	c.Tick(2 * time.Second)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestASnapshotTakesNothingAway: one that comes late finds entries behind its end
+// TestSnapshotKeepsNewerEntries: one that comes late finds entries behind its end
 // that this member has acknowledged since; they are part of a majority.
-func TestASnapshotTakesNothingAway(t *testing.T) {
+func TestSnapshotKeepsNewerEntries(t *testing.T) {
 	peers := &wire.Peers{Peers: []*wire.Peer{{Id: 1, Voter: true}, {Id: 2, Voter: true}, {Id: 3, Voter: true}}}
 	c := New(1, &wire.HardState{Term: 2}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers}, nil, 1, 0)
 	entries := []*wire.Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestSnapshotsAreDue: a snapshot is due after many entries, and after few large ones.
-func TestSnapshotsAreDue(t *testing.T) {
+// TestSnapshotDue: a snapshot is due after many entries, and after few large ones.
+func TestSnapshotDue(t *testing.T) {
 	peers := &wire.Peers{Peers: []*wire.Peer{{Id: 1, Voter: true}}}
 	for _, c := range []struct {
 		entries, bytes int
@@ -144,9 +144,9 @@
 	return c
 }
 
-// TestLateWordsCountForNothing: what a member says of an earlier term, of an earlier round or of a log that it does not
+// TestStaleResponsesAreIgnored: what a member says of an earlier term, of an earlier round or of a log that it does not
 // have proves nothing. The simulation and the search meet these too seldom to find one that is believed.
-func TestLateWordsCountForNothing(t *testing.T) {
+func TestStaleResponsesAreIgnored(t *testing.T) {
 	handovers := func(o Ready) (to []uint64) {
 		for _, m := range o.Messages {
 			if m.Kind == wire.RaftMessage_TIMEOUT_NOW {
--- a/internal/controlplane/raft/read_only_test.go
+++ b/internal/controlplane/raft/read_only_test.go
@@ -6,9 +6,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestReadsShareARound: reads that come before a round's messages go out need no round of their own; one that comes
+// TestReadsShareHeartbeatRound: reads that come before a round's messages go out need no round of their own; one that comes
 // later does.
-func TestReadsShareARound(t *testing.T) {
+func TestReadsShareHeartbeatRound(t *testing.T) {
 	c := leading(t)
 	answer := func(round uint64) {
 		c.Step(lateNow, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 2, To: 1, Term: 4, Index: 3, HeartbeatRound: round})
--- a/internal/controlplane/server/ack_gate_test.go
+++ b/internal/controlplane/server/ack_gate_test.go
@@ -6,9 +6,9 @@
 	"ivydeck/internal/config/nodefile"
 )
 
-// TestAcknowledgementsWaitForTheFirstQuorum: at the first start for as many voters as are wanted, later for one fewer, as
+// TestAckWaitsForMinVoters: at the first start for as many voters as are wanted, later for one fewer, as
 // during a replacement; a process that starts in a system that has run before need not have seen them.
-func TestAcknowledgementsWaitForTheFirstQuorum(t *testing.T) {
+func TestAckWaitsForMinVoters(t *testing.T) {
 	set := &nodefile.Settings{ToleratedLosses: 1, Seeds: []string{"a", "b", "c"}, Bootstrap: true}
 	var gate ackGate
 	for _, step := range []struct{ voters, want int }{{1, 3}, {2, 3}, {3, 2}, {2, 2}, {1, 2}} {
--- a/internal/controlplane/server/http_config_test.go
+++ b/internal/controlplane/server/http_config_test.go
@@ -53,8 +53,8 @@
 	return string(body)
 }
 
-// TestOperatorsAreAnsweredInHTTP: the statuses that the results have, over a real connection.
-func TestOperatorsAreAnsweredInHTTP(t *testing.T) {
+// TestOperatorHTTPStatuses: the statuses that the results have, over a real connection.
+func TestOperatorHTTPStatuses(t *testing.T) {
 	server := httptest.NewServer(aloneNode(t).routes())
 	defer server.Close()
 	first, second := encoded(t, 3, "a"), encoded(t, 5, "a")
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestSlowIsNotInvalid: an operator's call ends for good on 400. One whose body does not come in time may be sent again.
-func TestSlowIsNotInvalid(t *testing.T) {
+// TestSlowBodyIsNotInvalid: an operator's call ends for good on 400. One whose body does not come in time may be sent again.
+func TestSlowBodyIsNotInvalid(t *testing.T) {
 	server := httptest.NewUnstartedServer(aloneNode(t).routes())
 	server.Config.ReadTimeout = 50 * time.Millisecond
 	server.Start()
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestChangesAreBounded: what operators send is held so many times at most; who comes then is told to come again.
-func TestChangesAreBounded(t *testing.T) {
+// TestChangeSizeIsBounded: what operators send is held so many times at most; who comes then is told to come again.
+func TestChangeSizeIsBounded(t *testing.T) {
 	n := aloneNode(t)
 	post := func() int {
 		w := httptest.NewRecorder()
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestAnEmptyMemberIsFed: a member that joins after thousands of changes gets the state over a stream of its own, in
+// TestEmptyMemberCatchesUp: a member that joins after thousands of changes gets the state over a stream of its own, in
 // pieces, has it on disk with the entries behind it, and starts again from there.
-func TestAnEmptyMemberIsFed(t *testing.T) {
+func TestEmptyMemberCatchesUp(t *testing.T) {
 	q := newQuorum(t, 2)
 	leader, _ := q.start(0)
 	leader.until(t, "leadership.acquired", func(map[string]slog.Value) bool { return true })
--- a/internal/controlplane/server/operator_history_test.go
+++ b/internal/controlplane/server/operator_history_test.go
@@ -101,10 +101,10 @@
 	return history
 }
 
-// TestOperatorsSeeOneConfiguration plays the operators' interface of several members with lost answers, resends that
+// TestOperatorsSeeOneHistory plays the operators' interface of several members with lost answers, resends that
 // overtake each other, changes of the leader, cuts, frozen and restarted members, snapshots and a restore from a backup,
 // and checks what operators were told. A resend is a part of its operation.
-func TestOperatorsSeeOneConfiguration(t *testing.T) {
+func TestOperatorsSeeOneHistory(t *testing.T) {
 	counts, resends, restored, unknown, again := map[OperatorResult]int{}, 0, 0, 0, 0
 	for i := range *simSeeds {
 		seed := *simFirst + uint64(i)
--- a/internal/controlplane/server/operator_requests_test.go
+++ b/internal/controlplane/server/operator_requests_test.go
@@ -8,8 +8,8 @@
 	"ivydeck/internal/controlplane/catalog"
 )
 
-// TestAnyMemberKnowsWhatWasAccepted: one without a leader acknowledges a change that it has applied, and nothing else.
-func TestAnyMemberKnowsWhatWasAccepted(t *testing.T) {
+// TestAnyMemberConfirmsAcceptedChange: one without a leader acknowledges a change that it has applied, and nothing else.
+func TestAnyMemberConfirmsAcceptedChange(t *testing.T) {
 	const now = 10 * time.Second
 	node, state := member(now), catalog.New()
 	api := operatorRequests{requests: newRequestQueue(node, threeVoters, now), state: func() backup.Backup { return backup.Backup{State: state} }}
--- a/internal/controlplane/server/recovery_sim_test.go
+++ b/internal/controlplane/server/recovery_sim_test.go
@@ -46,9 +46,9 @@
 	return 0
 }
 
-// TestRecoveryAfterTheLeadersLoss measures the time from the loss of a leader to the next acknowledged change, by the
-// operators' calls and pauses as the pages give them (go test ./internal/controlplane/server -run Recovery -v -seeds 1000).
-func TestRecoveryAfterTheLeadersLoss(t *testing.T) {
+// TestRecoveryAfterLeaderLoss measures the time from the loss of a leader to the next acknowledged change, by the
+// operators' calls and pauses as the specification gives them (go test ./internal/controlplane/server -run Recovery -v -seeds 1000).
+func TestRecoveryAfterLeaderLoss(t *testing.T) {
 	for _, members := range []int{3, 5} {
 		for name, dark := range map[string]bool{"killed": false, "powered off": true} {
 			var times []time.Duration
--- a/internal/controlplane/server/request_queue_test.go
+++ b/internal/controlplane/server/request_queue_test.go
@@ -55,7 +55,7 @@
 	return r
 }
 
-func TestAnEntryOfAnotherTermAnswersNobody(t *testing.T) {
+func TestEntryOfAnotherTermEndsNoRequest(t *testing.T) {
 	node := member(0)
 	lead(t, node, time.Second)
 	q := newRequestQueue(node, threeVoters, 0)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestRequestsEndAtTheirDeadline: none stays behind, whatever it waited for, and none is begun after it.
-func TestRequestsEndAtTheirDeadline(t *testing.T) {
+// TestRequestDeadline: none stays behind, whatever it waited for, and none is begun after it.
+func TestRequestDeadline(t *testing.T) {
 	const now = 10 * time.Second
 	node := member(0)
 	lead(t, node, now)
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestRequestsWaitForASignOfTheLeader: a patient one is sent to a leader that is heard after it has come, not to one that
+// TestRequestWaitsForLeaderContact: a patient one is sent to a leader that is heard after it has come, not to one that
 // may have died before; where none is heard for longer than an election takes, its sender is told so.
-func TestRequestsWaitForASignOfTheLeader(t *testing.T) {
+func TestRequestWaitsForLeaderContact(t *testing.T) {
 	now := 10 * time.Second
 	node := member(now)
 	q := newRequestQueue(node, threeVoters, now)
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestALostLeadAnswersAtOnce: who asked for a change that may yet be committed is not left without an answer until the
+// TestLeadershipLossAnswersAtOnce: who asked for a change that may yet be committed is not left without an answer until the
 // deadline.
-func TestALostLeadAnswersAtOnce(t *testing.T) {
+func TestLeadershipLossAnswersAtOnce(t *testing.T) {
 	const now = 10 * time.Second
 	node := member(0)
 	lead(t, node, now)
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -8,9 +8,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestCallsEndWithTheServer: a call that waits for the loop returns when the server ends without having run it. One that
+// TestCallsEndWithServer: a call that waits for the loop returns when the server ends without having run it. One that
 // did not kept the process from ending, until the platform killed it.
-func TestCallsEndWithTheServer(t *testing.T) {
+func TestCallsEndWithServer(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Server{events: make(chan func(), 64), ctx: ctx} // nobody reads the events
 	n.membership = &membershipDriver{server: n, joinQueue: make(chan string)}
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -102,9 +102,9 @@
 	return sent, r, errors.Join(err, <-done)
 }
 
-// TestTransfersAreResumed: a stream that breaks after any piece, and a receiver that is started again, go on with what has
+// TestSnapshotTransferResumes: a stream that breaks after any piece, and a receiver that is started again, go on with what has
 // come; nothing counts before all is there.
-func TestTransfersAreResumed(t *testing.T) {
+func TestSnapshotTransferResumes(t *testing.T) {
 	data := stateOf(t, 12000)
 	offer := &wire.SnapshotOffer{Snapshot: &wire.RaftSnapshot{Term: 2, Index: 900}, Size: uint64(len(data)), Checksum: store.Checksum(data)}
 	dir := t.TempDir()
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestADamagedTransferStartsOver: pieces that add up to something else than was offered are never installed, and the next
+// TestDamagedTransferRestarts: pieces that add up to something else than was offered are never installed, and the next
 // try begins with none.
-func TestADamagedTransferStartsOver(t *testing.T) {
+func TestDamagedTransferRestarts(t *testing.T) {
 	data := stateOf(t, 3000)
 	offer := &wire.SnapshotOffer{Snapshot: &wire.RaftSnapshot{Term: 2, Index: 900}, Size: uint64(len(data)), Checksum: store.Checksum(data)}
 	st := openStore(t, t.TempDir())
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestTransfersAreFlowControlled: a receiver that answers nothing gets a bounded part.
-func TestTransfersAreFlowControlled(t *testing.T) {
+// TestSnapshotTransferFlowControl: a receiver that answers nothing gets a bounded part.
+func TestSnapshotTransferFlowControl(t *testing.T) {
 	sender, receiver := newPipe(-1)
 	done := make(chan error, 1)
 	go func() {
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestWhatIsSavedIsFound(t *testing.T) {
+func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	id := s.ID
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestASecondFolderThatIsNoFolder(t *testing.T) {
+func TestSecondFolderIsAFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x")
 	os.WriteFile(file, nil, 0o644)
 	if _, err := Open(file, rand.New(rand.NewPCG(1, 1))); err == nil || strings.Contains(err.Error(), "\n") {
@@ -206,9 +206,9 @@
 	}
 }
 
-// TestTheTailIsKept: entries in front of a snapshot stay as far as they are asked for, over a restart; what is older, and
+// TestTailIsKept: entries in front of a snapshot stay as far as they are asked for, over a restart; what is older, and
 // what a leader's snapshot has replaced, does not come back, whether it is still on disk or not.
-func TestTheTailIsKept(t *testing.T) {
+func TestTailIsKept(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	const many = 3 * maxObsoleteDeletes
@@ -250,9 +250,9 @@
 	s.Close()
 }
 
-// TestAFolderPutAsideIsRemembered: the power went after a damaged folder was put aside and before the next was there for
+// TestDamagedFolderIsRemembered: the power went after a damaged folder was put aside and before the next was there for
 // good. What is found then is not taken for a folder that never held anything.
-func TestAFolderPutAsideIsRemembered(t *testing.T) {
+func TestDamagedFolderIsRemembered(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir).Close()
 	if err := os.Rename(filepath.Join(dir, "log"), filepath.Join(dir, "log.damaged")); err != nil {
--- a/internal/distribution/agent/leader_test.go
+++ b/internal/distribution/agent/leader_test.go
@@ -21,9 +21,9 @@
 	return a, set.SeedNodes()
 }
 
-// TestSilentQuorumMembersAreNotWaitedFor: the first that is asked says nothing, the second names the leader, which
+// TestUnresponsiveQuorumMembersAreSkipped: the first that is asked says nothing, the second names the leader, which
 // answers while the first is still silent.
-func TestSilentQuorumMembersAreNotWaitedFor(t *testing.T) {
+func TestUnresponsiveQuorumMembersAreSkipped(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	a, seeds := newAgent(ctx)
--- a/internal/distribution/relay/age_test.go
+++ b/internal/distribution/relay/age_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestSubscriptionsAreRenewed: where the two clocks may have drifted apart, and where something was long on its way, but
+// TestSubscriptionRenewal: where the two clocks may have drifted apart, and where something was long on its way, but
 // not at each feed.
-func TestSubscriptionsAreRenewed(t *testing.T) {
+func TestSubscriptionRenewal(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		lasted, request, feed time.Duration // transit of the request and of the feed
--- a/internal/distribution/relay/pack_test.go
+++ b/internal/distribution/relay/pack_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestUnreadableFeeds: what is no compressed message, or too large, is refused.
-func TestUnreadableFeeds(t *testing.T) {
+// TestMalformedFeeds: what is no compressed message, or too large, is refused.
+func TestMalformedFeeds(t *testing.T) {
 	compress := func(data []byte) []byte {
 		var b bytes.Buffer
 		w, _ := flate.NewWriter(&b, flate.BestSpeed)
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestALostParentIsPassedOver(t *testing.T) {
+func TestLostParentIsSkipped(t *testing.T) {
 	all := members(40, 1)
 	for _, m := range all {
 		if m.QuorumMember {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestAHubFeedsSoManyChildren(t *testing.T) {
+func TestHubLimitsChildren(t *testing.T) {
 	h := NewHub(nil)
 	for range MaxChildren {
 		if !h.addChild() {
--- a/internal/distribution/relay/selector_test.go
+++ b/internal/distribution/relay/selector_test.go
@@ -8,9 +8,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestALongGoodParentThatFails is not the next one to be tried: its connection may take as long again to show that it is
+// TestLongUsedParentFails is not the next one to be tried: its connection may take as long again to show that it is
 // dead. Another round begins with it.
-func TestALongGoodParentThatFails(t *testing.T) {
+func TestLongUsedParentFails(t *testing.T) {
 	parents := []string{"first", "second", "third"}
 	for _, c := range []struct {
 		name   string
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestSuspectedMembersComeLast: a node does not lose time with a quorum member that others can't reach.
-func TestSuspectedMembersComeLast(t *testing.T) {
+// TestSuspectMembersComeLast: a node does not lose time with a quorum member that others can't reach.
+func TestSuspectMembersComeLast(t *testing.T) {
 	all := members(1, 3)
 	before := Parents("node0", "0", all)
 	for _, m := range all {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestApplyIsRepeatedUntilItIsClear: the first machine is busy, the second is not
+// TestApplyRetriesUntilDefinite: the first machine is busy, the second is not
 // the leader, and the leader takes it.
-func TestApplyIsRepeatedUntilItIsClear(t *testing.T) {
+func TestApplyRetriesUntilDefinite(t *testing.T) {
 	body, _, err := Load(file(t, "a.toml", text))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/identity/identity_test.go
+++ b/internal/transport/identity/identity_test.go
@@ -64,7 +64,7 @@
 	return met, errs
 }
 
-func TestWhoIsTrusted(t *testing.T) {
+func TestAuthorization(t *testing.T) {
 	a, other := authority(t), authority(t)
 	core := open(t, issue(t, a, QuorumMember, "c1", time.Hour/2))
 	node := open(t, issue(t, a, Node, "n1", time.Hour/2))
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestFilesMayChange: new connections go by new files, an authority is replaced with none lost, and half a change
+// TestFileReload: new connections go by new files, an authority is replaced with none lost, and half a change
 // changes nothing.
-func TestFilesMayChange(t *testing.T) {
+func TestFileReload(t *testing.T) {
 	a := authority(t)
 	files := issue(t, a, QuorumMember, "c1", time.Hour/2)
 	server, client := open(t, files), open(t, issue(t, a, Node, "n1", time.Hour/2))
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestSlowReaderHoldsUpItsStreamAlone leaves a flood unread beside calls on the
+// TestSlowReaderBlocksOnlyItsStream leaves a flood unread beside calls on the
 // same connection.
-func TestSlowReaderHoldsUpItsStreamAlone(t *testing.T) {
+func TestSlowReaderBlocksOnlyItsStream(t *testing.T) {
 	addr, pool, _ := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestPeersThatSpeakNoProtocol must cost nothing but their connection.
-func TestPeersThatSpeakNoProtocol(t *testing.T) {
+// TestMalformedPeers must cost nothing but their connection.
+func TestMalformedPeers(t *testing.T) {
 	addr, pool, _ := serve(t)
 	for name, bytes := range map[string][]byte{
 		"HTTP":            []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestPulse: a peer that is cut off is given up in time whether or not there is work, and idle ones are asked seldom.
-func TestPulse(t *testing.T) {
+// TestPing: a peer that is cut off is given up in time whether or not there is work, and idle ones are asked seldom.
+func TestPing(t *testing.T) {
 	for _, c := range []struct {
 		busy        bool
 		before      time.Duration // since the last sign of life, when the peer is cut off
@@ -226,8 +226,8 @@
 	}
 }
 
-// TestFramesAreSignsOfLife: each frame of a message is told of, before the message is whole.
-func TestFramesAreSignsOfLife(t *testing.T) {
+// TestFramesCountAsContact: each frame of a message is told of, before the message is whole.
+func TestFramesCountAsContact(t *testing.T) {
 	addr, pool, _ := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
--- a/internal/transport/rpc/unsent_test.go
+++ b/internal/transport/rpc/unsent_test.go
@@ -30,9 +30,9 @@
 
 func (c *failingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestUnsentIsTrueAfterAFailedWrite fails the write of a request behind each of its bytes: where the caller is told
+// TestNotSentAfterFailedWrite fails the write of a request behind each of its bytes: where the caller is told
 // that it was not sent, the peer can't read it whole.
-func TestUnsentIsTrueAfterAFailedWrite(t *testing.T) {
+func TestNotSentAfterFailedWrite(t *testing.T) {
 	unsent, perhaps := 0, 0
 	for left := range 200 {
 		a, b := net.Pipe()
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestStreamNumbersInUseAreNotGivenAgain: after the last number the first ones follow, but for those in use.
-func TestStreamNumbersInUseAreNotGivenAgain(t *testing.T) {
+// TestStreamNumbersInUseAreSkipped: after the last number the first ones follow, but for those in use.
+func TestStreamNumbersInUseAreSkipped(t *testing.T) {
 	c := &conn{streams: map[uint32]*Stream{1: {}}, nextStream: math.MaxUint32}
 	if a, b := c.freeStream(), c.freeStream(); a != math.MaxUint32 || b != 2 {
 		t.Errorf("streams %d and %d, want the last number and then the first that is free", a, b)
