--- a/decide/rules_world_test.go
+++ b/decide/policy_sim_test.go
@@ -11,9 +11,9 @@
 
 const ms = time.Millisecond
 
-// world feeds a Balancer random legal events and checks every action against the
+// policySim feeds a Balancer random legal events and checks every action against the
 // four rules, from the events alone.
-type world struct {
+type policySim struct {
 	t        *testing.T
 	set      Settings
 	rng      *rand.Rand
@@ -65,7 +65,7 @@
 // violation is what fail panics with where a test means the rules to be broken.
 type violation string
 
-func (w *world) fail(format string, args ...any) {
+func (w *policySim) fail(format string, args ...any) {
 	w.t.Helper()
 	if w.broken {
 		panic(violation(fmt.Sprintf(format, args...)))
@@ -73,7 +73,7 @@
 	w.t.Fatalf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newPolicySim(t *testing.T, seed uint64) *policySim {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	zones := []string{"x", "y", "z"}[:1+rng.IntN(3)]
 	set := Settings{
@@ -94,7 +94,7 @@
 	if rng.IntN(2) == 0 {
 		set.Tenants = []Tenant{{Quota: 30}, {}}
 	}
-	w := &world{
+	w := &policySim{
 		t: t, set: set, rng: rng, now: time.Second, servers: map[string]*listed{}, open: map[uint64]*owed{},
 		sends: map[string][]time.Duration{}, balancer: New(set, seed, time.Second),
 	}
@@ -106,7 +106,7 @@
 	return w
 }
 
-func (w *world) newServer(zones []string) Server {
+func (w *policySim) newServer(zones []string) Server {
 	id := fmt.Sprintf("s%d", len(w.ids))
 	w.ids = append(w.ids, id)
 	s := Server{ID: id, Zone: zones[w.rng.IntN(len(zones))], Cell: w.rng.IntN(3), Weight: float64(w.rng.IntN(3))}
@@ -116,7 +116,7 @@
 	return s
 }
 
-func (w *world) members(m Members) {
+func (w *policySim) members(m Members) {
 	if m.Change == ListFull || m.Change == ListStored {
 		for _, s := range w.servers {
 			s.gone = true
@@ -129,7 +129,7 @@
 }
 
 // step plays the next millisecond.
-func (w *world) step(zones []string, until time.Duration) {
+func (w *policySim) step(zones []string, until time.Duration) {
 	w.now += ms
 	if w.rng.IntN(700) == 0 { // the node stands still, and then finds all that came meanwhile
 		w.now += time.Duration(w.rng.IntN(400)) * ms
@@ -167,12 +167,12 @@
 }
 
 // handle runs before, then hands an event to the module.
-func (w *world) handle(event func([]Action) []Action, before func()) {
+func (w *policySim) handle(event func([]Action) []Action, before func()) {
 	before()
 	w.take(event(w.buf[:0]))
 }
 
-func (w *world) due() []flight {
+func (w *policySim) due() []flight {
 	var due, rest []flight
 	for _, f := range w.flying {
 		if f.at <= w.now {
@@ -185,7 +185,7 @@
 	return due
 }
 
-func (w *world) random(zones []string) {
+func (w *policySim) random(zones []string) {
 	switch p := w.rng.IntN(1000); {
 	case p < 200:
 		w.nextID++
@@ -234,7 +234,7 @@
 }
 
 // take checks and carries out a reply.
-func (w *world) take(actions []Action) {
+func (w *policySim) take(actions []Action) {
 	for _, a := range actions {
 		c := w.open[a.Request]
 		switch a.Kind {
@@ -273,7 +273,7 @@
 	w.buf = actions
 }
 
-func (w *world) send(c *owed, a Action) {
+func (w *policySim) send(c *owed, a Action) {
 	s := w.servers[a.Server]
 	switch {
 	case c == nil:
@@ -329,7 +329,7 @@
 	w.flying = append(w.flying, flight{w.now + took, c.ID, len(c.sent) - 1, s.ID, result, took})
 }
 
-func (w *world) mayRefuse(c *owed) {
+func (w *policySim) mayRefuse(c *owed) {
 	class := w.set.Classes[c.Class]
 	for _, t := range c.sent {
 		if !t.open && !t.harmful {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -10,7 +10,7 @@
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := uint64(0); seed < 60; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := newWorld(t, seed)
+			w := newPolicySim(t, seed)
 			zones := []string{"x", "y", "z"}
 			for end := w.now + 8*time.Second; w.now < end; {
 				w.step(zones, end-time.Second)
@@ -32,37 +32,37 @@
 	wait := 50 * ms
 	for _, c := range []struct {
 		name, want string
-		act        func(w *world)
+		act        func(w *policySim)
 	}{
-		{"two answers", "second answer", func(w *world) {
+		{"two answers", "second answer", func(w *policySim) {
 			w.take([]Action{{Kind: Fail, Request: 1}, {Kind: Refuse, Request: 1}})
 		}},
-		{"sent after the end", "not owed", func(w *world) {
+		{"sent after the end", "not owed", func(w *policySim) {
 			w.take([]Action{{Kind: Fail, Request: 1}, {Kind: Send, Request: 1, Server: "a", Wait: wait}})
 		}},
-		{"no answer", "no final answer", func(w *world) {
+		{"no answer", "no final answer", func(w *policySim) {
 			for range 2000 {
 				w.step(nil, 0)
 			}
 		}},
-		{"an effect twice", "effect could happen twice", func(w *world) {
+		{"an effect twice", "effect could happen twice", func(w *policySim) {
 			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
 			w.open[1].sent[0].open, w.open[1].sent[0].harmful = false, true
 			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
 		}},
-		{"refused after it may have run", "may have run", func(w *world) {
+		{"refused after it may have run", "may have run", func(w *policySim) {
 			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}, {Kind: Refuse, Request: 1}})
 		}},
-		{"outside the group", "outside the group", func(w *world) {
+		{"outside the group", "outside the group", func(w *policySim) {
 			w.open[1].Class = 5 // keyed, by cell
 			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
 			w.open[1].sent[0].open, w.open[1].sent[0].harmful = false, true
 			w.take([]Action{{Kind: Send, Request: 1, Server: "cold", Wait: wait}})
 		}},
-		{"sent to a draining server", "drains or is gone", func(w *world) {
+		{"sent to a draining server", "drains or is gone", func(w *policySim) {
 			w.take([]Action{{Kind: Send, Request: 1, Server: "draining", Wait: wait}})
 		}},
-		{"a cold server pushed over", "sends to cold", func(w *world) {
+		{"a cold server pushed over", "sends to cold", func(w *policySim) {
 			for id := uint64(2); id < 200; id++ {
 				w.open[id] = &owed{Request: Request{ID: id}, deadline: w.now + time.Second}
 				w.take([]Action{{Kind: Send, Request: id, Server: "cold", Wait: wait}})
@@ -70,7 +70,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, 3)
+			w := newPolicySim(t, 3)
 			w.broken, w.set.MaxAttempts = true, 9
 			w.servers = map[string]*listed{
 				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"}, gone: true},
--- a/internal/controlplane/raft/membership_cluster_test.go
+++ b/internal/controlplane/raft/membership_cluster_test.go
@@ -55,7 +55,7 @@
 	do   func(to *process)
 }
 
-type membershipWorld struct {
+type membershipSim struct {
 	t         *testing.T
 	rng       *rand.Rand
 	now       time.Duration
@@ -69,8 +69,8 @@
 	inForce   membership
 }
 
-func newMembershipWorld(t *testing.T, seed uint64, machines, wanted int) *membershipWorld {
-	w := &membershipWorld{t: t, rng: rand.New(rand.NewPCG(seed, 18)), wanted: wanted, agreed: map[uint64]uint64{}}
+func newMembershipSim(t *testing.T, seed uint64, machines, wanted int) *membershipSim {
+	w := &membershipSim{t: t, rng: rand.New(rand.NewPCG(seed, 18)), wanted: wanted, agreed: map[uint64]uint64{}}
 	first := w.add("m0")
 	peer := &wire.Peer{Id: 1, Address: first.address, Voter: true}
 	first.disk = simdisk.Disk{Tail: memberTail, ID: 1, Hard: &wire.HardState{Term: 1}, Snap: &wire.RaftSnapshot{
@@ -83,7 +83,7 @@
 	return w
 }
 
-func (w *membershipWorld) fail(format string, args ...any) {
+func (w *membershipSim) fail(format string, args ...any) {
 	if !w.failed {
 		w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 	}
@@ -91,13 +91,13 @@
 }
 
 // add makes a machine with an empty disk.
-func (w *membershipWorld) add(address string) *process {
+func (w *membershipSim) add(address string) *process {
 	p := &process{address: address, disk: simdisk.Disk{Tail: memberTail}}
 	w.processes = append(w.processes, p)
 	return p
 }
 
-func (w *membershipWorld) start(p *process) {
+func (w *membershipSim) start(p *process) {
 	if p.disk.ID == 0 {
 		w.nextID++
 		p.disk.ID = w.nextID
@@ -109,13 +109,13 @@
 	p.restore(p.disk.Snap)
 }
 
-func (w *membershipWorld) stop(p *process) {
+func (w *membershipSim) stop(p *process) {
 	p.disk.Crash(w.rng)
 	p.node, p.manager, p.inbox, p.frozen = nil, nil, nil, false
 }
 
 // terminate is a SIGTERM: the process may end once it may leave.
-func (w *membershipWorld) terminate(p *process) {
+func (w *membershipSim) terminate(p *process) {
 	p.ending, p.killAt = true, w.now+simGrace
 	p.manager.Leave()
 }
@@ -131,7 +131,7 @@
 
 func (p *process) self() *wire.Peer { return &wire.Peer{Id: p.disk.ID, Address: p.address} }
 
-func (w *membershipWorld) at(address string) *process {
+func (w *membershipSim) at(address string) *process {
 	for _, p := range w.processes {
 		if p.address == address && p.node != nil {
 			return p
@@ -141,7 +141,7 @@
 }
 
 // carry takes something to a process, unless a cut or an end comes between.
-func (w *membershipWorld) carry(from, to *process, do func(to *process)) {
+func (w *membershipSim) carry(from, to *process, do func(to *process)) {
 	if to == nil || to == from || from.cut || to.cut || to.deaf {
 		return
 	}
@@ -149,7 +149,7 @@
 	to.inbox = append(to.inbox, memberDelivery{at, from, do})
 }
 
-func (w *membershipWorld) step() {
+func (w *membershipSim) step() {
 	w.now += memberStep
 	for _, p := range w.processes {
 		if p.node == nil || p.frozen {
@@ -167,19 +167,19 @@
 
 // due reports whether a process has something to do: a memberDelivery, its timer, or the membership, to which drivers look at
 // least this often.
-func (w *membershipWorld) due(p *process) bool {
+func (w *membershipSim) due(p *process) bool {
 	const look = 10 * time.Millisecond
 	return w.now >= p.node.NextTick() || w.now-p.managedAt >= look || slices.ContainsFunc(p.inbox, func(d memberDelivery) bool { return d.at <= w.now })
 }
 
-func (w *membershipWorld) run(until time.Duration) {
+func (w *membershipSim) run(until time.Duration) {
 	for w.now < until && !w.failed {
 		w.step()
 	}
 }
 
 // turn is what a driver does: what has arrived, the time, the membership, the disk, messages, what is committed.
-func (w *membershipWorld) turn(p *process) {
+func (w *membershipSim) turn(p *process) {
 	busy := false
 	rest := p.inbox[:0]
 	var due []memberDelivery
@@ -209,7 +209,7 @@
 	}
 }
 
-func (w *membershipWorld) manage(p *process) {
+func (w *membershipSim) manage(p *process) {
 	p.managedAt = w.now
 	actions := p.manager.Tick(w.now, p.self(), w.wanted, w.known)
 	w.change(p, actions.Propose)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (w *membershipWorld) change(p *process, c MembershipChange) {
+func (w *membershipSim) change(p *process, c MembershipChange) {
 	if c.Next == nil {
 		return
 	}
@@ -246,7 +246,7 @@
 }
 
 // known is the gossip's word: the addresses of all that have run for a moment.
-func (w *membershipWorld) known() (known []string) {
+func (w *membershipSim) known() (known []string) {
 	for _, p := range w.processes {
 		if p.node != nil && w.now-p.started >= simGossipLag || w.now < simGossipLag {
 			known = append(known, p.address)
@@ -255,7 +255,7 @@
 	return known
 }
 
-func (w *membershipWorld) ask(p *process, address string) {
+func (w *membershipSim) ask(p *process, address string) {
 	node, self, asked := p.node, p.self(), w.now
 	w.carry(p, w.at(address), func(to *process) {
 		change, answer := to.manager.HandleJoin(w.now, self)
@@ -271,7 +271,7 @@
 	})
 }
 
-func (w *membershipWorld) askToLeave(p *process) {
+func (w *membershipSim) askToLeave(p *process) {
 	if p.node.IsLeader() {
 		p.node.TransferLeadership(w.now)
 		return
@@ -289,7 +289,7 @@
 	})
 }
 
-func (w *membershipWorld) settle(p *process) {
+func (w *membershipSim) settle(p *process) {
 	for o := p.node.Ready(); !o.Empty(); o = p.node.Ready() {
 		p.disk.Write(o.Snapshot, o.HardState, o.Entries)
 		p.disk.Sync()
@@ -313,7 +313,7 @@
 	}
 }
 
-func (w *membershipWorld) send(p *process, m *wire.RaftMessage) {
+func (w *membershipSim) send(p *process, m *wire.RaftMessage) {
 	address := p.heard[m.To]
 	if i := peerIndex(p.node.Peers(), m.To); i >= 0 {
 		address = p.node.Peers()[i].Address
@@ -325,7 +325,7 @@
 	})
 }
 
-func (w *membershipWorld) apply(p *process, e *wire.Entry) {
+func (w *membershipSim) apply(p *process, e *wire.Entry) {
 	if e.Index != p.applied+1 {
 		w.fail("%s applies %d after %d", p.address, e.Index, p.applied)
 	}
@@ -344,7 +344,7 @@
 }
 
 // leader is the process that leads in the newest term and is not frozen or cut off; nil: none.
-func (w *membershipWorld) leader() (lead *process) {
+func (w *membershipSim) leader() (lead *process) {
 	for _, p := range w.processes {
 		if p.node != nil && p.node.IsLeader() && !p.frozen && !p.cut && !p.deaf && (lead == nil || p.node.Term() > lead.node.Term()) {
 			lead = p
@@ -355,7 +355,7 @@
 
 // propose is a client's change, at whoever leads. As in the control plane, nothing is acknowledged by fewer voters than
 // keep it over the losses that are to be borne.
-func (w *membershipWorld) propose() {
+func (w *membershipSim) propose() {
 	p := w.leader()
 	if p == nil || Voters(p.node.Peers()) < MinAckVoters(w.wanted/2, w.wanted) {
 		return
@@ -367,7 +367,7 @@
 }
 
 // committed is the newest membership that any process has ever known to be committed.
-func (w *membershipWorld) committed() membership {
+func (w *membershipSim) committed() membership {
 	for _, p := range w.processes {
 		if p.node == nil {
 			continue
@@ -382,7 +382,7 @@
 }
 
 // votes reports whether a process is a voter of the membership that is committed.
-func (w *membershipWorld) votes(p *process) bool {
+func (w *membershipSim) votes(p *process) bool {
 	peers := w.committed().peers
 	i := peerIndex(peers, p.disk.ID)
 	return i >= 0 && peers[i].Voter && peers[i].Address == p.address
--- a/internal/controlplane/raft/membership_sim_test.go
+++ b/internal/controlplane/raft/membership_sim_test.go
@@ -22,8 +22,8 @@
 )
 
 // grown returns a quorum in which all machines vote.
-func grown(t *testing.T, seed uint64, machines, wanted int) *membershipWorld {
-	w := newMembershipWorld(t, seed, machines, wanted)
+func grown(t *testing.T, seed uint64, machines, wanted int) *membershipSim {
+	w := newMembershipSim(t, seed, machines, wanted)
 	for _, p := range w.processes {
 		p.forgets = *forgetRejoin
 	}
@@ -104,7 +104,7 @@
 }
 
 // replaceAllBut replaces all machines but one by empty ones at other addresses, one after the other.
-func (w *membershipWorld) replaceAllBut(spared *process) {
+func (w *membershipSim) replaceAllBut(spared *process) {
 	for _, p := range slices.Clone(w.processes) {
 		if p == spared || p.address == "successor" {
 			continue
@@ -139,7 +139,7 @@
 
 // losses plays tolerated losses on a quorum, each at the first moment at which it may come.
 type losses struct {
-	*membershipWorld
+	*membershipSim
 	slots     []*machineSlot
 	tolerated int
 	later     []laterEvent
@@ -292,7 +292,7 @@
 	for seed := range uint64(*membershipSeeds) {
 		sizes := [][2]int{{3, 1}, {4, 1}, {3, 1}, {5, 2}}[(*firstOne+seed)%4]
 		w := grown(t, *firstOne+seed, sizes[0], 2*sizes[1]+1)
-		l := &losses{membershipWorld: w, tolerated: sizes[1], handOverGap: []int{4000, 1500}[w.rng.IntN(2)]}
+		l := &losses{membershipSim: w, tolerated: sizes[1], handOverGap: []int{4000, 1500}[w.rng.IntN(2)]}
 		for _, p := range w.processes {
 			l.slots = append(l.slots, &machineSlot{process: p})
 		}
--- a/internal/controlplane/raft/lease_relay_sim_test.go
+++ b/internal/controlplane/raft/partition_relay_sim_test.go
@@ -33,14 +33,14 @@
 	feed    *wire.Feed
 }
 
-func (w *leaseWorld) newRelay() *leaseRelay {
+func (w *partitionSim) newRelay() *leaseRelay {
 	c := &leaseRelay{}
 	w.startRelay(c)
 	return c
 }
 
 // startRelay begins a process of a data node, which has nothing yet.
-func (w *leaseWorld) startRelay(c *leaseRelay) {
+func (w *partitionSim) startRelay(c *leaseRelay) {
 	drift := (2*w.rng.Float64() - 1) / leaseDrift
 	*c = leaseRelay{offset: w.span(0, time.Hour), drift: drift, subscribedAt: -1, incarnation: new(int), child: c.child, owed: w.ackedBefore(w.now)}
 	c.startedAt = w.relayClock(c)
@@ -48,12 +48,12 @@
 }
 
 // relayClock is a relay's own.
-func (w *leaseWorld) relayClock(c *leaseRelay) time.Duration {
+func (w *partitionSim) relayClock(c *leaseRelay) time.Duration {
 	return w.now + c.offset + time.Duration(c.drift*float64(w.now))
 }
 
 // feed drives the two relays below a member.
-func (w *leaseWorld) feed(m *leaseMember) {
+func (w *partitionSim) feed(m *leaseMember) {
 	w.feedOne(m.child, m.node, w.clock(m), m.contact, m.applied)
 	c := m.child
 	w.feedOne(c.child, c.incarnation, w.relayClock(c), c.contact, c.applied)
@@ -62,7 +62,7 @@
 }
 
 // serve sees that a data node is not ready by an older state than its start allows.
-func (w *leaseWorld) serve(who string, m *leaseMember, c *leaseRelay) {
+func (w *partitionSim) serve(who string, m *leaseMember, c *leaseRelay) {
 	if c.ready {
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // feedOne drives one child of a parent, whose clock, contact and state are given.
-func (w *leaseWorld) feedOne(c *leaseRelay, incarnation any, parentNow, parentContact time.Duration, head uint64) {
+func (w *partitionSim) feedOne(c *leaseRelay, incarnation any, parentNow, parentContact time.Duration, head uint64) {
 	own := w.relayClock(c)
 	delay := func() time.Duration { // now and then seconds, as of a machine that does not read
 		if w.rng.IntN(12) == 0 {
--- a/internal/controlplane/raft/lease_sim_test.go
+++ b/internal/controlplane/raft/partition_sim_test.go
@@ -56,8 +56,8 @@
 	index uint64 // the largest so far
 }
 
-// leaseWorld is a quorum whose members are cut off, restarted and frozen while changes go on.
-type leaseWorld struct {
+// partitionSim simulates a quorum whose members are partitioned, restarted and frozen while changes go on.
+type partitionSim struct {
 	rng      *rand.Rand
 	now      time.Duration
 	members  []*leaseMember
@@ -73,21 +73,21 @@
 	answered int // reads
 }
 
-func (w *leaseWorld) fault(format string, args ...any) {
+func (w *partitionSim) fault(format string, args ...any) {
 	if len(w.faults) < 5 {
 		w.faults = append(w.faults, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *leaseWorld) span(low, high time.Duration) time.Duration {
+func (w *partitionSim) span(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)))
 }
 
 // clock is a member's own.
-func (w *leaseWorld) clock(m *leaseMember) time.Duration { return w.now + m.offset }
+func (w *partitionSim) clock(m *leaseMember) time.Duration { return w.now + m.offset }
 
-func newLeaseWorld(seed uint64, voters, learners int) *leaseWorld {
-	w := &leaseWorld{rng: rand.New(rand.NewPCG(seed, 18)), cut: map[[2]int]bool{}, slow: map[[2]int]time.Duration{}}
+func newPartitionSim(seed uint64, voters, learners int) *partitionSim {
+	w := &partitionSim{rng: rand.New(rand.NewPCG(seed, 18)), cut: map[[2]int]bool{}, slow: map[[2]int]time.Duration{}}
 	peers := &wire.Peers{}
 	for i := range voters + learners {
 		peers.Peers = append(peers.Peers, &wire.Peer{Id: uint64(i + 1), Address: fmt.Sprint(i), Voter: i < voters})
@@ -103,7 +103,7 @@
 	return w
 }
 
-func (w *leaseWorld) start(m *leaseMember) {
+func (w *partitionSim) start(m *leaseMember) {
 	m.offset = w.span(0, 10*time.Second) - w.now // each process has a clock of its own
 	m.node = New(m.disk.ID, m.disk.Hard, m.disk.Snap, slices.Clone(m.disk.Entries), w.rng.Uint64(), w.clock(m))
 	m.applied = m.disk.Snap.GetIndex()
@@ -115,13 +115,13 @@
 	}
 }
 
-func (w *leaseWorld) crash(m *leaseMember, down time.Duration) {
+func (w *partitionSim) crash(m *leaseMember, down time.Duration) {
 	m.disk.Crash(w.rng)
 	m.node, m.startAt, m.inbox = nil, w.now+down, nil
 }
 
 // ackedBefore is the largest index that had been acknowledged before a moment.
-func (w *leaseWorld) ackedBefore(t time.Duration) uint64 {
+func (w *partitionSim) ackedBefore(t time.Duration) uint64 {
 	n := sort.Search(len(w.acks), func(i int) bool { return w.acks[i].at >= t })
 	if n == 0 {
 		return 0
@@ -130,7 +130,7 @@
 }
 
 // settle is the driver of a member.
-func (w *leaseWorld) settle(m *leaseMember) {
+func (w *partitionSim) settle(m *leaseMember) {
 	for o := m.node.Ready(); !o.Empty(); o = m.node.Ready() {
 		m.disk.Write(o.Snapshot, o.HardState, o.Entries)
 		m.disk.Sync()
@@ -166,7 +166,7 @@
 }
 
 // send puts a message on its link, which keeps the order.
-func (w *leaseWorld) send(from *leaseMember, message *wire.RaftMessage) {
+func (w *partitionSim) send(from *leaseMember, message *wire.RaftMessage) {
 	to := w.members[message.To-1]
 	link := [2]int{from.number, to.number}
 	arrives := w.now + w.span(time.Millisecond, 10*time.Millisecond)
@@ -181,7 +181,7 @@
 	to.inbox = append(to.inbox, leaseMessage{arrives, from.number, proto.CloneOf(message)})
 }
 
-func (w *leaseWorld) apply(m *leaseMember, e *wire.Entry) {
+func (w *partitionSim) apply(m *leaseMember, e *wire.Entry) {
 	if e.Index != m.applied+1 {
 		w.fault("member %d applies entry %d after %d", m.number, e.Index, m.applied)
 	}
@@ -203,7 +203,7 @@
 }
 
 // receive hands a member what has arrived. A cut loses what arrives while it lasts.
-func (w *leaseWorld) receive(m *leaseMember) {
+func (w *partitionSim) receive(m *leaseMember) {
 	var due []leaseMessage
 	m.inbox = slices.DeleteFunc(m.inbox, func(x leaseMessage) bool {
 		if x.arrives <= w.now && !w.cut[[2]int{x.from, m.number}] {
@@ -221,7 +221,7 @@
 }
 
 // operate sends changes and reads to every member that believes it leads.
-func (w *leaseWorld) operate(m *leaseMember) {
+func (w *partitionSim) operate(m *leaseMember) {
 	if !m.node.IsLeader() {
 		return
 	}
@@ -239,7 +239,7 @@
 }
 
 // turn is one step of the world.
-func (w *leaseWorld) turn() {
+func (w *partitionSim) turn() {
 	w.now += leaseStep
 	for _, m := range w.members {
 		if m.node == nil {
@@ -262,7 +262,7 @@
 
 // check sees that nobody's state is older than it says, and that nobody names a leader that it has not heard for an
 // election timeout.
-func (w *leaseWorld) check(m *leaseMember) {
+func (w *partitionSim) check(m *leaseMember) {
 	holds := func(who string, contact, clock time.Duration, applied uint64) {
 		age := clock - contact
 		claimed := age + age/leaseDrift // by its own clock
@@ -283,7 +283,7 @@
 }
 
 // cutOff takes members away from the others, one way or both.
-func (w *leaseWorld) cutOff(which []int, hear, send bool) {
+func (w *partitionSim) cutOff(which []int, hear, send bool) {
 	w.isolated, w.deaf = which, !hear
 	for _, a := range which {
 		for b := range w.members {
@@ -297,7 +297,7 @@
 }
 
 // current reports whether all members are up, know the leader and have a recent state.
-func (w *leaseWorld) current() bool {
+func (w *partitionSim) current() bool {
 	for _, m := range w.members {
 		if m.node == nil || w.now < m.frozen || m.node.Leader() == 0 || w.clock(m)-m.contact > leaseFresh {
 			return false
@@ -307,7 +307,7 @@
 }
 
 // disturb lets something fail beside the cut.
-func (w *leaseWorld) disturb(restarts bool) {
+func (w *partitionSim) disturb(restarts bool) {
 	m := w.members[w.rng.IntN(len(w.members))]
 	switch w.rng.IntN(1200) {
 	case 0, 7:
@@ -330,10 +330,10 @@
 	}
 }
 
-// playLease plays a world with one cut of twenty seconds. It returns how long after the cut's end all were current.
-func playLease(seed uint64) (w *leaseWorld, recovered time.Duration) {
+// runPartitionSim runs one partition of twenty seconds. It returns how long after its end all members were current.
+func runPartitionSim(seed uint64) (w *partitionSim, recovered time.Duration) {
 	shape := rand.New(rand.NewPCG(seed, 7))
-	w = newLeaseWorld(seed, 3+2*shape.IntN(2), 1)
+	w = newPartitionSim(seed, 3+2*shape.IntN(2), 1)
 	for w.now < leaseCutFrom {
 		w.turn()
 	}
@@ -395,7 +395,7 @@
 	acked, answered := 0, 0
 	for i := range *seeds {
 		seed := *firstOne + uint64(i)
-		w, recovered := playLease(seed)
+		w, recovered := runPartitionSim(seed)
 		for _, fault := range w.faults {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
--- a/internal/controlplane/server/operator_history_test.go
+++ b/internal/controlplane/server/operator_history_test.go
@@ -8,11 +8,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// playOperators lets operators work on a troubled quorum. The last seconds are calm, so that everything that was
+// runOperators runs operators on a quorum with faults. The last seconds have none, so that everything that was
 // acknowledged is read.
-func playOperators(seed uint64, length time.Duration) *simWorld {
+func runOperators(seed uint64, length time.Duration) *operatorSim {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	w := newSimWorld(seed, 3+2*rng.IntN(2), 2+rng.IntN(3))
+	w := newOperatorSim(seed, 3+2*rng.IntN(2), 2+rng.IntN(3))
 	w.ackLoss = []float64{0, 0.2, 0.7}[rng.IntN(3)]
 	if w.memory = []int{0, 4}[rng.IntN(2)]; w.memory > 0 {
 		for _, m := range w.members {
@@ -82,7 +82,7 @@
 
 // history is what the operators saw, for the checker. A change that was acknowledged and is sent again is no operation:
 // it has no effect, and must not be refused.
-func (w *simWorld) history(t *testing.T) (history []porcupine.Operation) {
+func (w *operatorSim) history(t *testing.T) (history []porcupine.Operation) {
 	t.Helper()
 	for i, o := range w.operations {
 		switch {
@@ -108,7 +108,7 @@
 	counts, resends, restored, unknown, again := map[OperatorResult]int{}, 0, 0, 0, 0
 	for i := range *simSeeds {
 		seed := *simFirst + uint64(i)
-		w := playOperators(seed, 30*time.Second)
+		w := runOperators(seed, 30*time.Second)
 		late := false
 		for _, o := range w.operations {
 			late = late || o.finish > 26*time.Second && o.result == Accepted
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -82,8 +82,8 @@
 	resent    bool
 }
 
-// simWorld is a quorum with its operators.
-type simWorld struct {
+// operatorSim is a quorum with its operators.
+type operatorSim struct {
 	rng         *rand.Rand
 	now         time.Duration
 	members     []*simMember
@@ -105,8 +105,8 @@
 	resends     int
 }
 
-func newSimWorld(seed uint64, members, operators int) *simWorld {
-	w := &simWorld{rng: rand.New(rand.NewPCG(seed, 17)), cut: map[[2]int]bool{}, known: make([]uint64, operators), counts: map[OperatorResult]int{}, perOperator: 3}
+func newOperatorSim(seed uint64, members, operators int) *operatorSim {
+	w := &operatorSim{rng: rand.New(rand.NewPCG(seed, 17)), cut: map[[2]int]bool{}, known: make([]uint64, operators), counts: map[OperatorResult]int{}, perOperator: 3}
 	empty, err := catalog.New().Snapshot()
 	if err != nil {
 		panic(err)
@@ -119,7 +119,7 @@
 }
 
 // install starts all members as a new quorum with one state.
-func (w *simWorld) install(data []byte, term uint64) {
+func (w *operatorSim) install(data []byte, term uint64) {
 	peers := &wire.Peers{}
 	for i := range w.members {
 		w.ids++
@@ -131,7 +131,7 @@
 	}
 }
 
-func (w *simWorld) start(m *simMember) {
+func (w *operatorSim) start(m *simMember) {
 	m.node = raft.New(m.disk.ID, m.disk.Hard, m.disk.Snap, slices.Clone(m.disk.Entries), w.rng.Uint64(), w.now)
 	m.node.SetRetention(m.disk.Tail, 8*m.disk.Tail)
 	m.restore(m.disk.Snap, w.memory)
@@ -150,7 +150,7 @@
 	}
 }
 
-func (w *simWorld) crash(m *simMember, down time.Duration, dark bool) {
+func (w *operatorSim) crash(m *simMember, down time.Duration, dark bool) {
 	m.disk.Crash(w.rng)
 	m.node, m.startAt, m.dark = nil, w.now+down, dark
 	for _, o := range w.open {
@@ -160,12 +160,12 @@
 	}
 }
 
-func (w *simWorld) span(low, high int) time.Duration {
+func (w *operatorSim) span(low, high int) time.Duration {
 	return time.Duration(low+w.rng.IntN(high-low)) * time.Millisecond
 }
 
 // flush carries out a member's output, as the loop in service does. It may lose power before or after a sync.
-func (w *simWorld) flush(m *simMember) {
+func (w *operatorSim) flush(m *simMember) {
 	for m.node != nil {
 		out := m.node.Ready()
 		if out.Empty() {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (w *simWorld) compact(m *simMember) {
+func (w *operatorSim) compact(m *simMember) {
 	data, err := m.state.Snapshot()
 	if err != nil {
 		panic(err)
@@ -214,7 +214,7 @@
 	}
 }
 
-func (w *simWorld) post(from *simMember, message *wire.RaftMessage) {
+func (w *operatorSim) post(from *simMember, message *wire.RaftMessage) {
 	for _, to := range w.members {
 		if to.disk.ID == message.To && !w.cut[[2]int{from.number, to.number}] && (w.calm || w.rng.IntN(60) > 0) {
 			to.inbox = append(to.inbox, simMessage{arrives: w.now + w.span(1, 8), from: from.number, raft: proto.CloneOf(message)})
@@ -223,7 +223,7 @@
 }
 
 // run lets a member do what it has to do now.
-func (w *simWorld) run(m *simMember) {
+func (w *operatorSim) run(m *simMember) {
 	if m.node == nil {
 		if w.now >= m.startAt {
 			w.start(m)
@@ -251,7 +251,7 @@
 }
 
 // step is one turn of the world.
-func (w *simWorld) step() {
+func (w *operatorSim) step() {
 	w.now += simStep
 	for _, m := range w.members {
 		w.run(m)
@@ -266,7 +266,7 @@
 }
 
 // drive sends an operation, and gives a send up after a silence.
-func (w *simWorld) drive(o *operation) {
+func (w *operatorSim) drive(o *operation) {
 	switch {
 	case o.nextAt > 0 && w.now >= o.nextAt:
 		o.redirects = 0
@@ -277,7 +277,7 @@
 }
 
 // retry sends an operation again after a pause that grows.
-func (w *simWorld) retry(o *operation) {
+func (w *operatorSim) retry(o *operation) {
 	o.pause = min(2*o.pause, time.Second)
 	o.send++ // an answer to the send before is not read any more
 	o.nextAt = w.now + o.pause
@@ -290,12 +290,12 @@
 	}
 }
 
-func (w *simWorld) close(o *operation) {
+func (w *operatorSim) close(o *operation) {
 	w.open = slices.DeleteFunc(w.open, func(p *operation) bool { return p == o })
 }
 
 // sendTo sends an operation to a member. It is read there when it gets there, however late.
-func (w *simWorld) sendTo(o *operation, number int) {
+func (w *operatorSim) sendTo(o *operation, number int) {
 	o.send++
 	o.nextAt, o.silentAt, o.member = 0, w.now+simSilence, number
 	send, m := o.send, w.members[number]
@@ -326,7 +326,7 @@
 }
 
 // answer brings an answer to the operator, unless it is lost or comes too late.
-func (w *simWorld) answer(o *operation, send, member int, a OperatorAnswer) {
+func (w *operatorSim) answer(o *operation, send, member int, a OperatorAnswer) {
 	if o.send != send || w.cut[[2]int{member, operatorSide}] {
 		return
 	}
@@ -350,7 +350,7 @@
 	}
 }
 
-func (w *simWorld) finish(o *operation, a OperatorAnswer) {
+func (w *operatorSim) finish(o *operation, a OperatorAnswer) {
 	o.finish, o.result = w.now, a.Result
 	w.close(o)
 	switch a.Result {
@@ -371,12 +371,12 @@
 }
 
 // newOperation is a read, to be begun now.
-func (w *simWorld) newOperation(operator int) *operation {
+func (w *operatorSim) newOperation(operator int) *operation {
 	return &operation{operator: operator, call: w.now, finish: -1, nextAt: w.now, pause: 50 * time.Millisecond, base: w.known[operator]}
 }
 
 // begin starts an operation of an operator.
-func (w *simWorld) begin(operator int) {
+func (w *operatorSim) begin(operator int) {
 	o := w.newOperation(operator)
 	switch odds := w.rng.IntN(20); {
 	case odds < 6:
@@ -396,7 +396,7 @@
 }
 
 // describe makes an operation a change with a configuration of its own.
-func (w *simWorld) describe(o *operation, revision uint64) {
+func (w *operatorSim) describe(o *operation, revision uint64) {
 	w.ids++
 	o.revision, o.identity = revision, fmt.Sprintf("%d/%d", revision, w.ids)
 	body, err := msgpack.Marshal(&meshconfig.Config{Revision: revision, Backends: []meshconfig.Backend{{Name: o.identity}, {Name: simFiller}}})
@@ -407,7 +407,7 @@
 }
 
 // trouble lets something fail now and then; mostly it is the leader that is hit.
-func (w *simWorld) trouble() {
+func (w *operatorSim) trouble() {
 	m := w.members[w.rng.IntN(len(w.members))]
 	for _, other := range w.members {
 		if other.node != nil && other.node.IsLeader() && w.rng.IntN(2) == 0 {
@@ -439,7 +439,7 @@
 }
 
 // restore makes a new quorum out of a backup, once nothing has been accepted since it was taken.
-func (w *simWorld) restore() {
+func (w *operatorSim) restore() {
 	for _, m := range w.members {
 		if m.node == nil || !m.node.IsLeader() {
 			continue
--- a/internal/controlplane/server/recovery_sim_test.go
+++ b/internal/controlplane/server/recovery_sim_test.go
@@ -11,7 +11,7 @@
 func recovery(t *testing.T, seed uint64, members int, dark bool) time.Duration {
 	t.Helper()
 	const loss, every = 3 * time.Second, 250 * time.Millisecond
-	w := newSimWorld(seed, members, 1)
+	w := newOperatorSim(seed, members, 1)
 	w.calm = true
 	next := loss - time.Second
 	lost := loss + w.span(0, int(every/time.Millisecond))
--- a/internal/dataplane/health/health_test.go
+++ b/internal/dataplane/health/health_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// world plays requests against a server, one every 10 ms, whose run takes the usual 100 ms.
-type world struct {
+// healthSim sends requests to a server, one every 10 ms, whose run takes the usual 100 ms.
+type healthSim struct {
 	s      *Server
 	rng    *rand.Rand
 	now    time.Duration
@@ -20,12 +20,12 @@
 	failed int
 }
 
-func play(seed uint64) *world {
-	return &world{s: New(0), rng: rand.New(rand.NewPCG(seed, 1)), given: map[string]int{}}
+func runHealthSim(seed uint64) *healthSim {
+	return &healthSim{s: New(0), rng: rand.New(rand.NewPCG(seed, 1)), given: map[string]int{}}
 }
 
 // run plays for a time; end says what becomes of a request, and after how long.
-func (w *world) run(d time.Duration, once bool, end func(zone string) (Outcome, time.Duration)) {
+func (w *healthSim) run(d time.Duration, once bool, end func(zone string) (Outcome, time.Duration)) {
 	type ending struct {
 		at  time.Duration
 		id  string
@@ -62,7 +62,7 @@
 }
 
 // share fails a part of the requests.
-func (w *world) share(x float64, zone string) func(string) (Outcome, time.Duration) {
+func (w *healthSim) share(x float64, zone string) func(string) (Outcome, time.Duration) {
 	return func(z string) (Outcome, time.Duration) {
 		if (zone == "" || z == zone) && w.rng.Float64() < x {
 			return Erred, ms
@@ -75,7 +75,7 @@
 func TestUsualErrorsTakeNobodyOut(t *testing.T) {
 	turned := 0
 	for seed := range uint64(20) {
-		w := play(seed)
+		w := runHealthSim(seed)
 		w.run(100*time.Second, false, w.share(0.004, ""))
 		turned += w.n - w.given["z0"] - w.given["z1"] - w.given["z2"] - w.given["z3"]
 	}
@@ -96,7 +96,7 @@
 		{"some of one zone", "z1", 0.4, 40},
 	} {
 		for seed := range uint64(10) {
-			w := play(seed)
+			w := runHealthSim(seed)
 			w.run(5*time.Second, false, w.share(0, ""))
 			before := w.given["z2"]
 			w.run(10*time.Second, false, w.share(c.x, c.zone))
@@ -122,7 +122,7 @@
 // TestProbes: requests that may run once are probes only where no others come.
 func TestProbes(t *testing.T) {
 	for once, most := range map[bool]int{false: 60, true: 20} {
-		w := play(1)
+		w := runHealthSim(1)
 		w.run(time.Second, once, w.share(1, ""))
 		before := w.failed
 		w.run(20*time.Second, once, w.share(1, ""))
@@ -134,7 +134,7 @@
 
 // TestHanging: requests that hang are counted while they do, and a server that answers nothing has a probe now and then.
 func TestHanging(t *testing.T) {
-	w := play(3)
+	w := runHealthSim(3)
 	w.run(5*time.Second, false, w.share(0, ""))
 	before := w.given["z0"] + w.given["z1"] + w.given["z2"] + w.given["z3"]
 	n := 0
@@ -183,7 +183,7 @@
 // TestPace: a slow server says so.
 func TestPace(t *testing.T) {
 	for _, x := range []float64{0.7, 1, 1.5} {
-		w := play(4)
+		w := runHealthSim(4)
 		w.run(10*time.Second, false, func(string) (Outcome, time.Duration) {
 			return Served, time.Duration(x * 100 * float64(ms))
 		})
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -95,7 +95,7 @@
 	return l.Addr().String()
 }
 
-func newBed(t testing.TB, gate chan struct{}) *bed { return newBedFor(t, gate, time.Hour) }
+func newHarness(t testing.TB, gate chan struct{}) *bed { return newBedFor(t, gate, time.Hour) }
 
 func newBedFor(t testing.TB, gate chan struct{}, drain time.Duration) *bed {
 	return newBedOf(t, gate, drain, nil)
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -20,7 +20,7 @@
 // TestAnOlderNodeGetsWhatItUnderstands: while the mesh is renewed, half of the nodes are of the version before. They
 // read fields one by one, and answer so.
 func TestAnOlderNodeGetsWhatItUnderstands(t *testing.T) {
-	b := newBed(t, nil)
+	b := newHarness(t, nil)
 	_, want, wantHeaders := b.ask("POST", "/once/x", "new", "payload", "X-A", "1: 2")
 	w := *b.out.cluster()
 	edit := w.Servers.Edit()
@@ -50,7 +50,7 @@
 }
 
 func TestWhatBecomesOfRequests(t *testing.T) {
-	b := newBed(t, nil)
+	b := newHarness(t, nil)
 	for i, c := range []struct {
 		method, path, body string
 		status, arrivals   int
@@ -155,7 +155,7 @@
 // the others run meanwhile, and the answers keep their order.
 func TestPipelining(t *testing.T) {
 	gate := make(chan struct{})
-	b := newBed(t, gate)
+	b := newHarness(t, gate)
 	nc, err := net.Dial("tcp", b.front)
 	if err != nil {
 		t.Fatal(err)
@@ -188,7 +188,7 @@
 // TestStop: a node that ends answers what it has read, and reads nothing more.
 func TestStop(t *testing.T) {
 	gate := make(chan struct{})
-	b := newBed(t, gate)
+	b := newHarness(t, gate)
 	dial := func() (net.Conn, *bufio.Reader) {
 		nc, err := net.Dial("tcp", b.front)
 		if err != nil {
@@ -230,7 +230,7 @@
 // TestCut: at its last moment a node answers what has run behind one that hangs.
 func TestCut(t *testing.T) {
 	gate := make(chan struct{})
-	b := newBed(t, gate)
+	b := newHarness(t, gate)
 	defer close(gate)
 	nc, err := net.Dial("tcp", b.front)
 	if err != nil {
@@ -270,7 +270,7 @@
 // and the slow run goes on to its end.
 func TestASecondServerIsAsked(t *testing.T) {
 	gate := make(chan struct{})
-	b := newBed(t, gate)
+	b := newHarness(t, gate)
 	b.ask("GET", "/safe/work", "like", "") // now its usual time is known
 	status, answer, _ := b.ask("GET", "/safe/stuck", "slow", "")
 	if status != 200 || answer != "GET /safe/stuck " || b.servers("slow") != 2 {
@@ -288,7 +288,7 @@
 
 // TestBeatsBesideRequests is for the race detector: a server speaks while requests make new connections to it.
 func TestBeatsBesideRequests(t *testing.T) {
-	b := newBed(t, nil)
+	b := newHarness(t, nil)
 	server := b.in.Servers()[0]
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -315,7 +315,7 @@
 // TestAClientLeaves: what runs for a client that has left is called off, also where a second server was asked.
 func TestAClientLeaves(t *testing.T) {
 	gate := make(chan struct{})
-	b := newBed(t, gate)
+	b := newHarness(t, gate)
 	defer close(gate)
 	b.ask("GET", "/safe/work", "like", "")
 	for i, path := range []string{"/safe/wait", "/once/wait"} {
@@ -338,7 +338,7 @@
 
 func TestInnerCallsAreTold(t *testing.T) {
 	gate := make(chan struct{})
-	b := newBed(t, gate)
+	b := newHarness(t, gate)
 	done := make(chan struct{})
 	go func() { defer close(done); b.ask("GET", "/safe/wait", "graph1", "") }()
 	for b.servers("graph1") == 0 {
@@ -358,7 +358,7 @@
 
 // BenchmarkRequest measures a request's way through both nodes; "direct" is what its client and server cost without.
 func BenchmarkRequest(b *testing.B) {
-	bed := newBed(b, nil)
+	bed := newHarness(b, nil)
 	ca, err := identity.NewAuthority(b.TempDir(), 2*time.Hour)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/dataplane/proxy/schedule_test.go
+++ b/internal/dataplane/proxy/schedule_test.go
@@ -258,7 +258,7 @@
 // request that may run once runs at most once, a promise that it has not run is true, an answer is its own, and nothing
 // that was meant for a server reaches the one that has taken its place.
 func TestOneRunWhereverTheWayBetweenNodesEnds(t *testing.T) {
-	b, successor := newBed(t, nil), newBed(t, nil)
+	b, successor := newHarness(t, nil), newHarness(t, nil)
 	servers := successor.in.Servers()
 	for _, server := range servers {
 		successor.in.Deregister(server.ID)
