--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,5 +1,5 @@
 // Command balancer is a load-balancing node. LB_CONFIG names the file that
-// tells it where to listen, where discovery is, and what to go by.
+// names its address, the address of discovery, and its settings.
 package main
 
 import (
--- a/cmd/ivydeckctl/member.go
+++ b/cmd/ivydeckctl/member.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// memberRemoveCmd removes a quorum member that is gone for good.
+// memberRemoveCmd removes a quorum member that is lost for good.
 type memberRemoveCmd struct {
 	quorumFlags
 	Identity string `arg:"" help:"Its identity, as members prints it."`
--- a/cmd/ivydeckctl/top.go
+++ b/cmd/ivydeckctl/top.go
@@ -70,7 +70,7 @@
 	r := rates{NodeReport: now}
 	up := time.Duration(now.UpMs) * time.Millisecond
 	var old server.NodeReport
-	// One that has started anew since then counts from its start.
+	// One that has restarted since then counts from its start.
 	if i := slices.IndexFunc(before.Nodes, func(n server.NodeReport) bool { return n.Node == now.Node }); i >= 0 && up >= passed && before.Nodes[i].UpMs <= now.UpMs {
 		old = before.Nodes[i]
 	} else {
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -140,7 +140,7 @@
 }
 
 // latencyTargetLeft is what remains of the latency target. A request with a smaller TTL than others of its
-// class is a later attempt, cut by the client's deadline, which tells how long the client has waited.
+// class is a later attempt, cut by the client's deadline, which shows how long the client has waited.
 func (b *Balancer) latencyTargetLeft(r *Request) time.Duration {
 	b.longestTTL[r.Class] = max(b.longestTTL[r.Class], r.TTL)
 	left := b.latencyTarget(r)
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Detection of idle connections that are dead: a middlebox may drop them after a time that nobody tells. What
+// Detection of idle connections that are dead: a middlebox may drop them after an unknown time. What
 // becomes of sends is counted by the idle time of their connection; from the idle time on after which more
 // are lost than answered, connections are closed rather than used.
 const (
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -53,7 +53,7 @@
 	return g.members.Members()
 }
 
-// DeadFor tells for how long a node has been dead; 0: it is not.
+// DeadFor returns for how long a node has been dead; 0: it is not.
 func (g *Gossip) DeadFor(name string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -88,7 +88,7 @@
 	listedVersion uint64
 }
 
-// New returns the view of a node that knows no other. Its generation should be above that of any earlier process of the
+// New returns the membership list of a node with only itself in it. Its generation should be above that of any earlier process of the
 // same name. If it is not, as after a clock was set back, the node learns that from the first view that it receives, and
 // raises its generation: see refute.
 func New(self *wire.Member, seed uint64, now time.Duration) *Memberlist {
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -30,7 +30,7 @@
 // NextTick is the time at which Tick is due.
 func (l *Memberlist) NextTick() time.Duration { return l.nextTickAt }
 
-// Tick begins the next probe, ends suspicions that nobody has refuted in time, forgets the dead, and exchanges views with
+// Tick begins the next probe, ends suspicions that were not refuted in time, forgets the dead, and exchanges views with
 // others when that is due. seeds are addresses of nodes that may be members.
 func (l *Memberlist) Tick(now time.Duration, seeds []string) []Probe {
 	l.now = now
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -6,7 +6,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// expireSuspicions declares members dead whose suspicion nobody has refuted within suspicionTimeout, and forgets those
+// expireSuspicions declares members dead whose suspicion was not refuted within suspicionTimeout, and forgets those
 // that have been dead, or have left, for deadRetention.
 func (l *Memberlist) expireSuspicions() {
 	kept := l.unreachable[:0]
--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -51,7 +51,7 @@
 // fewRoutes are checked without an index of the services.
 const fewRoutes = 8
 
-// check finds all faults. Of the routes it looks at those at some places alone, and at the services where asked to.
+// check finds all errors. Of the routes it checks only those at some indexes, and the services if asked to.
 func (c *Config) check(routes []int, backends bool) error {
 	var faults []error
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
@@ -102,7 +102,7 @@
 	return services
 }
 
-// check finds the faults of a route alone.
+// check finds the errors within a route.
 func (r *Route) check(fault func(format string, args ...any)) {
 	if r.Host == "" {
 		fault(" has no hostname")
--- a/internal/config/meshconfig/parse.go
+++ b/internal/config/meshconfig/parse.go
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Parse reads a configuration and checks all that can be checked of it alone.
+// Parse reads a configuration and checks all that does not depend on other state.
 // The error names every fault with its place.
 func Parse(body []byte) (*Config, error) { return ParseNext(body, nil) }
 
@@ -188,7 +188,7 @@
 	return nil, raw, nil
 }
 
-// reuse returns a route of the base, unless it has been used before: it is there twice then, which the check will say.
+// reuse returns a route of the base, unless it has been used before: it occurs twice then, which the check reports.
 func (p *parser) reuse(at int) *Route {
 	p.next = at + 1
 	if p.used[at] {
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -9,7 +9,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxAccepted bounds the accepted configurations that are remembered, by which one that is sent again is told from another
+// maxAccepted bounds the accepted configurations that are remembered, by which a resend is distinguished from another
 // with the same revision. At 49,000 changes a day they reach eight hours back, and at the highest rate of a quorum (some
 // tens a second) several minutes; operators resend a change for seconds. Each takes 40 bytes, in memory and in snapshots.
 // Replicas need not agree on the bound: it decides on the answer to a sender, never on the state.
--- a/internal/controlplane/catalog/resource.go
+++ b/internal/controlplane/catalog/resource.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// kind tells resources of the same name apart.
+// kind distinguishes resources of the same name.
 type kind byte
 
 const (
--- a/internal/controlplane/raft/progress.go
+++ b/internal/controlplane/raft/progress.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// progress is what a leader knows of another member.
+// progress is a leader's view of the replication to another member.
 type progress struct {
 	match          uint64        // newest index that is known to be on its disk
 	next           uint64        // first index that has not been sent to it
--- a/internal/controlplane/raft/propose.go
+++ b/internal/controlplane/raft/propose.go
@@ -28,7 +28,7 @@
 }
 
 // ProposeMembership proposes another membership, which may differ by one voter (thesis, 4.1). The error is ErrNotLeader
-// or ErrMembershipChanging; any other says that the membership itself is no proper one.
+// or ErrMembershipChanging; any other means that the membership itself is invalid.
 func (n *Node) ProposeMembership(now time.Duration, peers []*wire.Peer) error {
 	n.now = now
 	if n.state != stateLeader {
--- a/internal/controlplane/raft/quorum_contact.go
+++ b/internal/controlplane/raft/quorum_contact.go
@@ -6,7 +6,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// MaxContactAge is the age of the state of a member that has just started: it knows of no contact with a quorum.
+// MaxContactAge is the age of the state of a member that has just started: it has had no contact with a quorum.
 const MaxContactAge = 50 * 365 * 24 * time.Hour
 
 // QuorumContactAge returns an upper bound of the time since a quorum confirmed the leader of the state that this member
--- a/internal/controlplane/raft/raft.go
+++ b/internal/controlplane/raft/raft.go
@@ -100,7 +100,7 @@
 	votes            map[uint64]bool
 
 	// Contact with the quorum, see quorum_contact.go.
-	process   uint64        // tells the stamps of this process from those of the ones before it
+	process   uint64        // distinguishes the stamps of this process from those of earlier ones
 	contactAt time.Duration // see knownContactAt
 
 	// Of a leader.
--- a/internal/controlplane/raft/step.go
+++ b/internal/controlplane/raft/step.go
@@ -100,7 +100,7 @@
 	return n.electionDeadline
 }
 
-// Tick takes the time alone.
+// Tick advances the time.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	if n.state == stateLeader {
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// leadership is what a member knows of its leader.
+// leadership is a member's view of its leader.
 type leadership struct {
 	leader *wire.Peer // nil: not known
 	isSelf bool
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -135,13 +135,13 @@
 // errCorrupted marks content that contradicts itself.
 var errCorrupted = errors.New("damaged")
 
-// isCorruption tells corruption from a disk that fails for the moment.
+// isCorruption distinguishes corruption from a temporary failure of the disk.
 func isCorruption(err error) bool {
 	var corrupted *lerrors.ErrCorrupted
 	return errors.Is(err, errCorrupted) || errors.As(err, &corrupted) || lerrors.IsCorrupted(err)
 }
 
-// Reopen closes the store and opens it anew, after a write that failed: whether
+// Reopen closes the store and opens it again, after a write that failed: whether
 // that write is there then is known again. Closing waits for the library's own
 // goroutines, so there is never a second writer on the folder.
 //
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -75,10 +75,10 @@
 	return true
 }
 
-// Charge books what can't be helped any more, such as the calls of a repeat.
+// Charge counts retries that have happened already, such as the calls of a retry.
 func (b *Budget) Charge(now time.Duration, n float64) { b.spent[b.roll(now)] += n }
 
-// youngFor is how long any process waits for word of the others.
+// youngFor is how long a new process waits for the membership list.
 const youngFor = 3 * time.Second
 
 // Shares splits the slack by the nodes that may have spent of it.
--- a/internal/dataplane/health/health.go
+++ b/internal/dataplane/health/health.go
@@ -48,7 +48,7 @@
 )
 
 const (
-	maxZones   = 16   // of callers that are told apart
+	maxZones   = 16   // of callers that are distinguished
 	maxRunning = 4096 // requests that are tracked
 )
 
@@ -57,7 +57,7 @@
 	Zone           string        // where its call graph entered the mesh: some faults affect one zone alone
 	TypicalLatency time.Duration // of its route at all servers, as its entry observes it; 0: not known
 	NonIdempotent  bool          // it must not run twice
-	IgnoreEjection bool          // its entry knows of no better server
+	IgnoreEjection bool          // the node where it entered has no better server
 }
 
 // Verdict says whether a server may receive a request.
@@ -138,10 +138,10 @@
 // RelativeLatency is how long the server takes for a request, in the time that others take for its like.
 func (s *Server) RelativeLatency() float64 { return s.relativeLatency }
 
-// Everywhere stands for all zones in what Ejected returns.
+// Everywhere means all zones in the result of Ejected.
 const Everywhere = "*"
 
-// Ejected tells for the callers of which zones the server is ejected, in order.
+// Ejected returns the zones for whose callers the server is ejected, in order.
 func (s *Server) Ejected() (zones []string) {
 	if s.all.ejected {
 		return []string{Everywhere}
@@ -155,7 +155,7 @@
 	return zones
 }
 
-// Check says whether the server may have a request. A Healthy one that is given to it is told with Begin.
+// Check returns whether the server may get a request. If it is Healthy and sent, call Begin.
 func (s *Server) Check(now time.Duration, c Call) Verdict {
 	s.overdue(now)
 	if s.Hangs(now) {
@@ -252,7 +252,7 @@
 	return r
 }
 
-// recordOutcome books what one request has shown: for the callers of its zone, and for all unless it is that zone's affair.
+// recordOutcome records an outcome for the callers of its zone, and for all callers unless only that zone is affected.
 func (s *Server) recordOutcome(now time.Duration, r *run, good bool) (ejected, restored bool) {
 	if !s.all.ejected {
 		z := s.zones[r.Zone]
@@ -297,7 +297,7 @@
 	return r.probing == 0 && now >= r.ejectedUntil && now-r.probedAt >= probeInterval && !(c.NonIdempotent && now-max(r.ejectedUntil, r.probedAt) < nonIdempotentProbeAfter)
 }
 
-// recordOutcome books one end.
+// recordOutcome records one outcome.
 func (r *record) recordOutcome(now, began time.Duration, good bool) (ejected, restored bool) {
 	fade := math.Exp(-float64(now-r.at) / float64(outcomeWindow))
 	r.failures, r.total, r.at = r.failures*fade, r.total*fade+1, now
--- a/internal/dataplane/http1/body.go
+++ b/internal/dataplane/http1/body.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// ErrTornBody says that a body ended before its end.
+// ErrTornBody is the error for a truncated body.
 var ErrTornBody = errors.New("http1: the body ended early")
 
 // ReadBody reads the whole body that a head announced. Trailers are dropped.
--- a/internal/dataplane/http1/http1.go
+++ b/internal/dataplane/http1/http1.go
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// Count returns how often a name is there.
+// Count returns how many headers have a name.
 func (h Headers) Count(name string) int {
 	n := 0
 	for i := range h {
@@ -70,7 +70,7 @@
 	Close   bool
 }
 
-// Error is a message that is not read, with the status that tells its sender.
+// Error is why a message is rejected, with the status for its sender.
 type Error struct {
 	Status int
 	Text   string
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -22,7 +22,7 @@
 	maxMissedHeartbeats = 3               // after which a server is taken for gone
 	forgetAfter         = 2 * time.Minute // incarnations that ended are remembered for as long
 	maxIncarnations     = 64              // remembered at a time
-	maxCalledServices   = 16              // services that are told apart in the calls of one run
+	maxCalledServices   = 16              // distinct services that are counted in the calls of one run
 	defaultSlots        = 8
 )
 
@@ -65,7 +65,7 @@
 	drained       bool
 	drainedAt     time.Duration // when its draining status was first acknowledged
 	terminated    bool
-	unresponsive  bool // it is gone for its silence alone, which its next heartbeat ends
+	unresponsive  bool // it has missed its heartbeats; the next one ends that
 
 	inflight int
 	queue    []queuedRequest[T] // in the order in which they are to be served
@@ -232,7 +232,7 @@
 	return 0, 0
 }
 
-// Unhealthy tells for the callers of which zones a server is out for its failures; see health.
+// Unhealthy returns the zones for whose callers a server is ejected; see health.
 func (s *Registry[T]) Unhealthy(id string) []string {
 	if m := s.incarnations[id]; m != nil {
 		return m.health.Ejected()
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Run books a request that waited and now goes to its server.
+// Run records that a queued request is sent to its server.
 func (s *Registry[T]) Run(now time.Duration, q Request) {
 	r := new(run)
 	if n := len(s.freeRuns); n > 0 {
@@ -110,7 +110,7 @@
 	Verdicts        []SlotGrant[T]
 }
 
-// Finish books the end of a run, and gives its slot to the next.
+// Finish records the end of a run, and passes its slot to the next request.
 func (s *Registry[T]) Finish(now time.Duration, member, attempt string, how health.Outcome) (f Finished[T]) {
 	if r := s.runs[attempt]; r != nil {
 		f.Called = r.called
--- a/internal/dataplane/localserver/slots.go
+++ b/internal/dataplane/localserver/slots.go
@@ -58,7 +58,7 @@
 	return Queue, "", v
 }
 
-// rejection tells why an incarnation may not be sent a request; no why: it may.
+// rejection returns why an incarnation may not get a request; without a reason: it may.
 func (s *Registry[T]) rejection(now time.Duration, m *incarnation[T], q Request) (Decision, string) {
 	switch {
 	case m == nil || m.terminated:
--- a/internal/dataplane/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// begin books a request, from its first byte on, unless an answer that closes is
+// begin counts a request, from its first byte on, unless an answer that closes is
 // out already: so none closes behind which something has been read.
 func (c *client) begin() bool {
 	c.mu.Lock()
@@ -225,7 +225,7 @@
 	return from.Add(idle), !c.stopped
 }
 
-// take reads a request whose first byte is there.
+// take reads a request whose first byte has arrived.
 func (c *client) take(r *bufio.Reader) (*Call, error) {
 	b := c.f.Bounds()
 	c.readUntil(time.Now().Add(b.HeadWait))
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -84,7 +84,7 @@
 	return a, nil
 }
 
-// finish books the end of a run, and adds to its outcome what the node has learnt from it.
+// finish records the end of a run, and adds to its outcome what the node has measured.
 func (in *Inbound) finish(a *serverPool, q *wire.ForwardRequest, out *wire.ForwardResponse, end health.Outcome, began time.Duration) {
 	in.mu.Lock()
 	now := in.now()
@@ -141,7 +141,7 @@
 	return reason
 }
 
-// send makes one attempt at the server. calledOff tells that it ended because its sender no longer wants it.
+// send makes one attempt at the server. cancelled: it ended because its sender has cancelled it.
 func (a *serverPool) send(ctx context.Context, q *wire.ForwardRequest, until time.Time) (response *wire.ForwardResponse, cancelled bool) {
 	c, err := a.connect(ctx, until)
 	left := time.Until(until)
@@ -219,7 +219,7 @@
 	return http1.AppendRequestBody(dst, q.Method, q.Body)
 }
 
-// checkResponse tells what an answer means. used says that the connection has carried a request before, so that an answer
+// checkResponse returns the outcome that an answer stands for. used: the connection has carried a request before, so an answer
 // may be a surplus one to it. Only its id tells whose an answer is, and nothing that it says is believed before
 // that: a promise that another request has not run, or another's body, must not become this one's.
 func checkResponse(q *wire.ForwardRequest, resp *http1.Response, body []byte, used bool) *wire.ForwardResponse {
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -22,14 +22,14 @@
 // ticket is a request that may have to wait; its verdict comes once.
 type ticket struct{ verdict chan bool }
 
-// Inbound stands beside a server. It alone speaks to it, so it knows what the
+// Inbound is the node's side beside a server. All requests to it pass here, so it knows what the
 // server holds, and can turn a request away before the server has seen it. It is
 // the driver of package admission.
 type Inbound struct {
 	Log *slog.Logger
 	// Pressure is what calls that begin here meet at a service; nil: not known.
 	Pressure func(service string) float64
-	// Trace takes each run at a server here; nil: nobody asks.
+	// Trace takes each run at a server here; nil: no traces are kept.
 	Trace func(trace.Record)
 
 	began   time.Time
@@ -60,12 +60,12 @@
 	}
 }
 
-// Changed tells when Servers may return something else.
+// Changed is signalled when the result of Servers may have changed.
 func (in *Inbound) Changed() <-chan struct{} { return in.changed }
 
 func (in *Inbound) now() time.Duration { return time.Since(in.began) }
 
-// Since tells how long after a moment the times of its records begin.
+// Since returns the time from a moment to the zero time of its records.
 func (in *Inbound) Since(t time.Time) time.Duration { return in.began.Sub(t) }
 
 // deliver hands out verdicts. Each ticket gets one, for which it has room.
@@ -200,7 +200,7 @@
 	return servers, inflight, queued
 }
 
-// Unhealthy tells, by server here, for the callers of which zones it is out for its failures; see health.
+// Unhealthy returns, by local server, the zones for whose callers it is ejected; see health.
 func (in *Inbound) Unhealthy() map[string][]string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/dataplane/proxy/listener.go
+++ b/internal/dataplane/proxy/listener.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// addClient books a connection, unless the front has been stopped.
+// addClient adds a connection, unless the listener has been stopped.
 func (f *Listener) addClient(c *client) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -43,7 +43,7 @@
 	Metrics             *metrics.Set
 	Graph               func(attempt, service string) (inner, repeat bool) // see localserver.Admission.Graph
 	CallFailed          func(attempt string)                               // see localserver.Admission.CallFailed
-	Trace               func(trace.Record)                                 // nil: nobody asks; for each request that begins here
+	Trace               func(trace.Record)                                 // nil: no traces are kept; for each request that begins here
 	served              atomic.Uint64
 	refused             atomic.Uint64
 	failed              atomic.Uint64
@@ -72,7 +72,7 @@
 	return o.served.Load(), o.refused.Load(), o.failed.Load()
 }
 
-// Since tells how long after a moment the times of its records begin.
+// Since returns the time from a moment to the zero time of its records.
 func (o *Outbound) Since(t time.Time) time.Duration { return o.began.Sub(t) }
 
 // SetRetrySlack sets this node's part of the retry slack.
@@ -82,7 +82,7 @@
 	o.table.SetRetrySlack(slack)
 }
 
-// ServiceStates are what the node knows of its services, for those who look on.
+// ServiceStates returns the state of each service at this node, for status and metrics.
 func (o *Outbound) ServiceStates(priorities int) []router.ServiceState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/dataplane/proxy/refusal_log.go
+++ b/internal/dataplane/proxy/refusal_log.go
@@ -17,7 +17,7 @@
 	noCapacity int // requests that were admitted and found no server with room
 }
 
-// count books a refusal, and returns the counts where they are to be logged now.
+// count counts a refusal, and returns the counts if they are to be logged now.
 func (r *refusals) count(now time.Duration, admitted bool) (counts refusals, due bool) {
 	if admitted {
 		r.noCapacity++
@@ -32,7 +32,7 @@
 	return counts, true
 }
 
-// log writes what the node knows of the service.
+// log logs the refusals with the state of the service.
 func (r refusals) log(log *slog.Logger, now router.ServiceState) {
 	log.Info("admission.rejecting", "service", now.Service, "gates", r.gates, "no_capacity", r.noCapacity,
 		"normalized_latency", now.NormalizedLatency, "pressure", now.Pressure, "servers", now.Servers, "probabilities", now.Probabilities)
@@ -45,7 +45,7 @@
 	rejected int
 }
 
-// countRejection books a request without room, and returns the sums where they are to be logged now.
+// countRejection counts a request without a free slot, and returns the sums if they are to be logged now.
 func (l *serverLoad) countRejection(now time.Duration) (sums serverLoad, due bool) {
 	l.rejected++
 	if now-l.since < pressureEvery {
--- a/internal/dataplane/proxy/server_conn.go
+++ b/internal/dataplane/proxy/server_conn.go
@@ -30,7 +30,7 @@
 	until time.Time     // an idle one is not used after this
 
 	used    bool // it has carried a request before
-	surplus bool // it has brought an answer that nobody waited for
+	surplus bool // it has carried an answer without a request
 
 	resp      http1.Response // the last answer's head
 	interrupt func()         // ends a read or write under way; made once
--- a/internal/dataplane/router/cluster.go
+++ b/internal/dataplane/router/cluster.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// nodesOf returns the nodes that are alive, by zone. Only the lists of the given zones are made anew.
+// nodesOf returns the nodes that are alive, by zone. Only the lists of the given zones are rebuilt.
 func nodesOf(before map[string][]string, members []*wire.Member, zones map[string]bool) map[string][]string {
 	nodes := maps.Clone(before)
 	if nodes == nil {
--- a/internal/dataplane/sidecar/status.go
+++ b/internal/dataplane/sidecar/status.go
@@ -7,7 +7,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// handleStatus tells what this node sees at the moment.
+// handleStatus returns the present status of this node.
 func (n *Node) handleStatus(context.Context, *wire.Empty) (*wire.NodeStatus, error) {
 	set := n.set.Load()
 	served, refused, failed := n.outbound.Counts()
--- a/internal/dataplane/sidecar/trace.go
+++ b/internal/dataplane/sidecar/trace.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// handleTrace tells what this node has kept of a request.
+// handleTrace returns the records of a request that this node has kept.
 func (n *Node) handleTrace(_ context.Context, q *wire.TraceRequest) (*wire.TraceResponse, error) {
 	answer := new(wire.TraceResponse)
 	if n.traces == nil {
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace keeps what a node knows of the last requests, so that the way of one
+// Package trace keeps a node's records of the last requests, so that the path of one
 // through the mesh can be asked for by its id; and it draws those that are logged.
 package trace
 
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -40,7 +40,7 @@
 
 	options     Options
 	log         *slog.Logger
-	parentCache relay.ParentCache // used by the follower alone
+	parentCache relay.ParentCache // used by the follower only
 	startedAt   time.Time
 	ready       atomic.Bool // see Ready
 	workers     sync.WaitGroup
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Request books a final answer. Route is empty where none was found.
+// Request counts a response. Route is empty if none was found.
 func (s *Set) Request(route string, status int, notExecuted bool, took time.Duration) {
 	if s == nil {
 		return
@@ -96,7 +96,7 @@
 	s.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
-// Synced books a synced write of the log.
+// Synced records the duration of a synced write of the log.
 func (s *Set) Synced(took time.Duration) {
 	if s != nil {
 		s.syncs.Observe(took.Seconds())
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -77,7 +77,7 @@
 	return lines
 }
 
-// routes are told apart by their place, which is theirs alone.
+// routes are distinguished by host and prefix, which are unique.
 func routes(c *meshconfig.Config) map[string]any {
 	m := map[string]any{}
 	for _, r := range c.Routes {
--- a/internal/pkg/bytedelta/bytedelta.go
+++ b/internal/pkg/bytedelta/bytedelta.go
@@ -1,4 +1,4 @@
-// Package bytedelta says how one string of bytes comes of another: which ranges are copied, and what stands in between.
+// Package bytedelta encodes a byte string as a delta to another: the ranges that are copied, and the bytes in between.
 // It costs about what differs, wherever bytes were put in or taken out. Its functions are pure.
 package bytedelta
 
@@ -105,7 +105,7 @@
 	return moved, n
 }
 
-// ambiguous stands for blocks that the base has more than once: they say nothing of a place.
+// ambiguous marks blocks that the base has more than once, which identify no position.
 const ambiguous = -1
 
 // find returns where the base has the block that begins at an offset of the target.
--- a/internal/pkg/cowmap/cowmap.go
+++ b/internal/pkg/cowmap/cowmap.go
@@ -94,7 +94,7 @@
 	e.m.length += len(shard) - before
 }
 
-// Delete removes a key, if it is there.
+// Delete removes a key, if it is present.
 func (e *Editor[V]) Delete(key string) {
 	if _, ok := e.m.Get(key); !ok {
 		return
--- a/internal/pkg/timerpool/timerpool.go
+++ b/internal/pkg/timerpool/timerpool.go
@@ -10,7 +10,7 @@
 
 var idle sync.Pool
 
-// Get returns a timer that fires after d, on its channel alone. Put gives it back.
+// Get returns a timer that fires after d, on its channel only. Put returns it to the pool.
 func Get(d time.Duration) *time.Timer {
 	if t, ok := idle.Get().(*time.Timer); ok {
 		t.Reset(d)
--- a/internal/transport/identity/ca.go
+++ b/internal/transport/identity/ca.go
@@ -94,7 +94,7 @@
 }
 
 // Rotate replaces this authority by a new one. The bundle has both until Retire: once every process has the bundle,
-// certificates are issued anew, and then the old authority can be removed.
+// certificates are issued again, and then the old authority can be removed.
 func (a *Authority) Rotate(validity time.Duration) error {
 	old, err := os.ReadFile(a.path(caCert))
 	if err != nil {
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -53,7 +53,7 @@
 	writeTimeout      = 3 * time.Second
 )
 
-// ErrNotSent says that the peer has not received the complete message, so that nothing can have come of it.
+// ErrNotSent says that the peer has not received the complete message, so that it can't have had an effect.
 var ErrNotSent = errors.New("not sent")
 
 // errFrameMaybeComplete is a failed write after which the peer may have the complete frame all the same.
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -265,7 +265,7 @@
 	return s, nil
 }
 
-// freeStream returns the number of the next stream. After four thousand million streams numbers begin anew, and some of the
+// freeStream returns the number of the next stream. After 2^32 streams the numbers wrap, and some of the
 // first may still be in use: an answer must not reach another's stream. Called with mu held, with less than maxStreams.
 func (c *conn) freeStream() uint32 {
 	for c.nextStream == 0 || c.streams[c.nextStream] != nil {
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -24,7 +24,7 @@
 	cancel context.CancelFunc // the caller's; nil: there is nothing to cancel
 	meter  *meter             // of the method
 
-	// The stream ends at the deadline; zero: by its context alone. A peer that gives up sooner cancels the stream.
+	// The stream ends at the deadline; zero: by its context only. A peer that gives up sooner cancels the stream.
 	deadline time.Time
 
 	mu           sync.Mutex
@@ -86,7 +86,7 @@
 // callerKey is the key of a handler's stream in derived contexts.
 type callerKey struct{}
 
-// Value has the stream alone: see Caller.
+// Value returns only the stream: see Caller.
 func (s *Stream) Value(key any) any {
 	if key == (callerKey{}) {
 		return s
@@ -143,7 +143,7 @@
 	}
 }
 
-// signal wakes whoever waits on a channel; nil: nobody does.
+// signal wakes the receiver of a channel; nil: there is none.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
