--- a/cmd/ivydeck-control/main.go
+++ b/cmd/ivydeck-control/main.go
@@ -1,5 +1,5 @@
 // Command ivydeck-control is the mesh's control plane: the process on each core
-// machine, which keep the configuration and the list of servers together.
+// machine, which together keep the configuration and the registry.
 package main
 
 import (
--- a/decide/api.go
+++ b/decide/api.go
@@ -108,7 +108,7 @@
 	FallFor             time.Duration
 	AnswerGrace         time.Duration // a final answer still counts this long after the deadline
 	Tick                time.Duration // events come no closer together
-	MarksClientRetries  bool          // clients mark their repeats
+	MarksClientRetries  bool          // clients mark their retries
 	PassesDeadline      bool          // a call to the next tier carries the time that its caller has left
 	Prices              Prices
 	Goal                Goal
@@ -178,7 +178,7 @@
 const (
 	Served Result = iota
 	Errored
-	Full        // rejected without a look at the request
+	Full        // rejected before the request was processed
 	TimedOut    // no answer in time
 	Unconnected // no connection
 	Broken      // connection lost while waiting
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -60,7 +60,7 @@
 	return g.members.DeadFor(g.now(), name)
 }
 
-// Lost reports whether what stands on a node is to be taken off the list; watched is
+// Lost reports whether the servers on a node are to be deregistered; watched is
 // how long somebody has looked.
 func (g *Gossip) Lost(name string, watched time.Duration) bool {
 	g.mu.Lock()
--- a/internal/controlplane/raft/leadership_transfer.go
+++ b/internal/controlplane/raft/leadership_transfer.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	leadTransferTimeout = electionMin            // a transfer that takes longer is given up
+	leadTransferTimeout = electionMin            // a transfer that takes longer is abandoned
 	slowSync            = 8 * time.Millisecond   // a leader whose synced writes take less keeps the leadership ...
 	slowSyncFactor      = 4                      // ... and so does one whose writes take less than this times another's
 	maxSyncTime         = 10 * time.Second       // a longer write counts as one of this
@@ -51,7 +51,7 @@
 
 // TransferLeadership begins a leadership transfer (thesis, 3.10): once another voter has the complete log, it is asked to
 // start an election. Proposals are dropped meanwhile. It reports false if this member does not lead or no other could. A
-// transfer that takes longer than leadTransferTimeout is given up.
+// transfer that takes longer than leadTransferTimeout is abandoned.
 func (n *Node) TransferLeadership(now time.Duration) bool {
 	n.now = now
 	if n.state != stateLeader {
--- a/internal/controlplane/server/http_config.go
+++ b/internal/controlplane/server/http_config.go
@@ -23,7 +23,7 @@
 )
 
 // maxReplacing is how many changes are read and parsed at a time, each of which may take some times meshconfig.MaxBytes.
-// Operators have up to eight in flight, and some that they have given up may still be here.
+// Operators have up to eight in flight, and some that they have cancelled may still be here.
 const maxReplacing = 12
 
 // serveReplace replaces the configuration by the body's, on top of the revision in Base-Revision.
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -140,7 +140,7 @@
 	isSelf bool
 }
 
-// currentLeader returns the leader, for other goroutines than the loop's. It gives up with an empty answer when ctx ends
+// currentLeader returns the leader, for other goroutines than the loop's. It returns nothing when ctx ends
 // or after operatorTimeout, since a disk may block the loop.
 func (srv *Server) currentLeader(ctx context.Context) leadership {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
--- a/internal/dataplane/health/health.go
+++ b/internal/dataplane/health/health.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// End takes the end of a request. It reports whether the server was ejected by it, or has come back.
+// End records the end of a request. It reports whether that ejected the server, or restored it.
 func (s *Server) End(now time.Duration, id string, how Outcome) (ejected, restored bool) {
 	r := s.running[id]
 	delete(s.running, id)
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -1,6 +1,6 @@
 // Package localserver decides for the node that stands beside a server, and is the
 // only one that speaks to it: which incarnations of servers there are, when one has
-// drained or hangs, who has a slot, who waits, and who is turned away before the
+// drained or hangs, who has a slot, who is queued, and who is rejected before the
 // server has seen a byte.
 //
 // Admission is a pure state machine: it takes the time and an event, and returns
@@ -38,7 +38,7 @@
 // Decision is what a request gets on its arrival.
 type Decision int
 
-// The places. A request that is turned away has not reached the server.
+// The decisions. A request that is rejected has not reached the server.
 const (
 	Slot       Decision = iota // it goes to the server at once
 	Queue                      // a Verdict on its ticket follows
@@ -114,21 +114,21 @@
 	} else if b.Seq < m.Seq || m.terminated && !m.unresponsive {
 		h.OK = !m.terminated
 		return h
-	} else if m.unresponsive { // it was held up, and is the incarnation that it was
+	} else if m.unresponsive { // it had stalled, and is still the same incarnation
 		h.Recovered = true
 		m.terminated, m.unresponsive, m.answered, m.health = false, false, now, health.New(now)
 	}
 	if b.Slots <= 0 {
 		b.Slots = defaultSlots
 	}
-	b.Draining = b.Draining || m.Draining // it never comes back from that
+	b.Draining = b.Draining || m.Draining // which is final
 	m.Heartbeat, m.heartbeatAt = b, now
 	m.health.SetWarmup(now, b.WarmupLeft)
 	if b.Draining && !m.drained {
 		m.drained, m.drainedAt, h.Drains = true, now, true
 		if !m.lastHeartbeat {
-			// The mark may have been acknowledged by an earlier incarnation of this process, nobody knows when: its time
-			// counts as over.
+			// The draining status may have been acknowledged by an earlier process of this node, at an unknown time, which
+			// counts as past.
 			m.drainedAt = now - s.drain
 		}
 	}
@@ -136,9 +136,9 @@
 	return h
 }
 
-// Adopt takes over a server that the list has for this machine, until it speaks
-// for itself: a process that starts anew need not wait for the next heartbeat. What it
-// is sent names the incarnation that is meant, so that another at its address turns it away.
+// Adopt adds a server that the registry has for this machine, until it sends a heartbeat
+// itself: a process that restarts need not wait for that. What it
+// is sent names the incarnation, so that another at its address rejects it.
 func (s *Registry[T]) Adopt(now time.Duration, b Heartbeat) bool {
 	if len(s.incarnations) > 0 || b.Slots <= 0 {
 		return false
@@ -147,7 +147,7 @@
 	return true
 }
 
-// Deregister takes a server's last word.
+// Deregister ends a server at its own request.
 func (s *Registry[T]) Deregister(id string) (ended bool, v []SlotGrant[T]) {
 	m := s.incarnations[id]
 	if m == nil {
@@ -166,7 +166,7 @@
 	return m.clear()
 }
 
-// clear turns all away that wait.
+// clear rejects all queued requests.
 func (m *incarnation[T]) clear() (v []SlotGrant[T]) {
 	for _, w := range m.queue {
 		v = append(v, SlotGrant[T]{w.ticket, false})
@@ -175,7 +175,7 @@
 	return v
 }
 
-// ids are the incarnations in one order, so that runs repeat.
+// ids are the incarnations in a fixed order, so that simulations repeat.
 func (s *Registry[T]) ids() []string {
 	list := make([]string, 0, len(s.incarnations))
 	for id := range s.incarnations {
--- a/internal/dataplane/localserver/register.go
+++ b/internal/dataplane/localserver/register.go
@@ -14,15 +14,15 @@
 	Draining            bool   // the node goes, so its servers take nothing new
 }
 
-// What a node understands, as the list of servers says it (wire.Server); each includes those before.
+// The capabilities of a node, as the registry has them (wire.Server); each includes those before.
 const (
 	ProtocolFields  = 1 // Forward.fields
 	protocolVersion = ProtocolFields
 )
 
-// Difference is what has to change in the core's list, so that it says of a
-// machine what stands there. A node that has just started keeps what is listed
-// until its server has called: then whatever else is listed was before it.
+// Difference is what has to change in the registry, so that it has for a
+// machine what runs there. A node that has just started keeps what is registered
+// until its server has sent a heartbeat: whatever else is registered is older then.
 func Difference(m Machine, servers []Heartbeat, registered []*wire.Server, started bool) []*wire.Command {
 	old := map[string]*wire.Server{}
 	for _, s := range registered {
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -88,7 +88,7 @@
 			return health.Erred
 		}
 		return health.Served
-	case wire.ForwardResponse_NOT_RUN: // it has turned away what it had a slot for
+	case wire.ForwardResponse_NOT_RUN: // it has rejected a request that it had a slot for
 		if response.Terminated {
 			return health.Void
 		}
--- a/internal/dataplane/localserver/slots.go
+++ b/internal/dataplane/localserver/slots.go
@@ -17,7 +17,7 @@
 	health.Call
 }
 
-// SlotGrant is the answer to a request that waited: it may go, or is turned away.
+// SlotGrant is the answer to a queued request: it may run, or is rejected.
 type SlotGrant[T comparable] struct {
 	Ticket T
 	Go     bool
@@ -29,7 +29,7 @@
 }
 
 // Arrive gives a request its place; why says what was against it. A higher
-// request may take the place of the last in the queue, which is turned away.
+// request may replace the last one in the queue, which is rejected.
 func (s *Registry[T]) Arrive(now time.Duration, q Request, ticket T) (decision Decision, reason string, v []SlotGrant[T]) {
 	m := s.incarnations[q.Member]
 	if decision, reason = s.rejection(now, m, q); reason != "" {
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -21,7 +21,7 @@
 	return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: terminated, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Forward passes a request to the server that it names, or turns it away.
+// Forward passes a request to the server that it names, or rejects it.
 func (in *Inbound) Forward(ctx context.Context, q *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 	until := time.Now().Add(time.Duration(q.TimeLeftMs) * time.Millisecond)
 	ask := localserver.Request{
@@ -43,7 +43,7 @@
 }
 
 // admit waits for a slot of the server that a request names. It returns the server, or the outcome of a request that is
-// turned away.
+// rejected.
 func (in *Inbound) admit(ctx context.Context, request localserver.Request, until time.Time) (*serverPool, *wire.ForwardResponse) {
 	in.mu.Lock()
 	t := in.spare
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -124,7 +124,7 @@
 	return h.OK
 }
 
-// Adopt takes over a server that the list has for this machine; see admission.
+// Adopt adds a server that the registry has for this machine; see localserver.
 func (in *Inbound) Adopt(b Heartbeat, now time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// Deregister takes a server's last word.
+// Deregister ends a server at its own request.
 func (in *Inbound) Deregister(id string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/dataplane/proxy/listener.go
+++ b/internal/dataplane/proxy/listener.go
@@ -39,7 +39,7 @@
 	Fields      []byte // lines of its head
 	Body        []byte
 	Close       bool
-	NotExecuted bool // it says when to come back
+	NotExecuted bool // it has Retry-After
 	Own         bool // it is the mesh's own, and its body says why
 }
 
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -50,7 +50,7 @@
 	began               time.Time
 	ready               chan struct{} // closed with the first configuration
 
-	lateAttempts sync.WaitGroup // tries
+	lateAttempts sync.WaitGroup // in flight after the response
 	mu           sync.Mutex
 	table        *router.Table
 	refusals     map[string]*refusals // by service; guarded by mu
@@ -66,7 +66,7 @@
 
 func (o *Outbound) now() time.Duration { return time.Since(o.began) }
 
-// Counts are the final answers since the start: of servers, refusals that say when to come back, and others of the
+// Counts are the responses since the start: of servers, refusals with Retry-After, and others of the
 // mesh's own.
 func (o *Outbound) Counts() (served, refused, failed uint64) {
 	return o.served.Load(), o.refused.Load(), o.failed.Load()
--- a/internal/dataplane/proxy/server_conn.go
+++ b/internal/dataplane/proxy/server_conn.go
@@ -15,9 +15,9 @@
 
 const (
 	defaultIdleTimeout = 9 * time.Second        // a server keeps an idle connection for at least this
-	idleMargin         = 400 * time.Millisecond // before the server's own time is over a connection is given up
+	idleMargin         = 400 * time.Millisecond // before the server's own timeout a connection is closed
 
-	maxSurplus = 4 // answers to other requests that are passed over before one gives up
+	maxSurplus = 4 // answers to other requests that are skipped before the connection is closed
 )
 
 // serverConn is a connection to the server of this machine. It carries one request
--- a/internal/dataplane/router/request.go
+++ b/internal/dataplane/router/request.go
@@ -8,7 +8,7 @@
 
 const (
 	queueRetryPause   = 15 * time.Millisecond // between two rounds of attempts while no server has a free slot
-	maxWaitDivisor    = 5                     // a request without a server is given up after this part of its latency target ...
+	maxWaitDivisor    = 5                     // a request without a server is given up after this share of its latency target ...
 	minWait           = 30 * time.Millisecond // ... but not sooner
 	maxRejections     = 12                    // by servers without a free slot, of one request
 	immediateAttempts = 2                     // rejections before a request may queue at a server, while the service is calm
--- a/internal/dataplane/router/update.go
+++ b/internal/dataplane/router/update.go
@@ -64,7 +64,7 @@
 	return touched
 }
 
-// unlist removes a server from the list of its service.
+// unlist removes a server from those of its service.
 func (t *Table) unlist(s *wire.Server) {
 	list := t.targets[s.Service]
 	i := slices.IndexFunc(list, func(x decide.Target) bool { return x.ID == s.Member })
--- a/internal/dataplane/sidecar/servers.go
+++ b/internal/dataplane/sidecar/servers.go
@@ -15,11 +15,11 @@
 
 const (
 	maxHeartbeatBytes = 4 << 10
-	maxWarmupMs       = 600_000                // a server that says it is slow for longer is taken to be so for this
+	maxWarmupMs       = 600_000                // bound on the slow start that a server announces
 	drainAckTimeout   = 800 * time.Millisecond // for a draining status to come back as an update; a heartbeat waits for a second
 )
 
-// heartbeatBody is a server's beat as it is sent.
+// heartbeatBody is the body of a server's heartbeat.
 type heartbeatBody struct {
 	Backend  string  `msgpack:"backend"`
 	Address  string  `msgpack:"address"`
@@ -31,7 +31,7 @@
 	Seq      uint64  `msgpack:"call_seq"`
 }
 
-// serveHeartbeat takes the calls of this machine's server:
+// serveHeartbeat serves the calls of this machine's server:
 // POST /members/ID/heartbeat and POST /members/ID/deregister.
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	rest, ok := strings.CutPrefix(r.URL.Path, "/members/")
@@ -71,8 +71,8 @@
 	n.acknowledge(w)
 }
 
-// awaitDrainUpdate waits until the core's list has a draining status. What is acknowledged must hold also after this process has
-// died, and the next one begins by the list. Here the mark binds at once, acknowledged or not.
+// awaitDrainUpdate waits until the registry has the draining status. What is acknowledged must hold also after this process has
+// crashed, and the next one begins with the registry. Here the status binds at once, acknowledged or not.
 func (n *Node) awaitDrainUpdate(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, drainAckTimeout)
 	defer cancel()
--- a/internal/dataplane/sidecar/shutdown.go
+++ b/internal/dataplane/sidecar/shutdown.go
@@ -12,7 +12,7 @@
 	readsEnd          = 2900 * time.Millisecond // no further request is read after that: a long one could not end in time ...
 	stopMargin        = 1600 * time.Millisecond // ... nor this long before the end, where that comes sooner
 	leaveMargin       = 600 * time.Millisecond  // before the end: the process ends
-	cancelBefore      = 200 * time.Millisecond  // before that requests are called off, so that they have an answer
+	cancelBefore      = 200 * time.Millisecond  // before that requests are cancelled, so that they have an answer
 )
 
 // readingEnds is how long after SIGTERM requests are read. The platform counts on an answer to those that a client sends
@@ -33,7 +33,7 @@
 		// Clients take two seconds to go elsewhere, in which the server's work may go on. In a roll of many nodes
 		// that is a good part of the capacity.
 		if time.Since(began) >= min(serverWorkEnd, grace/4) && !n.emptying.Swap(true) {
-			n.inbound.Wake() // the list has to say so
+			n.inbound.Wake() // the registry has to have it
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// adopt takes on what is listed of this node's server by the process before, until the server has called.
+// adopt adds the server that the previous process registered, until the server sends a heartbeat.
 func (n *Node) adopt(changes *wire.Changes) {
 	set := n.set.Load()
 	if time.Since(n.began) >= 2*set.HeartbeatInterval {
--- a/internal/simulation/scale/events.go
+++ b/internal/simulation/scale/events.go
@@ -153,7 +153,7 @@
 func (r *run) operatorCalls(ctx context.Context, e *EventReport) error {
 	leader := r.leader(ctx)
 	if leader == nil {
-		return fmt.Errorf("nobody leads")
+		return fmt.Errorf("no leader")
 	}
 	for _, path := range []string{"/status", "/config/read", "/backup"} {
 		var slowest Call
--- a/internal/simulation/simdisk/folder.go
+++ b/internal/simulation/simdisk/folder.go
@@ -55,13 +55,13 @@
 	defer f.mu.Unlock()
 	f.powerOff()
 	after := NewFolder()
-	odds := rng.IntN(4) // how likely a change that was not synced is lost, in thirds
+	lossThirds := rng.IntN(4) // probability that a change that was not synced is lost, in thirds
 	for name, node := range f.durable {
 		after.current[name] = node
 	}
 	for name, nodes := range f.changed {
 		node := nodes[len(nodes)-1]
-		if rng.IntN(3) < odds {
+		if rng.IntN(3) < lossThirds {
 			states := append([]*inode{f.durable[name]}, nodes...)
 			node = states[rng.IntN(len(states))]
 		}
--- a/internal/simulation/standin/standin.go
+++ b/internal/simulation/standin/standin.go
@@ -80,7 +80,7 @@
 	tick := time.NewTicker(s.options.Heartbeat)
 	defer tick.Stop()
 	for {
-		s.beat(ctx)
+		s.sendHeartbeat(ctx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -89,8 +89,8 @@
 	}
 }
 
-// beat sends one heartbeat. One that is lost is followed by the next.
-func (s *Server) beat(ctx context.Context) {
+// sendHeartbeat sends one heartbeat, without a retry.
+func (s *Server) sendHeartbeat(ctx context.Context) {
 	s.mu.Lock()
 	s.sequence++
 	beat := heartbeat{Service: s.options.Service, Address: s.options.Address, Zone: s.options.Zone, Slots: s.options.Slots,
@@ -120,5 +120,5 @@
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	s.beat(context.Background())
+	s.sendHeartbeat(context.Background())
 }
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -47,7 +47,7 @@
 	pingInterval      = 600 * time.Millisecond
 	idlePingInterval  = 9 * time.Second         // the same without a stream: Pool.Live checks before it opens one
 	minPingWait       = time.Second             // a peer has at least this time to answer a ping
-	peerTimeout       = 1800 * time.Millisecond // a peer that sends nothing for so long is given up
+	peerTimeout       = 1800 * time.Millisecond // a connection without a frame for this long is closed
 	livenessWindow    = 250 * time.Millisecond  // a peer counts as live for so long after a frame
 	pongTimeout       = 250 * time.Millisecond  // for the answer to a ping
 	writeTimeout      = 3 * time.Second
@@ -104,7 +104,7 @@
 			c.lastReceived.Store(steadyMs() - livenessWindow.Milliseconds())
 		}
 	}
-	// Pings find an unresponsive peer sooner than the kernel's keep-alive. Unacknowledged bytes are given up at the same
+	// Pings find an unresponsive peer sooner than the kernel's keep-alive. Connections with unacknowledged bytes end at the same
 	// time, rather than after minutes.
 	if tc, ok := raw.(*net.TCPConn); ok {
 		tc.SetKeepAlive(false)
--- a/internal/transport/rpc/liveness.go
+++ b/internal/transport/rpc/liveness.go
@@ -10,7 +10,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// checkLiveness pings an idle peer, and gives up one that does not answer.
+// checkLiveness pings an idle peer, and closes the connection if it does not answer.
 func (c *conn) checkLiveness(wall time.Time) {
 	busy := c.expireStreams(wall)
 	now, received, pinged := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -24,7 +24,7 @@
 	cancel context.CancelFunc // the caller's; nil: there is nothing to cancel
 	meter  *meter             // of the method
 
-	// The stream ends at the deadline; zero: by its context only. A peer that gives up sooner cancels the stream.
+	// The stream ends at the deadline; zero: by its context only. A peer that stops waiting sooner cancels the stream.
 	deadline time.Time
 
 	mu           sync.Mutex
