--- a/internal/config/meshconfig/route.go
+++ b/internal/config/meshconfig/route.go
@@ -29,9 +29,9 @@
 	Prefix          string     `msgpack:"path_prefix"`
 	Kind            Kind       `msgpack:"route_type"`
 	TimeoutMs       float64    `msgpack:"timeout_ms"`
-	TargetLatencyMs float64    `msgpack:"target_latency_ms"`
-	Priority        int        `msgpack:"priority"` // 0 is the highest
-	Backend         string     `msgpack:"backend"`  // empty: the weighted ones
+	TargetLatencyMs float64    `msgpack:"target_latency_ms" json:"AimMs"` // the JSON name is that of ivydeckctl config read
+	Priority        int        `msgpack:"priority"`                       // 0 is the highest
+	Backend         string     `msgpack:"backend"`                        // empty: the weighted ones
 	Backends        []Weighted `msgpack:"weighted_backends"`
 	MaxAttempts     int        `msgpack:"max_attempts"`
 
