--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -1,105 +1,107 @@
-// Package budget meters one node's part of the retry budget that all nodes
-// share: in any window, a service may get no more repeats than a ratio of the
-// requests for it and a slack that is one for all nodes together. No node asks
-// another: each spends by ratio only on its own requests, and has its share of
-// the slack, so that the sum holds whatever the traffic.
+// Package budget implements a node's part of the retry budget. In any window, all
+// nodes together may send a service at most ratio * requests + slack retries.
+// Nodes do not coordinate: each applies the ratio to its own requests and gets a
+// share of the slack, so that the bound holds for any distribution of the traffic.
 package budget
 
 import "time"
 
-// buckets cut a window; sums run over one more, so that every sliding window
-// lies within what is summed.
+// buckets is the number of buckets in a window. Retries are summed over one more
+// bucket, so that the sum covers every sliding window.
 const buckets = 20
 
-// Caution is the part of the bound that is spent at most: calls that the run of
-// a repeat makes are repeats too, and are charged where they begin, when it is
-// too late to do without them.
-const Caution = 0.4
+// SafetyFactor is the fraction of the bound that Spend may use. The rest is
+// reserved for calls made by retried runs: these count as retries too, but are
+// charged only when they are made and cannot be refused.
+const SafetyFactor = 0.4
 
-// Budget is a node's part for one service.
+// Budget is a node's part of the retry budget for one service. It is not safe for
+// concurrent use. Times are durations since any fixed moment.
 type Budget struct {
-	ratio, slack  float64
-	width         time.Duration // of a bucket
-	at            int64         // number of the newest bucket
-	spent, earned [buckets + 1]float64
+	ratio, slack      float64       // multiplied by SafetyFactor
+	width             time.Duration // of a bucket
+	newest            int64         // number of the newest bucket
+	retries, requests [buckets + 1]float64
 }
 
-// New returns a budget of nothing but a ratio; Share sets the slack.
+// New returns a Budget without slack, which SetSlack sets.
 func New(ratio float64, window time.Duration) *Budget {
-	return &Budget{ratio: ratio * Caution, width: max(time.Millisecond, window/buckets)}
+	return &Budget{ratio: ratio * SafetyFactor, width: max(time.Millisecond, window/buckets)}
 }
 
-// SetSlack sets this node's part of the slack.
-//
-// A process that has just started does not know what its last life spent, and
-// neither does one that joined know what others spent of a larger share: both
-// have none until a window has passed.
-func (b *Budget) SetSlack(slack float64) { b.slack = slack * Caution }
+// SetSlack sets this node's share of the slack; see Shares.
+func (b *Budget) SetSlack(slack float64) { b.slack = slack * SafetyFactor }
 
-// roll moves on to the bucket of a time.
+// roll advances to the bucket of a time, clears the buckets on the way, and returns
+// the index of the newest bucket.
 func (b *Budget) roll(now time.Duration) int {
-	n := int64(now / b.width)
-	for b.at < n {
-		if n-b.at > buckets {
-			b.at = n - buckets - 1
-			b.spent, b.earned = [buckets + 1]float64{}, [buckets + 1]float64{}
+	current := int64(now / b.width)
+	for b.newest < current {
+		if current-b.newest > buckets {
+			b.newest = current - buckets - 1
+			b.retries, b.requests = [buckets + 1]float64{}, [buckets + 1]float64{}
 		}
-		b.at++
-		b.spent[b.at%(buckets+1)], b.earned[b.at%(buckets+1)] = 0, 0
+		b.newest++
+		b.retries[b.newest%(buckets+1)], b.requests[b.newest%(buckets+1)] = 0, 0
 	}
-	return int(b.at % (buckets + 1))
+	return int(b.newest % (buckets + 1))
 }
 
-// Request notes a request for the service.
-func (b *Budget) Request(now time.Duration) { b.earned[b.roll(now)]++ }
+// Request counts a request to the service.
+func (b *Budget) Request(now time.Duration) { b.requests[b.roll(now)]++ }
 
-// Available returns how many repeats may be sent at this moment.
+// Available returns the number of retries that may be sent now. It may be negative.
 func (b *Budget) Available(now time.Duration) float64 {
 	b.roll(now)
-	spent, earned := 0.0, 0.0
-	for i := range b.spent {
-		spent += b.spent[i]
-		earned += b.earned[i]
+	retries, requests := 0.0, 0.0
+	for i := range b.retries {
+		retries += b.retries[i]
+		requests += b.requests[i]
 	}
-	// The oldest bucket may lie before the window: what was earned in it is not counted.
-	earned -= b.earned[(b.at+1)%(buckets+1)]
-	return b.slack + b.ratio*earned - spent
+	// The oldest bucket may lie outside the window, so its requests are not counted.
+	requests -= b.requests[(b.newest+1)%(buckets+1)]
+	return b.slack + b.ratio*requests - retries
 }
 
-// Spend takes a repeat out of the budget, if it has one left.
+// Spend takes a retry from the budget. It reports false if none is left.
 func (b *Budget) Spend(now time.Duration) bool {
 	if b.Available(now) < 1 {
 		return false
 	}
-	b.spent[b.roll(now)]++
+	b.retries[b.roll(now)]++
 	return true
 }
 
-// Charge counts retries that have happened already, such as the calls of a retry.
-func (b *Budget) Charge(now time.Duration, n float64) { b.spent[b.roll(now)] += n }
+// Charge counts n retries that cannot be refused, such as the calls of a retried run.
+func (b *Budget) Charge(now time.Duration, n float64) { b.retries[b.roll(now)] += n }
 
-// youngFor is how long a new process waits for the membership list.
-const youngFor = 3 * time.Second
+// membershipDelay is the time in which a new process receives the membership list.
+const membershipDelay = 3 * time.Second
 
-// Shares splits the slack by the nodes that may have spent of it.
+// Shares divides the slack by the number of nodes that may have used it.
 type Shares struct {
-	Slack  float64 // of all nodes together
-	Window time.Duration
-	Known  bool // the process is the first of its node: there was no life before it
+	Slack  float64       // of all nodes together
+	Window time.Duration // of the retry budget
+	// FirstStart is true if no earlier process of this node can have sent retries.
+	FirstStart bool
 
-	nodes int // most known of late
-	at    time.Duration
+	maxNodes   int           // highest recent number of nodes
+	maxNodesAt time.Duration // age of the process when maxNodes was last reached
 }
 
-// Share returns a node's part of the slack. age is the process's, nodes the number
-// of those known now, this one among them. All that were lately there count, as
-// they may have spent theirs.
+// Share returns this node's share of the slack. age is the age of the process, and
+// nodes the present number of nodes, including this one. Nodes that have left within
+// the last two windows still count, as they may have used their shares.
+//
+// Unless FirstStart is set, the share is 0 for the first window: the process cannot
+// know how many retries its predecessor sent, or other nodes sent when their shares
+// were larger.
 func (s *Shares) Share(age time.Duration, nodes int) float64 {
-	if nodes >= s.nodes || age-s.at > 2*s.Window {
-		s.nodes, s.at = nodes, age
+	if nodes >= s.maxNodes || age-s.maxNodesAt > 2*s.Window {
+		s.maxNodes, s.maxNodesAt = nodes, age
 	}
-	if age < youngFor || !s.Known && age < s.Window {
-		return 0 // what the last life spent, or others of a larger share, is not known
+	if age < membershipDelay || !s.FirstStart && age < s.Window {
+		return 0
 	}
-	return s.Slack / float64(max(1, s.nodes))
+	return s.Slack / float64(max(1, s.maxNodes))
 }
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSumOfAllNodes plays 13 nodes with uneven traffic that repeat as often as
-// they may, and restart, and counts repeats in every sliding window.
+// TestSumOfAllNodes simulates 13 nodes that get uneven traffic, restart, and retry as
+// often as allowed, and checks the bound on retries in all sliding windows.
 func TestSumOfAllNodes(t *testing.T) {
 	const (
 		nodes, ratio, slack = 13, 0.2, 64.0
@@ -17,63 +17,65 @@
 	)
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		budgets, born := make([]*Budget, nodes), make([]time.Duration, nodes)
-		var asked, again [steps]float64
+		budgets, startedAt := make([]*Budget, nodes), make([]time.Duration, nodes)
+		var requests, retries [steps]float64
 		for i := range budgets {
-			budgets[i] = New(ratio/Caution, window) // the whole bound, as if no call followed
-			budgets[i].SetSlack(slack / Caution / nodes)
+			budgets[i] = New(ratio/SafetyFactor, window) // allows Spend to use the whole bound
+			budgets[i].SetSlack(slack / SafetyFactor / nodes)
 		}
 		for s := range steps {
 			now := time.Duration(s) * step
 			for i := range budgets {
-				if rng.IntN(3000) == 0 { // it starts again and has forgotten what it spent
-					budgets[i], born[i] = New(ratio/Caution, window), now
+				if rng.IntN(3000) == 0 { // a restart loses the count of retries
+					budgets[i], startedAt[i] = New(ratio/SafetyFactor, window), now
 				}
-				if now-born[i] > window {
-					budgets[i].SetSlack(slack / Caution / nodes)
+				if now-startedAt[i] > window {
+					budgets[i].SetSlack(slack / SafetyFactor / nodes)
 				}
 				busy := s/500%nodes == i || rng.IntN(10) == 0
 				for busy && rng.IntN(3) > 0 {
-					asked[s]++
+					requests[s]++
 					budgets[i].Request(now)
 				}
 				for rng.IntN(4) > 0 && budgets[i].Spend(now) {
-					again[s]++
+					retries[s]++
 				}
 			}
 		}
 		const span = int(window / step)
-		sums := func(of *[steps]float64, from int) (sum float64) {
+		sumWindow := func(counts *[steps]float64, from int) (sum float64) {
 			for s := max(0, from); s < from+span && s < steps; s++ {
-				sum += of[s]
+				sum += counts[s]
 			}
 			return sum
 		}
 		total := 0.0
 		for from := 0; from+span <= steps; from += 7 {
-			requests := max(sums(&asked, from), sums(&asked, from-span/2), sums(&asked, from-span))
-			if got := sums(&again, from); got > ratio*requests+slack {
-				t.Fatalf("seed %d: %v repeats in the window from %v, %v requests", seed, got, time.Duration(from)*step, requests)
+			requested := max(sumWindow(&requests, from), sumWindow(&requests, from-span/2), sumWindow(&requests, from-span))
+			if got := sumWindow(&retries, from); got > ratio*requested+slack {
+				t.Fatalf("seed %d: %v retries exceed the bound in the window from %v with %v requests", seed, got, time.Duration(from)*step, requested)
 			}
-			total += sums(&again, from)
+			total += sumWindow(&retries, from)
 		}
 		if total == 0 {
-			t.Error("nothing was repeated: hardly a test")
+			t.Error("no retries were sent")
 		}
 	}
 }
 
+// TestNothingIsLeftAfterARestart checks that a new budget allows no retries until it
+// gets slack, and that charged retries expire with the window.
 func TestNothingIsLeftAfterARestart(t *testing.T) {
 	b := New(0.2, 10*time.Second)
 	if b.Spend(time.Second) {
-		t.Error("a new life without a share spent")
+		t.Error("a new budget without slack allowed a retry")
 	}
 	b.SetSlack(20)
-	if !b.Spend(time.Second) || b.Available(time.Second) != 20*Caution-1 {
-		t.Errorf("%v left", b.Available(time.Second))
+	if !b.Spend(time.Second) || b.Available(time.Second) != 20*SafetyFactor-1 {
+		t.Errorf("%v retries are left after one was spent", b.Available(time.Second))
 	}
 	b.Charge(time.Second, 100)
 	if b.Spend(2*time.Second) || !b.Spend(12*time.Second) {
-		t.Error("what was charged does not pass with its window")
+		t.Error("charged retries do not count for exactly one window")
 	}
 }
--- a/internal/dataplane/health/health.go
+++ b/internal/dataplane/health/health.go
@@ -1,6 +1,7 @@
-// Package health is passive outlier detection: it judges one server by the outcomes of the requests that it receives, for all
-// callers together and by their zone, and measures its relative latency. It sends no health checks, which may be wrong and
-// would take a slot: requests tell more. Package localserver drives it. It is pure.
+// Package health implements passive outlier detection. It ejects a server, for all callers or for those of one zone, by the
+// outcomes of its requests, and measures its relative latency. It does not use active health checks: these would occupy slots,
+// and may succeed although requests fail. It does no I/O; package localserver drives it. Times are durations since an epoch
+// chosen by the driver.
 package health
 
 import (
@@ -11,140 +12,141 @@
 
 // Outlier detection by the share of failures.
 const (
-	outcomeWindow          = 2 * time.Second // over which outcomes fade
-	confidence             = 1.64            // z value, one-sided 95 %: the share of failures is surely ...
-	maxFailureShare        = 0.1             // ... over this if a server is ejected
-	minFailures            = 1.5             // fading failures: two recent ones eject, one never does
-	maxConsecutiveFailures = 3               // eject whatever was before
+	outcomeWindow          = 2 * time.Second // time constant of the exponential decay of outcomes
+	confidence             = 1.64            // z value of a one-sided 95 % confidence bound of the share of failures
+	maxFailureShare        = 0.1             // a server is ejected if that bound exceeds this share
+	minFailures            = 1.5             // decayed failures required for an ejection; one failure never suffices
+	maxConsecutiveFailures = 3               // eject a server whatever its share of failures is
 )
 
-// Ejection and return.
+// Ejection and restoration.
 const (
-	baseEjectionTime        = 800 * time.Millisecond  // doubled with each further ejection ...
-	maxEjectionTime         = 6 * time.Second         // ... up to this ...
-	ejectionResetAfter      = 20 * time.Second        // ... until the server has been healthy for so long
+	baseEjectionTime        = 800 * time.Millisecond  // doubled with each further ejection
+	maxEjectionTime         = 6 * time.Second         // maximum after doubling
+	ejectionResetAfter      = 20 * time.Second        // healthy time after which the ejection time is reset
 	maxEjectionDoublings    = 4                       // of baseEjectionTime
 	probeInterval           = 120 * time.Millisecond  // between probes of an ejected server
 	probesToRestore         = 4                       // successful probes in a row that restore it
-	nonIdempotentProbeAfter = 1500 * time.Millisecond // such a request is a probe only if no other came for so long
+	nonIdempotentProbeAfter = 1500 * time.Millisecond // time without a probe after which a non-idempotent request may be one
 )
 
-// Servers that hang, and requests that are overdue.
+// Hanging servers and overdue requests.
 const (
-	hangTimeout          = 700 * time.Millisecond // without any answer, with several requests running, a server hangs
-	minHangingCalls      = 3                      // running requests of a server that hangs
-	hangProbeInterval    = 500 * time.Millisecond
-	overdueLatencyFactor = 6 // typical latencies after which a running request counts as failed ...
-	minOverdueTime       = 600 * time.Millisecond
-	lateLatencyFactor    = 3 // typical latencies that a server must have had before a deadline counts as its failure
+	hangTimeout          = 700 * time.Millisecond // time without a response after which a server hangs
+	minHangingCalls      = 3                      // minimum number of running requests of a hanging server
+	hangProbeInterval    = 500 * time.Millisecond // between probes of a hanging server
+	overdueLatencyFactor = 6                      // multiple of the typical latency after which a running request counts as failed
+	minOverdueTime       = 600 * time.Millisecond // lower bound of that time
+	lateLatencyFactor    = 3                      // time-outs before this multiple of the typical latency are ignored
 )
 
-// The relative latency of a server.
+// Relative latency of a server.
 const (
-	relativeLatencyGain = 0.05 // weight of the newest run; the first ones have more
-	relearnRuns         = 3    // runs that the latency of a slow start counts for after it
+	relativeLatencyGain = 0.05 // minimum weight of the newest run in the moving average; the first runs weigh more
+	relearnRuns         = 3    // runs for which the average of the warmup counts after it
 	minRelativeLatency  = 0.4
 	maxRelativeLatency  = 4
 )
 
 const (
-	maxZones   = 16   // of callers that are distinguished
-	maxRunning = 4096 // requests that are tracked
+	maxZones   = 16   // zones with a record of their own
+	maxRunning = 4096 // running requests that are tracked
 )
 
-// Call is a request for a server.
+// Call describes a request to a server.
 type Call struct {
-	Zone           string        // where its call graph entered the mesh: some faults affect one zone alone
-	TypicalLatency time.Duration // of its route at all servers, as its entry observes it; 0: not known
-	NonIdempotent  bool          // it must not run twice
-	IgnoreEjection bool          // the node where it entered has no better server
+	Zone           string        // where its call graph entered the mesh; some faults affect a single zone
+	TypicalLatency time.Duration // of its route over all servers, measured by the entry node; 0 if unknown
+	NonIdempotent  bool          // the request must not run twice
+	IgnoreEjection bool          // the entry node has no better server
 }
 
-// Verdict says whether a server may receive a request.
+// Verdict is the result of Check: whether the server may receive a request.
 type Verdict int
 
 // The verdicts.
 const (
 	Healthy   Verdict = iota
 	Unhealthy         // ejected
-	Hangs             // it answers nothing
+	Hangs             // does not respond to any request
 )
 
-// Outcome is how a request has ended.
+// Outcome is the result of a request.
 type Outcome int
 
 // The outcomes.
 const (
-	Served Outcome = iota // an answer that is no failure
-	Erred                 // a failure of the server itself, or a rejection although it had a free slot
-	Broken                // no complete answer, or one that was not the server's own
-	Late                  // the deadline
-	Void                  // cancelled, or no free slot: it says nothing of the server
+	Served   Outcome = iota // a response other than a failure
+	Errored                 // a failure response, or a rejection of a request that had a slot
+	Broken                  // an incomplete response, or one that does not belong to the request
+	TimedOut                // the deadline was exceeded
+	Void                    // says nothing about the server, such as a cancelled request
 )
 
-// Server is the state of one incarnation of a server.
+// Server is the state of one incarnation of a server. It is not safe for concurrent use.
 type Server struct {
-	all             record
-	zones           map[string]*record
-	running         map[string]*run
-	spare           []*run // ended ones, to be reused
+	all             record             // of all callers
+	zones           map[string]*record // of callers, by zone
+	running         map[string]*run    // by request ID
+	freeRuns        []*run             // free list
 	relativeLatency float64
 	latencyRuns     int           // runs in relativeLatency
-	warmAt          time.Duration // end of its slow start
-	answered        time.Duration // last answer
-	severalSince    time.Duration // since when minHangingCalls are running
-	probedAt        time.Duration // while it hangs
+	warmupEnd       time.Duration // 0 if the server is not warming up
+	respondedAt     time.Duration // last response
+	minCallsAt      time.Duration // when the number of running requests last rose to minHangingCalls
+	probedAt        time.Duration // last probe while hanging
 	checkedAt       time.Duration // last check for overdue requests
 }
 
 // run is a running request.
 type run struct {
 	Call
-	began   time.Duration
-	overdue bool      // it was counted
-	probes  []*record // for which it is a probe
+	startedAt time.Duration
+	overdue   bool      // it has been counted as failed
+	probes    []*record // records for which it is a probe
 }
 
-// record is the outlier detection for some callers.
+// record is the state of outlier detection for a group of callers.
 type record struct {
-	failures, total     float64 // fading
-	consecutiveFailures int     // in a row
-	at                  time.Duration
+	failures, total     float64 // decayed counts of outcomes
+	consecutiveFailures int
+	updatedAt           time.Duration // last outcome
 	ejected             bool
-	ejectedUntil        time.Duration // no probe before
+	ejectedUntil        time.Duration // no probes are sent before
 	probedAt            time.Duration // last probe
 	probing             int           // probes in flight
-	goodProbes          int           // successful probes in a row
-	ejections           int
-	restoredAt          time.Duration
+	successfulProbes    int           // consecutive successful probes
+	ejections           int           // since the last reset, see ejectionResetAfter
+	restoredAt          time.Duration // last restoration
 }
 
-// New returns a server without history.
+// New returns the state of a server without history.
 func New(now time.Duration) *Server {
 	return &Server{
-		zones: map[string]*record{}, running: map[string]*run{}, relativeLatency: 1, answered: now, probedAt: now - hangProbeInterval,
+		zones: map[string]*record{}, running: map[string]*run{}, relativeLatency: 1, respondedAt: now, probedAt: now - hangProbeInterval,
 	}
 }
 
-// SetWarmup says how much longer the server is slow from its start. What its pace was until then says little of later.
+// SetWarmup sets the remaining warmup time. When the warmup ends, the relative latency measured so far loses most of its
+// weight, so that it is soon replaced.
 func (s *Server) SetWarmup(now, left time.Duration) {
 	if left > 0 {
-		s.warmAt = now + left
-	} else if s.warmAt > 0 {
-		s.warmAt, s.latencyRuns = 0, min(s.latencyRuns, relearnRuns)
+		s.warmupEnd = now + left
+	} else if s.warmupEnd > 0 {
+		s.warmupEnd, s.latencyRuns = 0, min(s.latencyRuns, relearnRuns)
 	}
 }
 
-// RelativeLatency is how long the server takes for a request, in the time that others take for its like.
+// RelativeLatency returns the mean latency of the server in multiples of the typical latency of its requests.
 func (s *Server) RelativeLatency() float64 { return s.relativeLatency }
 
-// Everywhere means all zones in the result of Ejected.
-const Everywhere = "*"
+// AllZones means all zones in the result of Ejected.
+const AllZones = "*"
 
-// Ejected returns the zones for whose callers the server is ejected, in order.
+// Ejected returns the zones for whose callers the server is ejected, sorted by name.
 func (s *Server) Ejected() (zones []string) {
 	if s.all.ejected {
-		return []string{Everywhere}
+		return []string{AllZones}
 	}
 	for name, r := range s.zones {
 		if r.ejected {
@@ -155,9 +157,10 @@
 	return zones
 }
 
-// Check returns whether the server may get a request. If it is Healthy and sent, call Begin.
-func (s *Server) Check(now time.Duration, c Call) Verdict {
-	s.overdue(now)
+// Check returns whether the server may receive a request. If the result is Healthy and the request is sent, the caller calls
+// Begin.
+func (s *Server) Check(now time.Duration, call Call) Verdict {
+	s.failOverdue(now)
 	if s.Hangs(now) {
 		if now-s.probedAt < hangProbeInterval {
 			return Hangs
@@ -165,11 +168,11 @@
 		s.probedAt = now
 		return Healthy
 	}
-	if c.IgnoreEjection {
+	if call.IgnoreEjection {
 		return Healthy
 	}
-	zone := s.zones[c.Zone]
-	if !s.all.accepts(now, c) || !zone.accepts(now, c) {
+	zone := s.zones[call.Zone]
+	if !s.all.accepts(now, call) || !zone.accepts(now, call) {
 		return Unhealthy
 	}
 	s.all.probedAt = now
@@ -179,22 +182,22 @@
 	return Healthy
 }
 
-// Hangs reports whether the server has stopped answering.
+// Hangs reports whether the server has stopped responding.
 func (s *Server) Hangs(now time.Duration) bool {
-	return len(s.running) >= minHangingCalls && now-max(s.answered, s.severalSince) > hangTimeout
+	return len(s.running) >= minHangingCalls && now-max(s.respondedAt, s.minCallsAt) > hangTimeout
 }
 
-// Begin notes a request that is given to the server, by its id.
-func (s *Server) Begin(now time.Duration, id string, c Call) {
+// Begin records that a request is sent to the server. Requests beyond maxRunning are not tracked.
+func (s *Server) Begin(now time.Duration, id string, call Call) {
 	if len(s.running) >= maxRunning {
 		return
 	}
-	if twin := s.running[id]; twin != nil { // two clients have given their requests one id: only one of them is watched
-		twin.recordTime()
+	if replaced := s.running[id]; replaced != nil { // two clients have used the same ID; only the newer request is tracked
+		replaced.endProbes()
 	}
-	r := s.fresh()
-	r.Call, r.began, r.overdue = c, now, false
-	for _, rec := range []*record{&s.all, s.zones[c.Zone]} {
+	r := s.allocRun()
+	r.Call, r.startedAt, r.overdue = call, now, false
+	for _, rec := range []*record{&s.all, s.zones[call.Zone]} {
 		if rec != nil && rec.ejected && now >= rec.ejectedUntil {
 			rec.probing++
 			r.probes = append(r.probes, rec)
@@ -202,107 +205,108 @@
 	}
 	s.running[id] = r
 	if len(s.running) == minHangingCalls {
-		s.severalSince = now
+		s.minCallsAt = now
 	}
 }
 
-// End records the end of a request. It reports whether that ejected the server, or restored it.
-func (s *Server) End(now time.Duration, id string, how Outcome) (ejected, restored bool) {
+// End records the outcome of a request. It reports whether this ejected or restored the server.
+func (s *Server) End(now time.Duration, id string, outcome Outcome) (ejected, restored bool) {
 	r := s.running[id]
 	delete(s.running, id)
-	if how == Served || how == Erred {
-		s.answered = now
+	if outcome == Served || outcome == Errored {
+		s.respondedAt = now
 	}
 	if r == nil {
 		return false, false
 	}
-	defer func() { s.spare = append(s.spare, r) }()
-	r.recordTime()
-	// One that came with little time left would have been late anywhere.
-	if how == Late && r.TypicalLatency > 0 && now-r.began < lateLatencyFactor*r.TypicalLatency {
-		how = Void
+	defer func() { s.freeRuns = append(s.freeRuns, r) }()
+	r.endProbes()
+	// A request that arrived shortly before its deadline would have timed out at any server.
+	if outcome == TimedOut && r.TypicalLatency > 0 && now-r.startedAt < lateLatencyFactor*r.TypicalLatency {
+		outcome = Void
 	}
-	if r.overdue || how == Void {
+	if r.overdue || outcome == Void {
 		return false, false
 	}
-	if how == Served && r.TypicalLatency > 0 {
-		ratio := min(maxRelativeLatency, float64(now-r.began)/float64(r.TypicalLatency))
+	if outcome == Served && r.TypicalLatency > 0 {
+		ratio := min(maxRelativeLatency, float64(now-r.startedAt)/float64(r.TypicalLatency))
 		s.latencyRuns++
 		s.relativeLatency = max(minRelativeLatency, s.relativeLatency+(ratio-s.relativeLatency)*max(relativeLatencyGain, 1/float64(s.latencyRuns+1)))
 	}
-	return s.recordOutcome(now, r, how == Served)
+	return s.recordOutcome(now, r, outcome == Served)
 }
 
-// recordTime ends a probe.
-func (r *run) recordTime() {
+// endProbes ends the probes that the request is counted as.
+func (r *run) endProbes() {
 	for _, rec := range r.probes {
 		rec.probing--
 	}
 	r.probes = r.probes[:0]
 }
 
-// fresh returns room for a request. What is kept is no more than what has run at once.
-func (s *Server) fresh() *run {
-	n := len(s.spare)
+// allocRun returns a run from the free list, or a new one. The list is bounded by the maximum number of concurrent requests.
+func (s *Server) allocRun() *run {
+	n := len(s.freeRuns)
 	if n == 0 {
 		return new(run)
 	}
-	r := s.spare[n-1]
-	s.spare = s.spare[:n-1]
+	r := s.freeRuns[n-1]
+	s.freeRuns = s.freeRuns[:n-1]
 	return r
 }
 
-// recordOutcome records an outcome for the callers of its zone, and for all callers unless only that zone is affected.
-func (s *Server) recordOutcome(now time.Duration, r *run, good bool) (ejected, restored bool) {
+// recordOutcome records an outcome in the record of its zone, and in that of all callers unless the server is ejected for the
+// zone or has just been restored for it.
+func (s *Server) recordOutcome(now time.Duration, r *run, success bool) (ejected, restored bool) {
 	if !s.all.ejected {
-		z := s.zones[r.Zone]
-		if z == nil && len(s.zones) < maxZones {
-			z = &record{}
-			s.zones[r.Zone] = z
+		zone := s.zones[r.Zone]
+		if zone == nil && len(s.zones) < maxZones {
+			zone = &record{}
+			s.zones[r.Zone] = zone
 		}
-		if z != nil {
-			if ejected, restored = z.recordOutcome(now, r.began, good); z.ejected || restored {
+		if zone != nil {
+			if ejected, restored = zone.recordOutcome(now, r.startedAt, success); zone.ejected || restored {
 				return ejected, restored
 			}
 		}
 	}
-	ejected, restored = s.all.recordOutcome(now, r.began, good)
+	ejected, restored = s.all.recordOutcome(now, r.startedAt, success)
 	if ejected {
-		clear(s.zones) // it is everybody's
+		clear(s.zones) // the ejection applies to all zones
 	}
 	return ejected, restored
 }
 
-// overdue counts requests that run for too long as failed, before their end: one that hangs ends with its caller's
-// patience, and until then the server would go on being sent others.
-func (s *Server) overdue(now time.Duration) {
+// failOverdue counts requests that have been running for too long as failures. Waiting for their end would detect a hanging
+// server only when the callers time out, and it would receive further requests until then.
+func (s *Server) failOverdue(now time.Duration) {
 	if now-s.checkedAt < minOverdueTime/8 {
 		return
 	}
 	s.checkedAt = now
 	for _, r := range s.running {
-		if !r.overdue && r.TypicalLatency > 0 && now-r.began > max(minOverdueTime, overdueLatencyFactor*r.TypicalLatency) {
+		if !r.overdue && r.TypicalLatency > 0 && now-r.startedAt > max(minOverdueTime, overdueLatencyFactor*r.TypicalLatency) {
 			r.overdue = true
-			r.recordTime()
+			r.endProbes()
 			s.recordOutcome(now, r, false)
 		}
 	}
 }
 
-// accepts reports whether a request may be sent; to an ejected server, only a few may, as probes.
-func (r *record) accepts(now time.Duration, c Call) bool {
+// accepts reports whether a request may be sent. An ejected server only receives probes.
+func (r *record) accepts(now time.Duration, call Call) bool {
 	if r == nil || !r.ejected {
 		return true
 	}
-	return r.probing == 0 && now >= r.ejectedUntil && now-r.probedAt >= probeInterval && !(c.NonIdempotent && now-max(r.ejectedUntil, r.probedAt) < nonIdempotentProbeAfter)
+	return r.probing == 0 && now >= r.ejectedUntil && now-r.probedAt >= probeInterval && !(call.NonIdempotent && now-max(r.ejectedUntil, r.probedAt) < nonIdempotentProbeAfter)
 }
 
-// recordOutcome records one outcome.
-func (r *record) recordOutcome(now, began time.Duration, good bool) (ejected, restored bool) {
-	fade := math.Exp(-float64(now-r.at) / float64(outcomeWindow))
-	r.failures, r.total, r.at = r.failures*fade, r.total*fade+1, now
+// recordOutcome records the outcome of a request that was started at startedAt, and ejects or restores the server.
+func (r *record) recordOutcome(now, startedAt time.Duration, success bool) (ejected, restored bool) {
+	decay := math.Exp(-float64(now-r.updatedAt) / float64(outcomeWindow))
+	r.failures, r.total, r.updatedAt = r.failures*decay, r.total*decay+1, now
 	r.consecutiveFailures++
-	if good {
+	if success {
 		r.consecutiveFailures = 0
 	} else {
 		r.failures++
@@ -311,18 +315,18 @@
 		if now-r.restoredAt > ejectionResetAfter {
 			r.ejections = 0
 		}
-		if !good && (r.consecutiveFailures >= maxConsecutiveFailures || r.failures > minFailures && lowerBound(r.failures, r.total) > maxFailureShare) {
+		if !success && (r.consecutiveFailures >= maxConsecutiveFailures || r.failures > minFailures && lowerBound(r.failures, r.total) > maxFailureShare) {
 			r.eject(now)
 			return true, false
 		}
 		return false, false
 	}
 	switch {
-	case began < r.ejectedUntil: // sent before the ejection
-	case !good:
+	case startedAt < r.ejectedUntil: // the request is not a probe
+	case !success:
 		r.eject(now)
 	default:
-		if r.goodProbes++; r.goodProbes >= probesToRestore {
+		if r.successfulProbes++; r.successfulProbes >= probesToRestore {
 			r.ejected, r.restoredAt, r.failures, r.total, r.consecutiveFailures = false, now, 0, 0, 0
 			return false, true
 		}
@@ -330,16 +334,16 @@
 	return false, false
 }
 
-// eject ejects the server for the callers of this record, each time for longer.
+// eject ejects the server for the callers of this record, for longer with each ejection.
 func (r *record) eject(now time.Duration) {
-	r.ejected, r.goodProbes = true, 0
+	r.ejected, r.successfulProbes = true, 0
 	r.ejectedUntil = now + min(maxEjectionTime, baseEjectionTime<<min(r.ejections, maxEjectionDoublings))
 	r.ejections++
 }
 
-// lowerBound is the lower bound of the Wilson score interval of a share (Wilson, 1927).
-func lowerBound(bad, total float64) float64 {
+// lowerBound returns the lower bound of the Wilson score interval of the share of failures (Wilson, 1927).
+func lowerBound(failures, total float64) float64 {
 	const z = confidence
-	p := bad / total
+	p := failures / total
 	return (p + z*z/(2*total) - z*math.Sqrt(p*(1-p)/total+z*z/(4*total*total))) / (1 + z*z/total)
 }
--- a/internal/dataplane/health/health_test.go
+++ b/internal/dataplane/health/health_test.go
@@ -10,142 +10,144 @@
 
 const ms = time.Millisecond
 
-// healthSim sends requests to a server, one every 10 ms, whose run takes the usual 100 ms.
+// healthSim simulates a server that is offered a request every 10 ms. The typical latency is 100 ms.
 type healthSim struct {
-	s      *Server
-	rng    *rand.Rand
-	now    time.Duration
-	n      int
-	given  map[string]int // by zone
-	failed int
+	server  *Server
+	rng     *rand.Rand
+	now     time.Duration
+	offered int            // requests offered
+	sent    map[string]int // requests sent to the server, by zone
+	failed  int
 }
 
-func runHealthSim(seed uint64) *healthSim {
-	return &healthSim{s: New(0), rng: rand.New(rand.NewPCG(seed, 1)), given: map[string]int{}}
+func newHealthSim(seed uint64) *healthSim {
+	return &healthSim{server: New(0), rng: rand.New(rand.NewPCG(seed, 1)), sent: map[string]int{}}
 }
 
-// run plays for a time; end says what becomes of a request, and after how long.
-func (w *healthSim) run(d time.Duration, once bool, end func(zone string) (Outcome, time.Duration)) {
+// run runs the simulation for a time. end returns the outcome of a request and its duration.
+func (sim *healthSim) run(duration time.Duration, nonIdempotent bool, end func(zone string) (Outcome, time.Duration)) {
 	type ending struct {
-		at  time.Duration
-		id  string
-		how Outcome
-	}
-	var open []ending
-	for until := w.now + d; w.now < until; w.now += 10 * ms {
-		keep := open[:0]
-		for _, e := range open {
-			if e.at <= w.now {
-				w.s.End(w.now, e.id, e.how)
-				if e.how != Served {
-					w.failed++
+		at      time.Duration
+		id      string
+		outcome Outcome
+	}
+	var running []ending
+	for until := sim.now + duration; sim.now < until; sim.now += 10 * ms {
+		remaining := running[:0]
+		for _, e := range running {
+			if e.at <= sim.now {
+				sim.server.End(sim.now, e.id, e.outcome)
+				if e.outcome != Served {
+					sim.failed++
 				}
 			} else {
-				keep = append(keep, e)
+				remaining = append(remaining, e)
 			}
 		}
-		open = keep
-		w.n++
-		c := Call{Zone: fmt.Sprint("z", w.n%4), TypicalLatency: 100 * ms, NonIdempotent: once}
-		if w.s.Check(w.now, c) != Healthy {
+		running = remaining
+		sim.offered++
+		c := Call{Zone: fmt.Sprint("z", sim.offered%4), TypicalLatency: 100 * ms, NonIdempotent: nonIdempotent}
+		if sim.server.Check(sim.now, c) != Healthy {
 			continue
 		}
-		id := fmt.Sprint(w.n)
-		w.s.Begin(w.now, id, c)
-		w.given[c.Zone]++
-		how, took := end(c.Zone)
-		open = append(open, ending{w.now + took, id, how})
+		id := fmt.Sprint(sim.offered)
+		sim.server.Begin(sim.now, id, c)
+		sim.sent[c.Zone]++
+		outcome, took := end(c.Zone)
+		running = append(running, ending{sim.now + took, id, outcome})
 	}
-	for _, e := range open {
-		w.s.End(w.now, e.id, Void)
+	for _, e := range running {
+		sim.server.End(sim.now, e.id, Void)
 	}
 }
 
-// share fails a part of the requests.
-func (w *healthSim) share(x float64, zone string) func(string) (Outcome, time.Duration) {
-	return func(z string) (Outcome, time.Duration) {
-		if (zone == "" || z == zone) && w.rng.Float64() < x {
-			return Erred, ms
+// failShare returns an end function of run that fails a share of the requests of a zone, or of all zones if zone is empty.
+func (sim *healthSim) failShare(share float64, zone string) func(string) (Outcome, time.Duration) {
+	return func(caller string) (Outcome, time.Duration) {
+		if (zone == "" || caller == zone) && sim.rng.Float64() < share {
+			return Errored, ms
 		}
 		return Served, 100 * ms
 	}
 }
 
-// TestUsualErrorsTakeNobodyOut: an application has some failures of its own.
-func TestUsualErrorsTakeNobodyOut(t *testing.T) {
-	turned := 0
+// TestBackgroundErrorsDoNotEject checks that a low rate of application errors hardly ever ejects a server.
+func TestBackgroundErrorsDoNotEject(t *testing.T) {
+	rejected := 0
 	for seed := range uint64(20) {
-		w := runHealthSim(seed)
-		w.run(100*time.Second, false, w.share(0.004, ""))
-		turned += w.n - w.given["z0"] - w.given["z1"] - w.given["z2"] - w.given["z3"]
+		sim := newHealthSim(seed)
+		sim.run(100*time.Second, false, sim.failShare(0.004, ""))
+		rejected += sim.offered - sim.sent["z0"] - sim.sent["z1"] - sim.sent["z2"] - sim.sent["z3"]
 	}
-	if turned > 20*10000/500 {
-		t.Errorf("%d of 200,000 requests were turned away for failures that are usual", turned)
+	if rejected > 20*10000/500 {
+		t.Errorf("%d of 200,000 requests were rejected at an error rate of 0.4 %%, want at most 400", rejected)
 	}
 }
 
-// TestUnhealthyServers: what fails is ejected soon, for those whom it fails, and is back soon after it is healthy.
+// TestUnhealthyServers checks that a failing server is soon ejected for the affected zones only, and is restored soon after it
+// has recovered.
 func TestUnhealthyServers(t *testing.T) {
 	for _, c := range []struct {
 		name, zone string
-		x          float64
-		maxFailed  int // of those 2,000 that it would get in ten seconds
+		share      float64 // of failing requests
+		maxFailed  int     // of the 1,000 requests offered in 10 s
 	}{
-		{"some for all", "", 0.4, 60},
-		{"all for all", "", 1, 40},
-		{"some of one zone", "z1", 0.4, 40},
+		{"some requests of all zones", "", 0.4, 60},
+		{"all requests of all zones", "", 1, 40},
+		{"some requests of one zone", "z1", 0.4, 40},
 	} {
 		for seed := range uint64(10) {
-			w := runHealthSim(seed)
-			w.run(5*time.Second, false, w.share(0, ""))
-			before := w.given["z2"]
-			w.run(10*time.Second, false, w.share(c.x, c.zone))
-			if out := w.s.Ejected(); c.x == 1 && !slices.Equal(out, []string{Everywhere}) || c.zone != "" && slices.Contains(out, "z2") {
-				t.Errorf("%s, seed %d: out for %v", c.name, seed, out)
+			sim := newHealthSim(seed)
+			sim.run(5*time.Second, false, sim.failShare(0, ""))
+			before := sim.sent["z2"]
+			sim.run(10*time.Second, false, sim.failShare(c.share, c.zone))
+			if zones := sim.server.Ejected(); c.share == 1 && !slices.Equal(zones, []string{AllZones}) || c.zone != "" && slices.Contains(zones, "z2") {
+				t.Errorf("%s, seed %d: ejected for zones %v", c.name, seed, zones)
 			}
-			if w.failed > c.maxFailed {
-				t.Errorf("%s, seed %d: %d requests failed", c.name, seed, w.failed)
+			if sim.failed > c.maxFailed {
+				t.Errorf("%s, seed %d: too many failed requests: %d", c.name, seed, sim.failed)
 			}
-			if other := w.given["z2"] - before; c.zone != "" && other < 240 {
-				t.Errorf("%s, seed %d: another zone had %d of 250 requests", c.name, seed, other)
+			if other := sim.sent["z2"] - before; c.zone != "" && other < 240 {
+				t.Errorf("%s, seed %d: only %d of 250 requests of a healthy zone were sent", c.name, seed, other)
 			}
-			w.run(15*time.Second, false, w.share(0, ""))
-			before = w.given["z1"]
-			w.run(5*time.Second, false, w.share(0, ""))
-			if back := w.given["z1"] - before; back < 120 {
-				t.Errorf("%s, seed %d: 15 s after it was healthy it had %d of 125 requests", c.name, seed, back)
+			sim.run(15*time.Second, false, sim.failShare(0, ""))
+			before = sim.sent["z1"]
+			sim.run(5*time.Second, false, sim.failShare(0, ""))
+			if back := sim.sent["z1"] - before; back < 120 {
+				t.Errorf("%s, seed %d: only %d of 125 requests were sent 15 s after the recovery", c.name, seed, back)
 			}
 		}
 	}
 }
 
-// TestProbes: requests that may run once are probes only where no others come.
+// TestProbes checks that an ejected server gets fewer probes if all requests are non-idempotent.
 func TestProbes(t *testing.T) {
-	for once, most := range map[bool]int{false: 60, true: 20} {
-		w := runHealthSim(1)
-		w.run(time.Second, once, w.share(1, ""))
-		before := w.failed
-		w.run(20*time.Second, once, w.share(1, ""))
-		if n := w.failed - before; n == 0 || n > most {
-			t.Errorf("once %v: %d probes in 20 s", once, n)
+	for nonIdempotent, maxProbes := range map[bool]int{false: 60, true: 20} {
+		sim := newHealthSim(1)
+		sim.run(time.Second, nonIdempotent, sim.failShare(1, ""))
+		before := sim.failed
+		sim.run(20*time.Second, nonIdempotent, sim.failShare(1, ""))
+		if n := sim.failed - before; n == 0 || n > maxProbes {
+			t.Errorf("non-idempotent %v: %d probes in 20 s", nonIdempotent, n)
 		}
 	}
 }
 
-// TestHanging: requests that hang are counted while they do, and a server that answers nothing has a probe now and then.
+// TestHanging checks that hanging requests count as failures before they end, and that a hanging server gets one probe per
+// interval until it responds.
 func TestHanging(t *testing.T) {
-	w := runHealthSim(3)
-	w.run(5*time.Second, false, w.share(0, ""))
-	before := w.given["z0"] + w.given["z1"] + w.given["z2"] + w.given["z3"]
+	sim := newHealthSim(3)
+	sim.run(5*time.Second, false, sim.failShare(0, ""))
+	before := sim.sent["z0"] + sim.sent["z1"] + sim.sent["z2"] + sim.sent["z3"]
 	n := 0
-	w.run(3*time.Second, false, func(string) (Outcome, time.Duration) {
+	sim.run(3*time.Second, false, func(string) (Outcome, time.Duration) {
 		if n++; n%2 == 0 {
 			return Broken, 10 * time.Second
 		}
 		return Served, 100 * ms
 	})
-	if got := w.given["z0"] + w.given["z1"] + w.given["z2"] + w.given["z3"] - before; got > 100 {
-		t.Errorf("a server that lets every second request hang had %d of 300 in 3 s", got)
+	if got := sim.sent["z0"] + sim.sent["z1"] + sim.sent["z2"] + sim.sent["z3"] - before; got > 100 {
+		t.Errorf("%d of 300 requests were sent to a server at which every second request hangs, want at most 100", got)
 	}
 	s := New(0)
 	for i := range minHangingCalls {
@@ -153,48 +155,49 @@
 	}
 	now := hangTimeout + ms
 	if got := s.Check(now, Call{IgnoreEjection: true}); got != Healthy {
-		t.Errorf("the probe: %v", got)
+		t.Errorf("first probe of a hanging server: %v, want Healthy", got)
 	}
 	if got := s.Check(now+ms, Call{IgnoreEjection: true}); got != Hangs {
-		t.Errorf("right behind the probe: %v", got)
+		t.Errorf("1 ms after the probe: %v, want Hangs", got)
 	}
 	s.End(now+2*ms, "0", Served)
 	if got := s.Check(now+3*ms, Call{}); got != Healthy {
-		t.Errorf("after an answer: %v", got)
+		t.Errorf("after a response: %v, want Healthy", got)
 	}
 }
 
-// TestLateIsNotAlwaysTheServers: what comes with little time left shows nothing, and what hangs to its end does.
-func TestLateIsNotAlwaysTheServers(t *testing.T) {
-	for took, out := range map[time.Duration]bool{50 * ms: false, 400 * ms: true} {
+// TestTimeouts checks that requests that time out after a short time do not eject a server, and that those that time out after
+// several typical latencies do.
+func TestTimeouts(t *testing.T) {
+	for took, ejected := range map[time.Duration]bool{50 * ms: false, 400 * ms: true} {
 		s := New(0)
 		for i := range 8 {
 			id := fmt.Sprint(i)
 			now := time.Duration(i) * time.Second
 			s.Begin(now, id, Call{TypicalLatency: 100 * ms})
-			s.End(now+took, id, Late)
+			s.End(now+took, id, TimedOut)
 		}
-		if zones := s.Ejected(); (len(zones) > 0) != out {
-			t.Errorf("late after %v: out for %v", took, zones)
+		if zones := s.Ejected(); (len(zones) > 0) != ejected {
+			t.Errorf("timeouts after %v: ejected for zones %v", took, zones)
 		}
 	}
 }
 
-// TestPace: a slow server says so.
-func TestPace(t *testing.T) {
-	for _, x := range []float64{0.7, 1, 1.5} {
-		w := runHealthSim(4)
-		w.run(10*time.Second, false, func(string) (Outcome, time.Duration) {
-			return Served, time.Duration(x * 100 * float64(ms))
+// TestRelativeLatency checks that the relative latency converges to the server's latency in multiples of the typical one.
+func TestRelativeLatency(t *testing.T) {
+	for _, latency := range []float64{0.7, 1, 1.5} {
+		sim := newHealthSim(4)
+		sim.run(10*time.Second, false, func(string) (Outcome, time.Duration) {
+			return Served, time.Duration(latency * 100 * float64(ms))
 		})
-		if got := w.s.RelativeLatency(); got < 0.9*x || got > 1.2*x {
-			t.Errorf("a server of %v usual times a request says %v", x, got)
+		if got := sim.server.RelativeLatency(); got < 0.9*latency || got > 1.2*latency {
+			t.Errorf("server with latency %v times the typical one: relative latency is %v", latency, got)
 		}
 	}
 }
 
-// TestTwoProbesOfOneId: two clients give their requests one id, and both are probes of a server that is ejected. It is tried
-// again all the same once they have ended.
+// TestTwoProbesOfOneId checks that two probes with the same ID, sent by different clients, do not block further probes after
+// they have ended.
 func TestTwoProbesOfOneId(t *testing.T) {
 	s := New(0)
 	call := Call{TypicalLatency: 100 * ms}
@@ -205,15 +208,15 @@
 	}
 	now := baseEjectionTime + ms
 	if s.Check(0, call) != Unhealthy || s.Check(now, call) != Healthy {
-		t.Fatal("the server is not ejected, or gets no probe")
-	}
-	insists := call
-	insists.IgnoreEjection = true
-	s.Begin(now, "one", call)
-	s.Begin(now, "one", insists)
-	s.End(now, "one", Void)
-	s.End(now, "one", Void)
+		t.Fatal("the server is not ejected, or receives no probe")
+	}
+	forced := call
+	forced.IgnoreEjection = true
+	s.Begin(now, "id", call)
+	s.Begin(now, "id", forced)
+	s.End(now, "id", Void)
+	s.End(now, "id", Void)
 	if v := s.Check(now+probeInterval, call); v != Healthy {
-		t.Errorf("no further probe: %v", v)
+		t.Errorf("further probe: %v, want Healthy", v)
 	}
 }
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -1,11 +1,11 @@
-// Package localserver decides for the node that stands beside a server, and is the
-// only one that speaks to it: which incarnations of servers there are, when one has
-// drained or hangs, who has a slot, who is queued, and who is rejected before the
-// server has seen a byte.
+// Package localserver manages the servers on a node's machine, to which only that
+// node sends requests. It tracks the incarnations of servers and their health,
+// assigns slots, queues requests, and rejects requests before any byte is sent to
+// the server.
 //
-// Admission is a pure state machine: it takes the time and an event, and returns
-// what the driver has to do. Times are durations since a moment of the driver's
-// choice. It is not for use by several goroutines.
+// Registry is a pure state machine: it takes the time and an event, and returns
+// the action to perform. Times are durations since an epoch chosen by the driver.
+// It is not safe for concurrent use.
 package localserver
 
 import (
@@ -17,165 +17,168 @@
 )
 
 const (
-	maxQueuePerSlot     = 0.5             // requests that wait, by slots, at most: a longer queue keeps no slot busier ...
-	minQueueLimit       = 2               // ... but so many may
-	maxMissedHeartbeats = 3               // after which a server is taken for gone
-	forgetAfter         = 2 * time.Minute // incarnations that ended are remembered for as long
-	maxIncarnations     = 64              // remembered at a time
-	maxCalledServices   = 16              // distinct services that are counted in the calls of one run
-	defaultSlots        = 8
+	maxQueuePerSlot     = 0.5             // maximum queue length per slot; a longer queue would not raise the utilization
+	minQueueLimit       = 2               // lower bound of the maximum queue length
+	maxMissedHeartbeats = 3               // missed heartbeats after which a server is terminated
+	forgetAfter         = 2 * time.Minute // retention of terminated incarnations, since their last heartbeat
+	maxIncarnations     = 64              // including terminated ones
+	maxCalledServices   = 16              // distinct services counted in the calls of one run
+	defaultSlots        = 8               // of a server that does not report its slots
 )
 
-// Heartbeat is what a server says of itself.
+// Heartbeat is the state that a server reports to its node.
 type Heartbeat struct {
 	ID, Service, Address, Zone string
 	Slots                      int
 	Draining                   bool
-	WarmupLeft                 time.Duration // for so much longer it is slow from its start
-	Seq                        uint64
+	WarmupLeft                 time.Duration // remaining time of the slow start
+	Seq                        uint64        // heartbeats with a lower number than the last one are ignored
 }
 
-// Decision is what a request gets on its arrival.
+// Decision is the result of Arrive.
 type Decision int
 
-// The decisions. A request that is rejected has not reached the server.
+// The decisions. A rejected request has not reached the server.
 const (
-	Slot       Decision = iota // it goes to the server at once
-	Queue                      // a Verdict on its ticket follows
-	Full                       // no room
-	Hangs                      // the server does not answer
-	Unhealthy                  // it fails too many
-	Terminated                 // that incarnation of the server takes nothing any more
+	Slot       Decision = iota // the request is sent to the server at once
+	Queue                      // the request is queued; a SlotGrant for its ticket follows
+	Full                       // no free slot, and no place in the queue
+	Hangs                      // the server does not respond
+	Unhealthy                  // the server is ejected
+	Terminated                 // the incarnation does not exist, has ended, is draining, or belongs to another service
 )
 
-// Registry is the state beside the servers of one machine. T names a request to
-// its driver.
+// Registry is the state of the servers on one machine. T identifies a queued
+// request to the driver.
 type Registry[T comparable] struct {
 	drain, heartbeat time.Duration
 	incarnations     map[string]*incarnation[T]
-	runs             map[string]*run // by the Attempt-Ids at servers here
-	freeRuns         []*run          // that have ended, for those to come
+	runs             map[string]*run // requests at local servers, by Attempt-Id
+	freeRuns         []*run          // free list
 }
 
 // incarnation is one incarnation of a server.
 type incarnation[T comparable] struct {
 	Heartbeat
 	heartbeatAt   time.Duration
-	lastHeartbeat bool // it has spoken for itself to this process
+	heartbeatSeen bool // it has sent a heartbeat to this process
 	drained       bool
 	drainedAt     time.Duration // when its draining status was first acknowledged
 	terminated    bool
-	unresponsive  bool // it has missed its heartbeats; the next one ends that
+	unresponsive  bool // terminated by Sweep; a further heartbeat restores it
 
-	inflight int
-	queue    []queuedRequest[T] // in the order in which they are to be served
-	answered time.Duration      // when it last answered anything
-	health   *health.Server
+	inflight    int
+	queue       []queuedRequest[T] // by priority, then in order of arrival
+	respondedAt time.Duration      // time of the last response
+	health      *health.Server
 }
 
-// New returns an Admission without servers. After drain from the acknowledgement of
-// a draining status nothing may arrive; servers speak every heartbeat.
+// New returns a Registry without servers. No request may arrive at a server later
+// than drain after its draining status was acknowledged. Servers send a heartbeat
+// every heartbeat interval.
 func New[T comparable](drain, heartbeat time.Duration) *Registry[T] {
 	return &Registry[T]{drain: drain, heartbeat: heartbeat, incarnations: map[string]*incarnation[T]{}, runs: map[string]*run{}}
 }
 
-// HeartbeatResult is what a heartbeat meant.
+// HeartbeatResult is the result of Registry.Heartbeat.
 type HeartbeatResult[T comparable] struct {
-	OK        bool     // false: the incarnation has ended, or the heartbeat came late
-	New       bool     // an incarnation that was not known
-	Recovered bool     // an incarnation that was taken for gone, for its silence
-	Drains    bool     // its draining status is new
-	Ended     []string // incarnations that this one has ended, having their address
+	OK        bool     // false if the incarnation has ended, or maxIncarnations is reached
+	New       bool     // the incarnation was unknown
+	Recovered bool     // the incarnation had been terminated by Sweep
+	Drains    bool     // the incarnation has begun to drain
+	Ended     []string // earlier incarnations at the same address, which this one has replaced
 	Verdicts  []SlotGrant[T]
 }
 
-// Heartbeat takes a server's word.
-func (s *Registry[T]) Heartbeat(now time.Duration, b Heartbeat) (h HeartbeatResult[T]) {
-	m := s.incarnations[b.ID]
-	if m == nil {
+// Heartbeat handles a heartbeat of a server.
+func (s *Registry[T]) Heartbeat(now time.Duration, heartbeat Heartbeat) (result HeartbeatResult[T]) {
+	server := s.incarnations[heartbeat.ID]
+	if server == nil {
 		if len(s.incarnations) >= maxIncarnations {
-			return h
+			return result
 		}
-		h.New = true
-		m = &incarnation[T]{answered: now, health: health.New(now)}
-		s.incarnations[b.ID] = m
-		// A new incarnation at the same address has ended the one before.
+		result.New = true
+		server = &incarnation[T]{respondedAt: now, health: health.New(now)}
+		s.incarnations[heartbeat.ID] = server
+		// A new incarnation replaces all earlier ones at its address.
 		for _, id := range s.ids() {
 			old := s.incarnations[id]
-			if id == b.ID || old.Address != b.Address {
+			if id == heartbeat.ID || old.Address != heartbeat.Address {
 				continue
 			}
 			old.unresponsive = false
 			if !old.terminated {
-				h.Ended = append(h.Ended, id)
-				h.Verdicts = append(h.Verdicts, old.end()...)
+				result.Ended = append(result.Ended, id)
+				result.Verdicts = append(result.Verdicts, old.end()...)
 			}
 		}
-	} else if b.Seq < m.Seq || m.terminated && !m.unresponsive {
-		h.OK = !m.terminated
-		return h
-	} else if m.unresponsive { // it had stalled, and is still the same incarnation
-		h.Recovered = true
-		m.terminated, m.unresponsive, m.answered, m.health = false, false, now, health.New(now)
+	} else if heartbeat.Seq < server.Seq || server.terminated && !server.unresponsive {
+		result.OK = !server.terminated
+		return result
+	} else if server.unresponsive { // the same incarnation sends heartbeats again
+		result.Recovered = true
+		server.terminated, server.unresponsive, server.respondedAt, server.health = false, false, now, health.New(now)
 	}
-	if b.Slots <= 0 {
-		b.Slots = defaultSlots
+	if heartbeat.Slots <= 0 {
+		heartbeat.Slots = defaultSlots
 	}
-	b.Draining = b.Draining || m.Draining // which is final
-	m.Heartbeat, m.heartbeatAt = b, now
-	m.health.SetWarmup(now, b.WarmupLeft)
-	if b.Draining && !m.drained {
-		m.drained, m.drainedAt, h.Drains = true, now, true
-		if !m.lastHeartbeat {
-			// The draining status may have been acknowledged by an earlier process of this node, at an unknown time, which
-			// counts as past.
-			m.drainedAt = now - s.drain
+	heartbeat.Draining = heartbeat.Draining || server.Draining // draining is never revoked
+	server.Heartbeat, server.heartbeatAt = heartbeat, now
+	server.health.SetWarmup(now, heartbeat.WarmupLeft)
+	if heartbeat.Draining && !server.drained {
+		server.drained, server.drainedAt, result.Drains = true, now, true
+		if !server.heartbeatSeen {
+			// An earlier process of this node may have acknowledged the draining status at an unknown time. Assume that the
+			// drain time is over.
+			server.drainedAt = now - s.drain
 		}
 	}
-	m.lastHeartbeat, h.OK = true, true
-	return h
+	server.heartbeatSeen, result.OK = true, true
+	return result
 }
 
-// Adopt adds a server that the registry has for this machine, until it sends a heartbeat
-// itself: a process that restarts need not wait for that. What it
-// is sent names the incarnation, so that another at its address rejects it.
-func (s *Registry[T]) Adopt(now time.Duration, b Heartbeat) bool {
-	if len(s.incarnations) > 0 || b.Slots <= 0 {
+// Adopt adds a server that is registered for this machine before its first
+// heartbeat to this process, so that a restarted process can serve at once. It
+// reports false if any server is known already. Requests name the incarnation that
+// they are for, so that another incarnation at its address rejects them.
+func (s *Registry[T]) Adopt(now time.Duration, registered Heartbeat) bool {
+	if len(s.incarnations) > 0 || registered.Slots <= 0 {
 		return false
 	}
-	s.incarnations[b.ID] = &incarnation[T]{Heartbeat: b, heartbeatAt: now, answered: now, health: health.New(now)}
+	s.incarnations[registered.ID] = &incarnation[T]{Heartbeat: registered, heartbeatAt: now, respondedAt: now, health: health.New(now)}
 	return true
 }
 
-// Deregister ends a server at its own request.
-func (s *Registry[T]) Deregister(id string) (ended bool, v []SlotGrant[T]) {
-	m := s.incarnations[id]
-	if m == nil {
+// Deregister terminates a server at its own request. It reports false if the server is
+// unknown or already terminated.
+func (s *Registry[T]) Deregister(id string) (ended bool, verdicts []SlotGrant[T]) {
+	server := s.incarnations[id]
+	if server == nil {
 		return false, nil
 	}
-	m.unresponsive = false
-	if m.terminated {
+	server.unresponsive = false
+	if server.terminated {
 		return false, nil
 	}
-	return true, m.end()
+	return true, server.end()
 }
 
-// end takes an incarnation out of service.
-func (m *incarnation[T]) end() (v []SlotGrant[T]) {
+// end terminates an incarnation and rejects its queued requests.
+func (m *incarnation[T]) end() (verdicts []SlotGrant[T]) {
 	m.terminated = true
 	return m.clear()
 }
 
 // clear rejects all queued requests.
-func (m *incarnation[T]) clear() (v []SlotGrant[T]) {
-	for _, w := range m.queue {
-		v = append(v, SlotGrant[T]{w.ticket, false})
+func (m *incarnation[T]) clear() (verdicts []SlotGrant[T]) {
+	for _, queued := range m.queue {
+		verdicts = append(verdicts, SlotGrant[T]{queued.ticket, false})
 	}
 	m.queue = nil
-	return v
+	return verdicts
 }
 
-// ids are the incarnations in a fixed order, so that simulations repeat.
+// ids returns the IDs of all incarnations in sorted order, so that simulations are deterministic.
 func (s *Registry[T]) ids() []string {
 	list := make([]string, 0, len(s.incarnations))
 	for id := range s.incarnations {
@@ -185,65 +188,65 @@
 	return list
 }
 
-// Sweep terminates servers without a heartbeat for too long, and forgets incarnations
-// that ended. It returns the ids of those that it ended.
-func (s *Registry[T]) Sweep(now time.Duration) (unresponsive []string, v []SlotGrant[T]) {
+// Sweep terminates servers that have sent neither heartbeats nor responses for too
+// long, and returns their IDs. It drops incarnations that were terminated long ago.
+func (s *Registry[T]) Sweep(now time.Duration) (unresponsive []string, verdicts []SlotGrant[T]) {
 	for _, id := range s.ids() {
-		m := s.incarnations[id]
-		age := now - m.heartbeatAt
-		if m.terminated && age > forgetAfter {
+		server := s.incarnations[id]
+		age := now - server.heartbeatAt
+		if server.terminated && age > forgetAfter {
 			delete(s.incarnations, id)
 		}
-		if !m.terminated && age > maxMissedHeartbeats*s.heartbeat+time.Second && now-m.answered > s.heartbeat {
+		if !server.terminated && age > maxMissedHeartbeats*s.heartbeat+time.Second && now-server.respondedAt > s.heartbeat {
 			unresponsive = append(unresponsive, id)
-			v = append(v, m.end()...)
-			m.unresponsive = true
+			verdicts = append(verdicts, server.end()...)
+			server.unresponsive = true
 		}
 	}
-	return unresponsive, v
+	return unresponsive, verdicts
 }
 
-// Servers returns the servers of this machine as they should be registered.
+// Servers returns the servers of this machine as they should be registered, sorted by ID.
 func (s *Registry[T]) Servers() []Heartbeat {
 	var list []Heartbeat
-	for _, m := range s.incarnations {
-		if !m.terminated {
-			list = append(list, m.Heartbeat)
+	for _, server := range s.incarnations {
+		if !server.terminated {
+			list = append(list, server.Heartbeat)
 		}
 	}
 	slices.SortFunc(list, func(a, b Heartbeat) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-// Busy is the number of requests that servers here hold, or that wait for them.
+// Busy returns the number of running and queued requests of all local servers.
 func (s *Registry[T]) Busy() int {
 	n := 0
-	for _, m := range s.incarnations {
-		n += m.inflight + len(m.queue)
+	for _, server := range s.incarnations {
+		n += server.inflight + len(server.queue)
 	}
 	return n
 }
 
-// Load is the number of requests at one server, and of those that wait for it.
+// Load returns the number of running and of queued requests of a server.
 func (s *Registry[T]) Load(id string) (inflight, queued int) {
-	if m := s.incarnations[id]; m != nil {
-		return m.inflight, len(m.queue)
+	if server := s.incarnations[id]; server != nil {
+		return server.inflight, len(server.queue)
 	}
 	return 0, 0
 }
 
-// Unhealthy returns the zones for whose callers a server is ejected; see health.
+// Unhealthy returns the zones for whose callers a server is ejected; see health.Server.Ejected.
 func (s *Registry[T]) Unhealthy(id string) []string {
-	if m := s.incarnations[id]; m != nil {
-		return m.health.Ejected()
+	if server := s.incarnations[id]; server != nil {
+		return server.health.Ejected()
 	}
 	return nil
 }
 
-// Server returns what is known of an incarnation; ok is false where it has ended.
-func (s *Registry[T]) Server(id string) (b Heartbeat, ok bool) {
-	if m := s.incarnations[id]; m != nil && !m.terminated {
-		return m.Heartbeat, true
+// Server returns the last heartbeat of an incarnation; ok is false if it is unknown or terminated.
+func (s *Registry[T]) Server(id string) (heartbeat Heartbeat, ok bool) {
+	if server := s.incarnations[id]; server != nil && !server.terminated {
+		return server.Heartbeat, true
 	}
-	return b, false
+	return heartbeat, false
 }
--- a/internal/dataplane/localserver/register.go
+++ b/internal/dataplane/localserver/register.go
@@ -8,46 +8,46 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Machine is where the servers of a admission are registered.
+// Machine describes the machine of a Registry's servers, as it is registered with them.
 type Machine struct {
-	Node, Address, Zone string // Address: where the node beside them listens
-	Draining            bool   // the node goes, so its servers take nothing new
+	Node, Address, Zone string // Address is that of the node's internal listener
+	Draining            bool   // the node is shutting down, so its servers get no new requests
 }
 
-// The capabilities of a node, as the registry has them (wire.Server); each includes those before.
+// Protocol versions of a node, registered in wire.Server. Each includes the capabilities of the earlier ones.
 const (
-	ProtocolFields  = 1 // Forward.fields
+	ProtocolFields  = 1 // the node understands ForwardRequest.fields
 	protocolVersion = ProtocolFields
 )
 
-// Difference is what has to change in the registry, so that it has for a
-// machine what runs there. A node that has just started keeps what is registered
-// until its server has sent a heartbeat: whatever else is registered is older then.
-func Difference(m Machine, servers []Heartbeat, registered []*wire.Server, started bool) []*wire.Command {
-	old := map[string]*wire.Server{}
+// Difference returns the commands that make the registered servers of a machine equal
+// to its actual servers. If justStarted is true, registered servers are kept until the
+// first server has sent a heartbeat.
+func Difference(machine Machine, servers []Heartbeat, registered []*wire.Server, justStarted bool) []*wire.Command {
+	stale := map[string]*wire.Server{}
 	for _, s := range registered {
-		if s.Node == m.Node {
-			old[s.Member] = s
+		if s.Node == machine.Node {
+			stale[s.Member] = s
 		}
 	}
-	var todo []*wire.Command
-	for _, b := range servers {
+	var commands []*wire.Command
+	for _, server := range servers {
 		want := &wire.Server{
-			Member: b.ID, Service: b.Service, Node: m.Node, Address: m.Address, Zone: m.Zone,
-			Slots: uint32(b.Slots), Draining: b.Draining, NodeLeaving: m.Draining, ProtocolVersion: protocolVersion,
+			Member: server.ID, Service: server.Service, Node: machine.Node, Address: machine.Address, Zone: machine.Zone,
+			Slots: uint32(server.Slots), Draining: server.Draining, NodeLeaving: machine.Draining, ProtocolVersion: protocolVersion,
 		}
-		if !proto.Equal(want, old[b.ID]) {
-			todo = append(todo, &wire.Command{Change: &wire.Command_Server{Server: want}})
+		if !proto.Equal(want, stale[server.ID]) {
+			commands = append(commands, &wire.Command{Change: &wire.Command_Server{Server: want}})
 		}
-		delete(old, b.ID)
+		delete(stale, server.ID)
 	}
-	if len(old) == 0 || started && len(servers) == 0 {
-		return todo
+	if len(stale) == 0 || justStarted && len(servers) == 0 {
+		return commands
 	}
-	var gone []string
-	for id := range old {
-		gone = append(gone, id)
+	var removed []string
+	for id := range stale {
+		removed = append(removed, id)
 	}
-	slices.Sort(gone)
-	return append(todo, &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}})
+	slices.Sort(removed)
+	return append(commands, &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: removed}}})
 }
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -14,35 +14,36 @@
 	Times   uint32
 }
 
-// run is a request that a server here works on.
+// run is a request that a local server is running.
 type run struct {
-	repeat bool
-	called []CallCount
-	failed bool // a call that it made
+	retry      bool
+	calls      []CallCount
+	callFailed bool // a call made by the run has failed
 }
 
-// Graph reports whether a request with this Attempt-Id is a call that a run on this
-// machine makes, and whether that run is a repeat; the call is booked for the
-// run. Servers give their calls ids that begin with the id of the run; whoever
-// can name a run that is in flight here has been admitted with it. One who makes
-// up an id is a new entry.
-func (s *Registry[T]) Graph(attempt, service string) (inner, repeat bool) {
+// Graph reports whether a request with this Attempt-Id is a call made by a run on this
+// machine, and whether that run is a retry. If so, it counts the call for the run. The
+// Attempt-Ids of a run's calls begin with the Attempt-Id of the run. A request that
+// names a run in flight here was admitted together with that run; a request with an
+// unknown ID enters the mesh as a new call graph.
+func (s *Registry[T]) Graph(attempt, service string) (inner, retry bool) {
 	r := s.caller(attempt)
 	if r == nil {
 		return false, false
 	}
-	at := slices.IndexFunc(r.called, func(c CallCount) bool { return c.Service == service })
-	if at < 0 && len(r.called) < maxCalledServices {
-		at = len(r.called)
-		r.called = append(r.called, CallCount{Service: service})
+	i := slices.IndexFunc(r.calls, func(c CallCount) bool { return c.Service == service })
+	if i < 0 && len(r.calls) < maxCalledServices {
+		i = len(r.calls)
+		r.calls = append(r.calls, CallCount{Service: service})
 	}
-	if at >= 0 {
-		r.called[at].Times++
+	if i >= 0 {
+		r.calls[i].Times++
 	}
-	return true, r.repeat
+	return true, r.retry
 }
 
-// caller is the run here whose call has this Attempt-Id; nil: there is none.
+// caller returns the run on this machine that made the call with this Attempt-Id, or nil. The Attempt-Id is that of the run,
+// followed by a character other than a letter or a digit, and a suffix.
 func (s *Registry[T]) caller(attempt string) *run {
 	for i := len(attempt) - 1; i > 0; i-- {
 		c := attempt[i]
@@ -56,28 +57,29 @@
 	return nil
 }
 
-// Run records that a queued request is sent to its server.
-func (s *Registry[T]) Run(now time.Duration, q Request) {
+// Run records that a request with a slot is sent to its server. Arrive calls it for requests that are not queued.
+func (s *Registry[T]) Run(now time.Duration, request Request) {
 	r := new(run)
 	if n := len(s.freeRuns); n > 0 {
 		r, s.freeRuns = s.freeRuns[n-1], s.freeRuns[:n-1]
 	}
-	*r = run{repeat: q.Repeat}
-	s.runs[q.Attempt] = r
-	if m := s.incarnations[q.Member]; m != nil {
-		m.health.Begin(now, q.Attempt, q.Call)
+	*r = run{retry: request.Repeat}
+	s.runs[request.Attempt] = r
+	if server := s.incarnations[request.Member]; server != nil {
+		server.health.Begin(now, request.Attempt, request.Call)
 	}
 }
 
-// CallFailed notes that a call of a run here has failed: what the run comes to is not its server's fault then.
+// CallFailed records that a call made by a run on this machine has failed. An error response of that run then does not count
+// against its server.
 func (s *Registry[T]) CallFailed(attempt string) {
 	if r := s.caller(attempt); r != nil {
-		r.failed = true
+		r.callFailed = true
 	}
 }
 
-// ResultOf says what an outcome shows of the server. Its own 504 says that the time was up, which may be its callers' or
-// its calls' doing; runs that take far too long are counted while they last.
+// ResultOf returns the outcome of a response for outlier detection. A 504 response of the server is ignored, as its callers
+// or the calls that it made may have used up the time; overdue requests are detected while they run.
 func ResultOf(response *wire.ForwardResponse) health.Outcome {
 	switch response.Result {
 	case wire.ForwardResponse_ANSWERED:
@@ -85,54 +87,54 @@
 			return health.Void
 		}
 		if response.Status >= 500 {
-			return health.Erred
+			return health.Errored
 		}
 		return health.Served
-	case wire.ForwardResponse_NOT_RUN: // it has rejected a request that it had a slot for
+	case wire.ForwardResponse_NOT_RUN: // the server rejected a request although it had a free slot
 		if response.Terminated {
 			return health.Void
 		}
-		return health.Erred
+		return health.Errored
 	case wire.ForwardResponse_DEADLINE_EXCEEDED:
-		return health.Late
+		return health.TimedOut
 	}
 	return health.Broken
 }
 
-// Finished is what the end of a run means.
-type Finished[T comparable] struct {
-	Called          []CallCount // by the run
-	Queued          bool        // the server has no slot left
-	RelativeLatency float64     // time that a request takes there, in the usual time of its like
-	Utilization     float64     // requests that it has and that wait for it, by its slots
-	Ejected         bool        // its server was ejected for its failures, for some callers at least ...
-	Restored        bool        // ... or has work again
+// FinishResult is the result of Finish.
+type FinishResult[T comparable] struct {
+	Called          []CallCount // calls made by the run
+	Queued          bool        // the server has no free slot
+	RelativeLatency float64     // see health.Server.RelativeLatency
+	Utilization     float64     // running and queued requests per slot
+	Ejected         bool        // the outcome ejected the server, for some callers at least
+	Restored        bool        // the outcome restored the server
 	Verdicts        []SlotGrant[T]
 }
 
-// Finish records the end of a run, and passes its slot to the next request.
-func (s *Registry[T]) Finish(now time.Duration, member, attempt string, how health.Outcome) (f Finished[T]) {
+// Finish records the outcome of a run, and passes its slot to the next queued request.
+func (s *Registry[T]) Finish(now time.Duration, member, attempt string, outcome health.Outcome) (result FinishResult[T]) {
 	if r := s.runs[attempt]; r != nil {
-		f.Called = r.called
-		if r.failed && how == health.Erred {
-			how = health.Void
+		result.Called = r.calls
+		if r.callFailed && outcome == health.Errored {
+			outcome = health.Void
 		}
 		delete(s.runs, attempt)
 		s.freeRuns = append(s.freeRuns, r)
 	}
-	m := s.incarnations[member]
-	if m == nil {
-		return f
+	server := s.incarnations[member]
+	if server == nil {
+		return result
 	}
-	if how == health.Served || how == health.Erred {
-		m.answered = now
+	if outcome == health.Served || outcome == health.Errored {
+		server.respondedAt = now
 	}
-	f.Ejected, f.Restored = m.health.End(now, attempt, how)
-	f.Verdicts = s.grantSlots(now, m)
-	if f.Ejected || m.health.Hangs(now) { // those who wait are better served elsewhere
-		f.Verdicts = append(f.Verdicts, m.clear()...)
+	result.Ejected, result.Restored = server.health.End(now, attempt, outcome)
+	result.Verdicts = s.grantSlots(now, server)
+	if result.Ejected || server.health.Hangs(now) { // queued requests are retried at other servers
+		result.Verdicts = append(result.Verdicts, server.clear()...)
 	}
-	f.Queued = len(m.queue) > 0 || m.inflight >= m.Slots
-	f.RelativeLatency, f.Utilization = m.health.RelativeLatency(), float64(m.inflight+len(m.queue))/float64(m.Slots)
-	return f
+	result.Queued = len(server.queue) > 0 || server.inflight >= server.Slots
+	result.RelativeLatency, result.Utilization = server.health.RelativeLatency(), float64(server.inflight+len(server.queue))/float64(server.Slots)
+	return result
 }
--- a/internal/dataplane/localserver/slots.go
+++ b/internal/dataplane/localserver/slots.go
@@ -8,69 +8,71 @@
 	"ivydeck/internal/dataplane/health"
 )
 
-// Request is a request for a server here.
+// Request is a request to a local server.
 type Request struct {
 	Member, Service, Attempt string
 	Priority                 uint32 // 0 is the highest
-	Repeat                   bool   // an earlier try of it may have run
-	Wait                     bool   // it may wait for a slot
+	Repeat                   bool   // an earlier attempt may have run
+	Wait                     bool   // the request may be queued for a slot
 	health.Call
 }
 
-// SlotGrant is the answer to a queued request: it may run, or is rejected.
+// SlotGrant is the decision on a queued request: it gets a slot, or is rejected. Each queued request gets one, unless it is
+// dequeued before.
 type SlotGrant[T comparable] struct {
-	Ticket T
-	Go     bool
+	Ticket  T
+	Granted bool
 }
 
+// queuedRequest is a request in the queue of a server.
 type queuedRequest[T comparable] struct {
 	ticket   T
 	priority uint32
 }
 
-// Arrive gives a request its place; why says what was against it. A higher
-// request may replace the last one in the queue, which is rejected.
-func (s *Registry[T]) Arrive(now time.Duration, q Request, ticket T) (decision Decision, reason string, v []SlotGrant[T]) {
-	m := s.incarnations[q.Member]
-	if decision, reason = s.rejection(now, m, q); reason != "" {
+// Arrive decides whether a request gets a slot, is queued, or is rejected; reason is set
+// if it is rejected. If the queue is full, a request of higher priority replaces the last
+// one in the queue, which is rejected in verdicts.
+func (s *Registry[T]) Arrive(now time.Duration, request Request, ticket T) (decision Decision, reason string, verdicts []SlotGrant[T]) {
+	server := s.incarnations[request.Member]
+	if decision, reason = s.rejection(now, server, request); reason != "" {
 		return decision, reason, nil
 	}
-	if m.inflight < m.Slots && len(m.queue) == 0 {
-		m.inflight++
-		s.Run(now, q)
+	if server.inflight < server.Slots && len(server.queue) == 0 {
+		server.inflight++
+		s.Run(now, request)
 		return Slot, "", nil
 	}
-	if !q.Wait { // another server may have a slot, and a further hop is shorter than any wait
+	if !request.Wait { // another server may have a free slot, and an attempt there takes less time than waiting
 		return Full, "no slot", nil
 	}
-	if len(m.queue) >= max(minQueueLimit, int(maxQueuePerSlot*float64(m.Slots))) {
-		last := m.queue[len(m.queue)-1]
-		if last.priority <= q.Priority {
+	if len(server.queue) >= max(minQueueLimit, int(maxQueuePerSlot*float64(server.Slots))) {
+		last := server.queue[len(server.queue)-1]
+		if last.priority <= request.Priority {
 			return Full, "no room", nil
 		}
-		m.queue = m.queue[:len(m.queue)-1]
-		v = append(v, SlotGrant[T]{last.ticket, false})
+		server.queue = server.queue[:len(server.queue)-1]
+		verdicts = append(verdicts, SlotGrant[T]{last.ticket, false})
 	}
-	at, _ := slices.BinarySearchFunc(m.queue, q.Priority, func(w queuedRequest[T], p uint32) int {
-		return cmp.Or(cmp.Compare(w.priority, p), -1)
+	i, _ := slices.BinarySearchFunc(server.queue, request.Priority, func(queued queuedRequest[T], priority uint32) int {
+		return cmp.Or(cmp.Compare(queued.priority, priority), -1)
 	})
-	m.queue = slices.Insert(m.queue, at, queuedRequest[T]{ticket, q.Priority})
-	return Queue, "", v
+	server.queue = slices.Insert(server.queue, i, queuedRequest[T]{ticket, request.Priority})
+	return Queue, "", verdicts
 }
 
-// rejection returns why an incarnation may not get a request; without a reason: it may.
-func (s *Registry[T]) rejection(now time.Duration, m *incarnation[T], q Request) (Decision, string) {
+// rejection returns the decision and the reason if an incarnation must not receive a request, and an empty reason otherwise.
+func (s *Registry[T]) rejection(now time.Duration, server *incarnation[T], request Request) (Decision, string) {
 	switch {
-	case m == nil || m.terminated:
+	case server == nil || server.terminated:
 		return Terminated, "no such server here"
-	case m.Service != q.Service:
-		return Terminated, "it serves " + m.Service
-	case m.drained && now-m.drainedAt > s.drain/2:
-		// Its last requests stay well within the bound, which runs from the
-		// acknowledgement to the arrival.
+	case server.Service != request.Service:
+		return Terminated, "it serves " + server.Service
+	case server.drained && now-server.drainedAt > s.drain/2:
+		// The other half of the drain time is a margin for requests to arrive.
 		return Terminated, "it is draining"
 	}
-	switch m.health.Check(now, q.Call) {
+	switch server.health.Check(now, request.Call) {
 	case health.Hangs:
 		return Hangs, "it does not answer"
 	case health.Unhealthy:
@@ -79,40 +81,41 @@
 	return Slot, ""
 }
 
-// Dequeue takes a request out of the queue. It reports false where it is no longer
-// in it: its Verdict has been given.
+// Dequeue removes a request from the queue. It reports false if the request is not in
+// the queue, in which case its SlotGrant has been returned already.
 func (s *Registry[T]) Dequeue(member string, ticket T) bool {
-	m := s.incarnations[member]
-	if m == nil {
+	server := s.incarnations[member]
+	if server == nil {
 		return false
 	}
-	at := slices.IndexFunc(m.queue, func(w queuedRequest[T]) bool { return w.ticket == ticket })
-	if at < 0 {
+	i := slices.IndexFunc(server.queue, func(queued queuedRequest[T]) bool { return queued.ticket == ticket })
+	if i < 0 {
 		return false
 	}
-	m.queue = slices.Delete(m.queue, at, at+1)
+	server.queue = slices.Delete(server.queue, i, i+1)
 	return true
 }
 
-// Release gives back a slot that was given to a request that has left meanwhile.
+// Release frees a slot that was granted to a request whose caller no longer waits for it.
 func (s *Registry[T]) Release(now time.Duration, member string) []SlotGrant[T] {
-	if m := s.incarnations[member]; m != nil {
-		return s.grantSlots(now, m)
+	if server := s.incarnations[member]; server != nil {
+		return s.grantSlots(now, server)
 	}
 	return nil
 }
 
-// grantSlots gives a slot that has become free to the first in the queue.
-func (s *Registry[T]) grantSlots(now time.Duration, m *incarnation[T]) (v []SlotGrant[T]) {
-	m.inflight--
-	for len(m.queue) > 0 && m.inflight < m.Slots {
-		w := m.queue[0]
-		m.queue = m.queue[1:]
-		pass := !m.terminated && !(m.drained && now-m.drainedAt > s.drain*3/4)
-		if pass {
-			m.inflight++
+// grantSlots frees one slot, and grants free slots to the queued requests in order. Late in the drain time, it rejects them
+// instead.
+func (s *Registry[T]) grantSlots(now time.Duration, server *incarnation[T]) (verdicts []SlotGrant[T]) {
+	server.inflight--
+	for len(server.queue) > 0 && server.inflight < server.Slots {
+		next := server.queue[0]
+		server.queue = server.queue[1:]
+		granted := !server.terminated && !(server.drained && now-server.drainedAt > s.drain*3/4)
+		if granted {
+			server.inflight++
 		}
-		v = append(v, SlotGrant[T]{w.ticket, pass})
+		verdicts = append(verdicts, SlotGrant[T]{next.ticket, granted})
 	}
-	return v
+	return verdicts
 }
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -71,7 +71,7 @@
 // deliver hands out verdicts. Each ticket gets one, for which it has room.
 func deliver(verdicts []localserver.SlotGrant[*ticket]) {
 	for _, v := range verdicts {
-		v.Ticket.verdict <- v.Go
+		v.Ticket.verdict <- v.Granted
 	}
 }
 
--- a/internal/dataplane/router/cluster.go
+++ b/internal/dataplane/router/cluster.go
@@ -11,50 +11,51 @@
 )
 
 // ClusterState is a node's view of the cluster: the configuration and the servers that may receive requests. It is immutable;
-// versions share what they have in common.
+// successive versions share the parts that did not change.
 type ClusterState struct {
 	Config  *meshconfig.Config
-	Servers cowmap.Map[*wire.Server] // by member: those that may receive requests
-	Nodes   map[string][]string      // sidecar machines that are alive, by zone
+	Servers cowmap.Map[*wire.Server] // that may receive requests, by member ID
+	Nodes   map[string][]string      // names of the sidecar nodes that are alive, by zone
 }
 
-// ClusterStateBuilder keeps a ClusterState up to date, at the cost of what changes. Draining servers, and those on machines
-// that are not alive, receive no requests. The zero value is empty.
+// ClusterStateBuilder updates a ClusterState incrementally. It leaves out servers that are draining or whose node is not
+// alive. The zero value is an empty state.
 type ClusterStateBuilder struct {
 	cluster    ClusterState
-	registered map[string]*wire.Server // by member
-	members    []*wire.Member          // of the cluster, by name
-	notAlive   map[string]bool         // members, by name
-	absent     map[string]bool         // machines with registered servers that are no members
+	registered map[string]*wire.Server // all registered servers, by member ID
+	members    []*wire.Member          // of the cluster, sorted by name
+	notAlive   map[string]bool         // members that are not alive, by name
+	absent     map[string]bool         // nodes of registered servers that are not members
 	isDead     func(node string) bool
 	index      uint64
 }
 
-// Index is the index of the latest update that was applied.
+// Index returns the index of the last update that was applied.
 func (b *ClusterStateBuilder) Index() uint64 { return b.index }
 
-// Registered is the number of registered servers.
+// Registered returns the number of registered servers, including those that receive no requests.
 func (b *ClusterStateBuilder) Registered() int { return len(b.registered) }
 
-// ClusterState returns the newest version.
+// ClusterState returns the current version.
 func (b *ClusterStateBuilder) ClusterState() *ClusterState {
-	w := b.cluster
-	return &w
+	cluster := b.cluster
+	return &cluster
 }
 
-// Apply applies the changes after Index, with the configuration after them; nil changes: there are none.
-func (b *ClusterStateBuilder) Apply(c *wire.Changes, config *meshconfig.Config) {
+// Apply applies the changes after Index and sets the configuration, which includes them. If changes is nil, it only sets the
+// configuration.
+func (b *ClusterStateBuilder) Apply(changes *wire.Changes, config *meshconfig.Config) {
 	b.cluster.Config = config
-	if c == nil {
+	if changes == nil {
 		return
 	}
-	b.index = c.To
-	if b.registered == nil || c.Full {
-		b.replace(c)
+	b.index = changes.To
+	if b.registered == nil || changes.Full {
+		b.replace(changes)
 		return
 	}
 	edit := b.cluster.Servers.Edit()
-	for _, r := range c.Resources {
+	for _, r := range changes.Resources {
 		switch v := r.Value.(type) {
 		case *wire.Resource_Server:
 			b.register(edit, v.Server)
@@ -66,17 +67,17 @@
 	b.cluster.Servers = edit.Map()
 }
 
-// replace takes a full state.
-func (b *ClusterStateBuilder) replace(c *wire.Changes) {
-	before := b.registered
+// replace replaces all registered servers by those of a full state.
+func (b *ClusterStateBuilder) replace(full *wire.Changes) {
+	previous := b.registered
 	b.registered = map[string]*wire.Server{}
 	edit := b.cluster.Servers.Edit()
-	for _, r := range c.Resources {
+	for _, r := range full.Resources {
 		if s := r.GetServer(); s != nil {
 			b.register(edit, s)
 		}
 	}
-	for member := range before {
+	for member := range previous {
 		if b.registered[member] == nil {
 			edit.Delete(member)
 		}
@@ -84,13 +85,13 @@
 	b.cluster.Servers = edit.Map()
 }
 
-// isMember reports whether a machine is a member of the cluster.
+// isMember reports whether a node is a member of the cluster.
 func (b *ClusterStateBuilder) isMember(node string) bool {
 	_, found := slices.BinarySearchFunc(b.members, node, func(m *wire.Member, name string) int { return strings.Compare(m.Name, name) })
 	return found
 }
 
-// register adds a registered server, or replaces it.
+// register adds or replaces a registered server.
 func (b *ClusterStateBuilder) register(edit *cowmap.Editor[*wire.Server], s *wire.Server) {
 	b.registered[s.Member] = s
 	if !b.isMember(s.Node) {
@@ -102,35 +103,35 @@
 	b.updateUsable(edit, s)
 }
 
-// updateUsable adds a server to those that may receive requests, or removes it from them.
+// updateUsable adds a server to the servers that may receive requests or removes it, depending on its state and its node's.
 func (b *ClusterStateBuilder) updateUsable(edit *cowmap.Editor[*wire.Server], s *wire.Server) {
 	usable := !s.Draining && !s.NodeLeaving && !b.notAlive[s.Node] && !(b.isDead != nil && b.isDead(s.Node))
-	now, there := edit.Get(s.Member)
+	current, present := edit.Get(s.Member)
 	switch {
-	case usable && now != s:
+	case usable && current != s:
 		edit.Set(s.Member, s)
-	case !usable && there:
+	case !usable && present:
 		edit.Delete(s.Member)
 	}
 }
 
-// SetMembers takes the present members of the cluster, ordered by name. isDead reports, also later, whether a machine is dead
-// or has left. Servers on machines of which nothing has changed stay as they are.
+// SetMembers sets the members of the cluster, sorted by name. isDead reports whether a node is dead or has left; later calls
+// of Apply use it as well. Only servers whose node has changed or is not a member are reevaluated.
 func (b *ClusterStateBuilder) SetMembers(members []*wire.Member, isDead func(node string) bool) {
-	before := b.members
+	previous := b.members
 	b.members, b.isDead = members, isDead
 	if b.notAlive == nil {
 		b.notAlive = map[string]bool{}
 	}
 	nodes, zones := map[string]bool{}, map[string]bool{}
-	eachChange(before, members, func(old, now *wire.Member) {
-		m := now
-		if now == nil {
+	eachChange(previous, members, func(old, current *wire.Member) {
+		m := current
+		if current == nil {
 			m = old
 		}
 		nodes[m.Name] = true
 		delete(b.notAlive, m.Name)
-		if now != nil && now.State != wire.Member_ALIVE {
+		if current != nil && current.State != wire.Member_ALIVE {
 			b.notAlive[m.Name] = true
 		}
 		if old != nil {
@@ -139,15 +140,15 @@
 		zones[m.Zone] = true
 	})
 	if len(nodes) > 0 {
-		b.cluster.Nodes = nodesOf(b.cluster.Nodes, members, zones)
+		b.cluster.Nodes = aliveNodesByZone(b.cluster.Nodes, members, zones)
 	}
 	if len(nodes) > 0 || len(b.absent) > 0 {
 		b.updateUsableOn(nodes)
 	}
 }
 
-// updateUsableOn updates the servers on some machines, and those on machines that are no members, whose state may have
-// changed as well.
+// updateUsableOn reevaluates the servers on the given nodes, and those on nodes that are not members, for which the result of
+// isDead may have changed.
 func (b *ClusterStateBuilder) updateUsableOn(nodes map[string]bool) {
 	absent := map[string]bool{}
 	edit := b.cluster.Servers.Edit()
@@ -164,8 +165,9 @@
 	b.cluster.Servers = edit.Map()
 }
 
-// eachChange visits the members that differ between two lists, each in the order of names; nil: it is not in that list.
-func eachChange(before, after []*wire.Member, visit func(old, now *wire.Member)) {
+// eachChange calls visit for each member that differs between two lists, which are sorted by name. The old or the current
+// member is nil if its list does not contain it.
+func eachChange(before, after []*wire.Member, visit func(old, current *wire.Member)) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
 		case len(before) > 0 && len(after) > 0 && before[0] == after[0]:
@@ -183,9 +185,10 @@
 	}
 }
 
-// nodesOf returns the nodes that are alive, by zone. Only the lists of the given zones are rebuilt.
-func nodesOf(before map[string][]string, members []*wire.Member, zones map[string]bool) map[string][]string {
-	nodes := maps.Clone(before)
+// aliveNodesByZone returns the names of the alive nodes that are not quorum members, by zone. It rebuilds only the lists of
+// the given zones.
+func aliveNodesByZone(previous map[string][]string, members []*wire.Member, zones map[string]bool) map[string][]string {
+	nodes := maps.Clone(previous)
 	if nodes == nil {
 		nodes = map[string][]string{}
 	}
--- a/internal/dataplane/router/cluster_test.go
+++ b/internal/dataplane/router/cluster_test.go
@@ -13,18 +13,18 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// stateSource makes up what a node is told.
+// stateSource generates random changes of servers, members and configuration.
 type stateSource struct {
 	rng     *rand.Rand
 	index   uint64
 	servers map[string]*wire.Server
 	members map[string]*wire.Member
-	gone    map[string]bool
+	dead    map[string]bool // names of removed members
 	config  *meshconfig.Config
 }
 
 func newStateSource(seed uint64) *stateSource {
-	return &stateSource{rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*wire.Server{}, members: map[string]*wire.Member{}, gone: map[string]bool{}}
+	return &stateSource{rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*wire.Server{}, members: map[string]*wire.Member{}, dead: map[string]bool{}}
 }
 
 func (s *stateSource) server(member string) *wire.Server {
@@ -32,55 +32,55 @@
 		Zone: fmt.Sprint("z", s.rng.IntN(2)), Draining: s.rng.IntN(6) == 0}
 }
 
-// change changes some servers, and at times the configuration.
+// change changes up to three servers and, half of the time, the configuration. It returns the changes of servers.
 func (s *stateSource) change() *wire.Changes {
-	c := &wire.Changes{From: s.index, To: s.index + 1}
+	changes := &wire.Changes{From: s.index, To: s.index + 1}
 	s.index++
 	for range s.rng.IntN(4) {
 		member := fmt.Sprint("i", s.rng.IntN(30))
 		if s.rng.IntN(3) == 0 {
 			delete(s.servers, member)
-			c.Resources = append(c.Resources, &wire.Resource{Index: s.index, Value: &wire.Resource_RemovedServer{RemovedServer: member}})
+			changes.Resources = append(changes.Resources, &wire.Resource{Index: s.index, Value: &wire.Resource_RemovedServer{RemovedServer: member}})
 			continue
 		}
 		s.servers[member] = s.server(member)
-		c.Resources = append(c.Resources, &wire.Resource{Index: s.index, Value: &wire.Resource_Server{Server: s.servers[member]}})
+		changes.Resources = append(changes.Resources, &wire.Resource{Index: s.index, Value: &wire.Resource_Server{Server: s.servers[member]}})
 	}
 	if s.rng.IntN(2) == 0 {
-		p := meshconfig.Patch{Revision: s.index}
+		patch := meshconfig.Patch{Revision: s.index}
 		name := fmt.Sprint("r", s.rng.IntN(5))
 		if s.rng.IntN(3) == 0 {
-			p.RemovedRoutes = []meshconfig.Key{{Host: "h", Prefix: "/" + name + "/"}}
+			patch.RemovedRoutes = []meshconfig.Key{{Host: "h", Prefix: "/" + name + "/"}}
 		} else {
-			p.Routes = []*meshconfig.Route{{Name: name, Host: "h", Prefix: "/" + name + "/", Priority: s.rng.IntN(4), Backend: "s0"}}
+			patch.Routes = []*meshconfig.Route{{Name: name, Host: "h", Prefix: "/" + name + "/", Priority: s.rng.IntN(4), Backend: "s0"}}
 		}
 		if s.rng.IntN(3) == 0 {
-			p.RemovedBackends = []string{fmt.Sprint("s", s.rng.IntN(4))}
+			patch.RemovedBackends = []string{fmt.Sprint("s", s.rng.IntN(4))}
 		} else {
-			p.Backends = []meshconfig.Backend{{Name: fmt.Sprint("s", s.rng.IntN(4))}}
+			patch.Backends = []meshconfig.Backend{{Name: fmt.Sprint("s", s.rng.IntN(4))}}
 		}
-		s.config = s.config.Apply(p)
+		s.config = s.config.Apply(patch)
 	}
-	return c
+	return changes
 }
 
-// whole is all that there is.
-func (s *stateSource) whole() *wire.Changes {
-	c := &wire.Changes{To: s.index, Full: true}
-	for _, srv := range s.servers {
-		c.Resources = append(c.Resources, &wire.Resource{Index: s.index, Value: &wire.Resource_Server{Server: srv}})
+// fullState returns all servers as a full state.
+func (s *stateSource) fullState() *wire.Changes {
+	full := &wire.Changes{To: s.index, Full: true}
+	for _, server := range s.servers {
+		full.Resources = append(full.Resources, &wire.Resource{Index: s.index, Value: &wire.Resource_Server{Server: server}})
 	}
-	return c
+	return full
 }
 
-// shuffle lets members come, fall silent and go.
-func (s *stateSource) shuffle() {
+// changeMember makes a random member alive, suspect or dead.
+func (s *stateSource) changeMember() {
 	name := fmt.Sprint("n", s.rng.IntN(12))
-	delete(s.gone, name)
+	delete(s.dead, name)
 	switch s.rng.IntN(4) {
 	case 0:
 		delete(s.members, name)
-		s.gone[name] = true
+		s.dead[name] = true
 	case 1:
 		s.members[name] = &wire.Member{Name: name, Zone: "z0", State: wire.Member_SUSPECT}
 	default:
@@ -88,69 +88,70 @@
 	}
 }
 
-func (s *stateSource) tellMembers(b *ClusterStateBuilder) {
+func (s *stateSource) setMembers(b *ClusterStateBuilder) {
 	members := slices.SortedFunc(maps.Values(s.members), func(a, b *wire.Member) int { return strings.Compare(a.Name, b.Name) })
-	b.SetMembers(members, func(node string) bool { return s.gone[node] })
+	b.SetMembers(members, func(node string) bool { return s.dead[node] })
 }
 
-// reachable are the servers that a service's picker knows.
+// reachable returns the servers that a service's picker may pick, sorted by ID.
 func (t *Table) reachable(service string) []string {
-	var tried []string
+	var picked []string
 	for {
-		id, _, ok := t.service(0, service).picker.Pick(0, tried)
+		id, _, ok := t.service(0, service).picker.Pick(0, picked)
 		if !ok {
-			slices.Sort(tried)
-			return tried
+			slices.Sort(picked)
+			return picked
 		}
-		tried = append(tried, id)
+		picked = append(picked, id)
 	}
 }
 
-// TestUpdatesAddUp: a node that is told of changes one by one knows what one knows that is told of all at once.
+// TestUpdatesAddUp applies random changes incrementally and compares the result with that of applying the full state.
 func TestUpdatesAddUp(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newStateSource(seed)
-		var steady ClusterStateBuilder
+		var incremental ClusterStateBuilder
 		table := NewTable(Options{Node: "n0", Zone: "z0", RetryRatio: 1, RetryWindow: time.Second})
 		for round := range 120 {
 			if s.rng.IntN(3) == 0 {
-				s.shuffle()
-				s.tellMembers(&steady)
+				s.changeMember()
+				s.setMembers(&incremental)
 			}
 			changes := s.change()
 			if s.rng.IntN(25) == 0 {
-				changes = s.whole()
+				changes = s.fullState()
 			}
-			steady.Apply(changes, s.config)
-			table.Update(0, steady.ClusterState())
+			incremental.Apply(changes, s.config)
+			table.Update(0, incremental.ClusterState())
 
-			var anew ClusterStateBuilder
-			fresh := NewTable(Options{Node: "n0", Zone: "z0", RetryRatio: 1, RetryWindow: time.Second})
-			s.tellMembers(&anew)
-			anew.Apply(s.whole(), s.config)
-			fresh.Update(0, anew.ClusterState())
+			var full ClusterStateBuilder
+			want := NewTable(Options{Node: "n0", Zone: "z0", RetryRatio: 1, RetryWindow: time.Second})
+			s.setMembers(&full)
+			full.Apply(s.fullState(), s.config)
+			want.Update(0, full.ClusterState())
 
 			use := func() bool { return s.rng.IntN(40) == 0 || round == 119 }
-			compareTables(t, fmt.Sprintf("seed %d, round %d", seed, round), table, fresh, use)
-			if steady.Registered() != len(s.servers) || steady.Index() != s.index {
-				t.Fatalf("seed %d: %d servers at %d, want %d at %d", seed, steady.Registered(), steady.Index(), len(s.servers), s.index)
+			compareTables(t, fmt.Sprintf("seed %d, round %d", seed, round), table, want, use)
+			if incremental.Registered() != len(s.servers) || incremental.Index() != s.index {
+				t.Fatalf("seed %d: %d registered servers at index %d, want %d at index %d", seed, incremental.Registered(), incremental.Index(), len(s.servers), s.index)
 			}
 		}
 	}
 }
 
-// compareTables compares what two tables know, of the services that one of them has used or uses now.
+// compareTables compares the state of two tables. It compares the servers and gates of the services that got has used, and of
+// those for which use returns true.
 func compareTables(t *testing.T, where string, got, want *Table, use func() bool) {
 	t.Helper()
-	if !maps.Equal(got.levels, want.levels) || !maps.Equal(got.routes, want.routes) || got.subsetPosition != want.subsetPosition {
-		t.Fatalf("%s: %v, %v, %v, want %v, %v, %v", where, got.levels, got.routes, got.subsetPosition, want.levels, want.routes, want.subsetPosition)
+	if !maps.Equal(got.routesPerPriority, want.routesPerPriority) || !maps.Equal(got.routesPerName, want.routesPerName) || got.subsetPosition != want.subsetPosition {
+		t.Fatalf("%s: priorities, routes and subset position are %v, %v, %v, want %v, %v, %v", where, got.routesPerPriority, got.routesPerName, got.subsetPosition, want.routesPerPriority, want.routesPerName, want.subsetPosition)
 	}
 	if !maps.Equal(got.backends, want.backends) {
-		t.Fatalf("%s: services %v, want %v", where, got.backends, want.backends)
+		t.Fatalf("%s: configured services are %v, want %v", where, got.backends, want.backends)
 	}
 	for name := range got.services {
 		if !want.backends[name] {
-			t.Fatalf("%s: %s is kept, which is gone", where, name)
+			t.Fatalf("%s: state of removed service %s is kept", where, name)
 		}
 	}
 	for name := range want.backends {
@@ -158,77 +159,77 @@
 			continue
 		}
 		if g, w := got.reachable(name), want.reachable(name); !slices.Equal(g, w) {
-			t.Fatalf("%s: %s has the servers %v, want %v", where, name, g, w)
+			t.Fatalf("%s: service %s has servers %v, want %v", where, name, g, w)
 		}
 		if g, w := got.service(0, name).gate.Probability(0, 3), want.service(0, name).gate.Probability(0, 3); g != w {
-			t.Fatalf("%s: %s admits %v of the last priority, want %v", where, name, g, w)
+			t.Fatalf("%s: service %s admits priority 3 with probability %v, want %v", where, name, g, w)
 		}
 	}
 }
 
-// BenchmarkUpdate measures what one change costs a node that knows 2,000 routes and 2,000 services with 28,000 servers.
+// BenchmarkUpdate measures the cost of one change at a node with 2,000 routes, 2,000 services and 28,000 servers.
 func BenchmarkUpdate(b *testing.B) {
 	const routes, services, servers, nodes = 2000, 2000, 28000, 28000
 	var members []*wire.Member
 	for i := range nodes {
 		members = append(members, &wire.Member{Name: fmt.Sprintf("node-%05d", i), Zone: fmt.Sprint("z", i%4)})
 	}
-	gone := func(string) bool { return false }
+	isDead := func(string) bool { return false }
 	prepare := func() (*ClusterStateBuilder, *Table, *meshconfig.Config) {
-		p := meshconfig.Patch{Revision: 1}
+		patch := meshconfig.Patch{Revision: 1}
 		for i := range services {
-			p.Backends = append(p.Backends, meshconfig.Backend{Name: fmt.Sprint("s", i)})
+			patch.Backends = append(patch.Backends, meshconfig.Backend{Name: fmt.Sprint("s", i)})
 		}
 		for i := range routes {
-			p.Routes = append(p.Routes, benchRoute(i, 0))
+			patch.Routes = append(patch.Routes, benchRoute(i, 0))
 		}
 		var config *meshconfig.Config
-		config = config.Apply(p)
-		whole := &wire.Changes{To: 1, Full: true}
+		config = config.Apply(patch)
+		full := &wire.Changes{To: 1, Full: true}
 		for i := range servers {
-			whole.Resources = append(whole.Resources, benchServer(i, services, nodes, 1))
+			full.Resources = append(full.Resources, benchServer(i, services, nodes, 1))
 		}
-		w := new(ClusterStateBuilder)
-		w.SetMembers(members, gone)
-		w.Apply(whole, config)
+		builder := new(ClusterStateBuilder)
+		builder.SetMembers(members, isDead)
+		builder.Apply(full, config)
 		table := NewTable(Options{Node: "node-00000", Zone: "z0", RetryRatio: 0.2, RetryWindow: 10 * time.Second})
-		table.Update(0, w.ClusterState())
-		return w, table, config
+		table.Update(0, builder.ClusterState())
+		return builder, table, config
 	}
 	b.Run("route", func(b *testing.B) {
-		w, table, config := prepare()
+		builder, table, config := prepare()
 		b.ReportAllocs()
 		n := 0
 		for b.Loop() {
 			n++
 			config = config.Apply(meshconfig.Patch{Revision: uint64(n + 1), Routes: []*meshconfig.Route{benchRoute(n%routes, n)}})
-			w.Apply(&wire.Changes{From: w.Index(), To: w.Index() + 1}, config)
-			table.Update(0, w.ClusterState())
+			builder.Apply(&wire.Changes{From: builder.Index(), To: builder.Index() + 1}, config)
+			table.Update(0, builder.ClusterState())
 		}
 	})
-	b.Run("member", func(b *testing.B) { // of another zone
-		w, table, _ := prepare()
+	b.Run("member", func(b *testing.B) { // a member of another zone becomes suspect
+		builder, table, _ := prepare()
 		b.ReportAllocs()
 		n := 0
 		for b.Loop() {
 			n++
-			now := slices.Clone(members)
+			changed := slices.Clone(members)
 			i := n*4%nodes + 1
-			now[i] = &wire.Member{Name: now[i].Name, Zone: now[i].Zone, State: wire.Member_SUSPECT}
-			w.SetMembers(now, gone)
-			table.Update(0, w.ClusterState())
+			changed[i] = &wire.Member{Name: changed[i].Name, Zone: changed[i].Zone, State: wire.Member_SUSPECT}
+			builder.SetMembers(changed, isDead)
+			table.Update(0, builder.ClusterState())
 		}
 	})
 	b.Run("server", func(b *testing.B) {
-		w, table, config := prepare()
+		builder, table, config := prepare()
 		b.ReportAllocs()
 		n := 0
 		for b.Loop() {
 			n++
-			r := benchServer(n%servers, services, nodes, uint32(n))
-			r.GetServer().Draining = n/servers%2 == 0
-			w.Apply(&wire.Changes{From: w.Index(), To: w.Index() + 1, Resources: []*wire.Resource{r}}, config)
-			table.Update(0, w.ClusterState())
+			server := benchServer(n%servers, services, nodes, uint32(n))
+			server.GetServer().Draining = n/servers%2 == 0
+			builder.Apply(&wire.Changes{From: builder.Index(), To: builder.Index() + 1, Resources: []*wire.Resource{server}}, config)
+			table.Update(0, builder.ClusterState())
 		}
 	})
 }
--- a/internal/dataplane/router/hedge.go
+++ b/internal/dataplane/router/hedge.go
@@ -5,16 +5,17 @@
 )
 
 const (
-	hedgeLatencyFactor    = 2                     // typical latencies after which an idempotent request is hedged ...
-	minHedgeLatencyFactor = 1.4                   // ... or sooner, if it would miss its target then, but not before this
-	minHedgeDelay         = 50 * time.Millisecond // never sooner
-	hedgeBudgetReserve    = 3                     // retries that are left for requests that have failed
-	hedgeShare            = 0.02                  // of a service's requests: where all are slow, no server is better
-	maxHedgeTokens        = 2                     // hedged requests that may be saved up
+	hedgeLatencyFactor    = 2                     // multiple of the typical latency after which an idempotent request is hedged
+	minHedgeLatencyFactor = 1.4                   // the same if the request would otherwise miss its latency target
+	minHedgeDelay         = 50 * time.Millisecond // lower bound of the delay
+	hedgeBudgetReserve    = 3                     // retries that hedging leaves for failed requests
+	hedgeShare            = 0.02                  // of a service's requests; if all are slow, a second server does not help
+	maxHedgeTokens        = 2                     // hedged attempts in a burst
 )
 
-// HedgeDelay is how long an attempt may take before Hedge may be called; 0: it may not. A run that takes far longer than its
-// like has met a slow server, or its answer is lost; a second one is likely to end before it.
+// HedgeDelay returns the duration of an attempt after which Hedge may be called, or 0 if the request must not be hedged. If
+// an attempt takes much longer than is typical for its route, the server is slow or the response is lost, and a second
+// attempt is likely to end first.
 func (r *Request) HedgeDelay() time.Duration {
 	typical := r.TypicalLatency()
 	if r.NonIdempotent() || typical == 0 {
@@ -28,7 +29,7 @@
 }
 
 // Hedge returns a second attempt while the first is in flight, if the service is idle and the retry budget allows it. The
-// first answer of the two is the final one.
+// first successful response is forwarded.
 func (r *Request) Hedge(now time.Duration) (Action, bool) {
 	s := r.service
 	if r.NonIdempotent() || len(r.inFlight) != 1 || s.hedgeTokens < 1 || !s.gate.Idle(now) || s.budget.Available(now) < hedgeBudgetReserve || !r.mayRetry(now) {
--- a/internal/dataplane/router/outcome.go
+++ b/internal/dataplane/router/outcome.go
@@ -8,11 +8,12 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// HandleOutcome takes the outcome of an attempt. It returns the node's own final response, or none; forward says that the
-// server's answer is the final one. With neither, the other attempts in flight go on, or Next says what to do.
+// HandleOutcome handles the outcome of an attempt. It returns a final response made by the node itself, or forward if the
+// server's response is the final one. If it returns neither, the caller waits for the other attempt in flight, or calls Next if
+// there is none.
 func (r *Request) HandleOutcome(now time.Duration, id string, outcome *wire.ForwardResponse, result decide.Result) (final *Response, forward bool) {
 	r.reportToPicker(now, id, outcome, result)
-	r.inFlight = slices.DeleteFunc(r.inFlight, func(o string) bool { return o == id })
+	r.inFlight = slices.DeleteFunc(r.inFlight, func(other string) bool { return other == id })
 	if len(r.reached) == 0 && !r.saturationRecorded && outcome.Result != wire.ForwardResponse_NOT_SENT {
 		r.service.gate.RecordCapacity(now, true)
 	}
@@ -27,7 +28,7 @@
 		}
 		return nil, false
 	}
-	r.reached = append(r.reached, id) // no second attempt goes there
+	r.reached = append(r.reached, id) // excludes it from further attempts
 	r.waitingSince = now
 	if len(r.inFlight) > 0 && (outcome.Result != wire.ForwardResponse_ANSWERED || outcome.Status >= 500) {
 		r.mayHaveRun = r.mayHaveRun || outcome.Result != wire.ForwardResponse_NOT_RUN
@@ -41,7 +42,7 @@
 		if !r.mayRetry(now) {
 			return r.giveUp(now, "the servers have no room"), false
 		}
-	default: // BROKEN, DEADLINE_EXCEEDED, and results of later versions
+	default: // BROKEN, DEADLINE_EXCEEDED, and results of later protocol versions
 		r.mayHaveRun = true
 		if now >= r.Deadline {
 			return &Response{Status: 504, Reason: "no answer in time"}, false
@@ -56,7 +57,7 @@
 	return nil, false
 }
 
-// handleAnswer decides on a server's answer: it is forwarded, replaced, or retried.
+// handleAnswer decides whether a server's response is forwarded, replaced by the node's own, or followed by a retry.
 func (r *Request) handleAnswer(now time.Duration, status int) (final *Response, forward bool) {
 	if status >= 500 && status != 504 && !r.NonIdempotent() {
 		r.mayHaveRun = true
@@ -65,13 +66,13 @@
 		}
 	}
 	switch status {
-	case 408, 421, 429, 503: // to the client, these promise that the request has not run
+	case 408, 421, 429, 503: // A client takes these as a guarantee that the request has not run.
 		return &Response{Status: 502, Reason: "the server failed"}, false
 	}
 	return nil, true
 }
 
-// HandleLateOutcome takes the outcome of an attempt after the final answer.
+// HandleLateOutcome records the outcome of an attempt that ends after the final response.
 func (r *Request) HandleLateOutcome(now time.Duration, id string, outcome *wire.ForwardResponse, result decide.Result) {
 	r.reportToPicker(now, id, outcome, result)
 	if outcome.Result == wire.ForwardResponse_ANSWERED {
@@ -79,13 +80,13 @@
 	}
 }
 
-// reportToPicker passes the end of an attempt to the picker.
+// reportToPicker reports the end of an attempt, with the measurements of the server's node, to the picker.
 func (r *Request) reportToPicker(now time.Duration, id string, outcome *wire.ForwardResponse, result decide.Result) {
 	report := decide.ServerReport{RelativeLatency: float64(outcome.RelativeLatency), Utilization: float64(outcome.Utilization), Queued: outcome.Queued}
 	r.service.picker.End(now, id, result, report)
 }
 
-// Result is what the outcome of an attempt says of the server, for the picker.
+// Result returns the result that the picker records for the server of an attempt with this outcome.
 func Result(outcome *wire.ForwardResponse) decide.Result {
 	switch outcome.Result {
 	case wire.ForwardResponse_ANSWERED:
--- a/internal/dataplane/router/request.go
+++ b/internal/dataplane/router/request.go
@@ -7,91 +7,92 @@
 )
 
 const (
-	queueRetryPause   = 15 * time.Millisecond // between two rounds of attempts while no server has a free slot
-	maxWaitDivisor    = 5                     // a request without a server is given up after this share of its latency target ...
-	minWait           = 30 * time.Millisecond // ... but not sooner
-	maxRejections     = 12                    // by servers without a free slot, of one request
-	immediateAttempts = 2                     // rejections before a request may queue at a server, while the service is calm
+	queueRetryPause   = 15 * time.Millisecond // between rounds of attempts while no server has a free slot
+	maxWaitDivisor    = 5                     // a request waits for a server for up to its latency target divided by this
+	minWait           = 30 * time.Millisecond // lower bound of that wait
+	maxRejections     = 12                    // rejections after which a request that has waited for maxWait is given up
+	immediateAttempts = 2                     // rejections before a request may queue at a server while the service is calm
 )
 
-// Arrival is a request as it comes to the node.
+// Arrival is a request as received by the node.
 type Arrival struct {
 	Route    *meshconfig.Route
-	Service  string // as ChooseService drew it
-	At       time.Duration
-	Deadline time.Duration // for its answer
-	Inner    bool          // a call within a call graph that was admitted
-	OfRetry  bool          // a call that a retried request makes
+	Service  string        // returned by ChooseService
+	At       time.Duration // of the arrival
+	Deadline time.Duration // for the response
+	Inner    bool          // a call within an admitted call graph
+	OfRetry  bool          // a call made by the run of a retried request
 }
 
-// Response is an answer of the node itself.
+// Response is a response made by the node itself.
 type Response struct {
 	Status     int
 	Reason     string
-	RetryAfter time.Duration // positive: the request has not run and never will, and may be retried after this
+	RetryAfter time.Duration // if positive, the request has not run, never will, and may be retried after this time
 }
 
-// Request is a request in progress: a state machine that says which attempt comes next.
+// Request is the state of an admitted request. It decides which attempt comes next.
 type Request struct {
 	Arrival
 	Priority uint32 // in the queues of servers; 0 is the highest
 
 	table              *Table
 	service            *service
-	waitingSince       time.Duration // for a server
+	waitingSince       time.Duration // start of the wait for a server
 	inFlight           []string      // servers with an attempt in flight
 	reached            []string      // servers that have received it
 	mayHaveRun         bool          // an attempt may have run
-	excluded           []string      // servers that are not to be picked
-	serverSpace        [3][2]string  // of the three lists: most requests need no more
-	rejections         int
-	unhealthy          bool // a server has rejected it as unhealthy
-	saturationRecorded bool // the gate knows that it has found no free slot
+	excluded           []string      // servers that must not be picked
+	serverSpace        [3][2]string  // initial backing arrays of the three lists
+	rejections         int           // by servers that did not receive the request
+	unhealthy          bool          // a server rejected the request because the server is unhealthy
+	saturationRecorded bool          // recordSaturation has reported to the gate
 }
 
-// ChooseService draws the service for a request by the weights of its route.
+// ChooseService picks the service for a request at random, by the weights of its route.
 func (t *Table) ChooseService(route *meshconfig.Route) string { return route.Service(t.rng.Float64()) }
 
-// Admit decides on a request. Without a Response it is admitted: Next says what to do, until End.
-func (t *Table) Admit(now time.Duration, e Arrival) (*Request, *Response) {
-	s := t.service(now, e.Service)
+// Admit decides whether a request is admitted. If so, the Response is nil; the caller proceeds with Next, and calls End when
+// the request is done.
+func (t *Table) Admit(now time.Duration, arrival Arrival) (*Request, *Response) {
+	s := t.service(now, arrival.Service)
 	if s == nil {
 		return nil, &Response{503, "no such service", 500 * time.Millisecond}
 	}
 	s.budget.Request(now)
 	s.hedgeTokens = min(maxHedgeTokens, s.hedgeTokens+hedgeShare)
-	if e.OfRetry { // the calls of a retry are retries at the called service
+	if arrival.OfRetry { // calls of a retried run count as retries at the called service
 		s.budget.Charge(now, 1)
 	}
-	if !e.Inner && !s.gate.Admit(now, e.Route.Priority, t.downstreamGates(now, e.Route)...) {
-		return nil, &Response{503, "overload", t.retryAfter(now, s, &e)}
+	if !arrival.Inner && !s.gate.Admit(now, arrival.Route.Priority, t.downstreamGates(now, arrival.Route)...) {
+		return nil, &Response{503, "overload", t.retryAfter(now, s, &arrival)}
 	}
 	s.gate.Begin(now)
-	r := &Request{Arrival: e, Priority: uint32(e.Route.Priority), table: t, service: s, waitingSince: e.At}
+	r := &Request{Arrival: arrival, Priority: uint32(arrival.Route.Priority), table: t, service: s, waitingSince: arrival.At}
 	r.inFlight, r.reached, r.excluded = r.serverSpace[0][:0], r.serverSpace[1][:0], r.serverSpace[2][:0]
 	return r, nil
 }
 
-// End records the end of an admitted request.
+// End records the end of an admitted request at its gate.
 func (r *Request) End(now time.Duration) {
 	target := r.Route.TargetLatency()
-	if r.Inner { // its time is part of that of its call graph
+	if r.Inner { // its time is counted as part of its call graph's
 		target = 0
 	}
-	if len(r.reached) == 0 && !r.mayHaveRun { // no server has a share in its time
+	if len(r.reached) == 0 && !r.mayHaveRun { // its time says nothing about the servers
 		target = 0
 	}
 	r.service.gate.Done(now, now-r.At, target)
 }
 
-// Action is what to do next with a request: answer it with Response; send it to Server and call HandleOutcome with the
-// outcome; or wait and call Next again.
+// Action is the next step of a request. If Response is set, the caller returns it to the client. Otherwise, if Server is set,
+// the caller sends the request to it and calls HandleOutcome. Otherwise the caller waits for Wait and calls Next again.
 type Action struct {
 	Response       *Response
 	Server         string
-	IgnoreEjection bool          // the server may be unhealthy: there is no better one
-	Retry          bool          // another server may run it, or may have run it
-	MayQueue       bool          // it may wait there for a slot
+	IgnoreEjection bool          // the server may be used although it is unhealthy, as there is no better one
+	Retry          bool          // another server may have run the request, or may be running it
+	MayQueue       bool          // it may queue for a slot at the server
 	TypicalLatency time.Duration // see Request.TypicalLatency
 	Wait           time.Duration
 }
@@ -99,10 +100,10 @@
 // NonIdempotent reports whether the request must not run twice.
 func (r *Request) NonIdempotent() bool { return r.Route.Kind != meshconfig.Idempotent }
 
-// TypicalLatency is the mean time of its route's runs; 0: not known.
+// TypicalLatency returns the mean latency of the route's runs, or 0 if it is unknown.
 func (r *Request) TypicalLatency() time.Duration { return r.table.typicalLatency[r.Route.Name] }
 
-// Attempts is the number of servers that have received the request.
+// Attempts returns the number of servers that have received the request.
 func (r *Request) Attempts() int { return len(r.reached) }
 
 // Next returns the next action.
@@ -111,7 +112,7 @@
 		return Action{Response: r.giveUp(now, "no server in time")}
 	}
 	action, ok := r.pick(now)
-	if !ok && r.unhealthy { // an unhealthy server is better than none
+	if !ok && r.unhealthy { // an unhealthy server is better than no server
 		r.unhealthy = false
 		r.readmitRejecting()
 		action, ok = r.pick(now)
@@ -119,7 +120,7 @@
 	if ok {
 		return action
 	}
-	// No server has a free slot at this moment. Longer waits are the client's.
+	// No server has a free slot. After maxWait, the client is expected to retry instead.
 	r.recordSaturation(now)
 	if now-r.waitingSince > r.maxWait() {
 		return Action{Response: r.giveUp(now, "no server has room")}
@@ -128,8 +129,8 @@
 	return Action{Wait: min(queueRetryPause, r.Deadline-now)}
 }
 
-// recordSaturation tells the gate, once, that the request has found no server with a free slot. To count only those that
-// found no queue either would be late, as that is when all queues are full.
+// recordSaturation reports to the gate, once per request, that no server has a free slot. Reporting only requests that cannot
+// be queued either would detect an overload too late, when all queues are full.
 func (r *Request) recordSaturation(now time.Duration) {
 	if !r.saturationRecorded {
 		r.saturationRecorded = true
@@ -137,12 +138,12 @@
 	}
 }
 
-// readmitRejecting makes the servers that have rejected the request candidates again: they may have a free slot by now.
+// readmitRejecting makes servers that rejected the request candidates again, as they may have a free slot by now.
 func (r *Request) readmitRejecting() {
 	r.excluded = append(append(r.excluded[:0], r.reached...), r.inFlight...)
 }
 
-// pick begins an attempt, if there is a server for it.
+// pick picks a server and records an attempt in flight. It returns false if there is no server.
 func (r *Request) pick(now time.Duration) (Action, bool) {
 	id, unhealthy, ok := r.service.picker.Pick(now, r.excluded)
 	if !ok {
@@ -158,8 +159,8 @@
 	return action, true
 }
 
-// maxWait is how long a request waits for a server. A call within a graph waits no longer: the graph fails with it, but while
-// it waits it holds a slot of its caller.
+// maxWait returns how long the request may wait for a server. Inner calls get no longer wait, although their failure fails the
+// whole graph, because they hold a slot of their caller meanwhile.
 func (r *Request) maxWait() time.Duration {
 	return max(minWait, r.Route.TargetLatency()/maxWaitDivisor)
 }
--- a/internal/dataplane/router/retry.go
+++ b/internal/dataplane/router/retry.go
@@ -5,12 +5,13 @@
 )
 
 const (
-	retryMinProbability = 0.999 // probability of admission of such requests, below which none is retried
-	retryAfterDivisor   = 3     // clients heed a Retry-After of up to this part of the time that they have left
+	retryMinProbability = 0.999 // admission probability of a priority below which its requests are not retried
+	retryAfterDivisor   = 3     // clients honor a Retry-After of up to their remaining time divided by this
 )
 
-// mayRetry reports whether the request may be sent to one more server, and withdraws from the retry budget. Where a gate has
-// begun to refuse such requests, the service's own or a downstream one's, retries would only add to the load.
+// mayRetry reports whether the request may be sent to another server. If so, it charges the retry budget. Requests are not
+// retried while the gate of the service or of a downstream service refuses requests of their priority, because retries would
+// add to the overload.
 func (r *Request) mayRetry(now time.Duration) bool {
 	if len(r.reached)+len(r.inFlight) >= max(1, r.Route.MaxAttempts) || r.service.gate.Probability(now, r.Route.Priority) < retryMinProbability {
 		return false
@@ -23,7 +24,8 @@
 	return r.service.budget.Spend(now)
 }
 
-// giveUp is the response to a request without a further attempt.
+// giveUp returns the response to a request that gets no further attempt: 502 if it may have run, 503 with a Retry-After
+// otherwise.
 func (r *Request) giveUp(now time.Duration, reason string) *Response {
 	if r.mayHaveRun {
 		return &Response{Status: 502, Reason: reason}
@@ -31,9 +33,9 @@
 	return &Response{503, reason, r.table.retryAfter(now, r.service, &r.Arrival)}
 }
 
-// retryAfter is the Retry-After for a request that has not run. Clients do not heed one that is longer than a part of the
-// time that they have left.
-func (t *Table) retryAfter(now time.Duration, s *service, e *Arrival) time.Duration {
-	probability := s.gate.GraphProbability(now, e.Route.Priority, t.downstreamGates(now, e.Route)...)
-	return s.gate.RetryAfter(e.Route.TargetLatency(), (e.Deadline-now)/retryAfterDivisor, probability)
+// retryAfter returns the Retry-After for a request that has not run. It is limited because clients ignore a Retry-After that
+// takes too much of their remaining time.
+func (t *Table) retryAfter(now time.Duration, s *service, arrival *Arrival) time.Duration {
+	probability := s.gate.GraphProbability(now, arrival.Route.Priority, t.downstreamGates(now, arrival.Route)...)
+	return s.gate.RetryAfter(arrival.Route.TargetLatency(), (arrival.Deadline-now)/retryAfterDivisor, probability)
 }
--- a/internal/dataplane/router/service_state.go
+++ b/internal/dataplane/router/service_state.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// ServiceState is the state of a service at this node.
+// ServiceState is the state of a service as seen by this node.
 type ServiceState struct {
 	Service           string
-	NormalizedLatency float64 // response time in multiples of the latency target
-	Pressure          float64 // the same, or what stands in for it: see decide.Gate
-	Servers           int     // that may receive requests
-	Probabilities     []float64
-	RetryBudgetLeft   float64 // retries that may be sent now
+	NormalizedLatency float64   // mean response time in multiples of the latency target
+	Pressure          float64   // NormalizedLatency, or an estimate from saturation if higher; see decide.Gate
+	Servers           int       // that may receive requests
+	Probabilities     []float64 // of admission, by priority
+	RetryBudgetLeft   float64   // retries that may be sent now
 }
 
-// ServiceState returns the state of one service; ok is false before its first use.
+// ServiceState returns the state of a service; ok is false before its first use.
 func (t *Table) ServiceState(now time.Duration, service string, priorities int) (r ServiceState, ok bool) {
 	s := t.services[service]
 	if s == nil {
@@ -32,7 +32,7 @@
 	return r
 }
 
-// ServiceStates returns the state of all services that were used, by name, with the probabilities of admission of the
+// ServiceStates returns the state of each service that has been used, sorted by name, with the admission probabilities of the
 // priorities 0 to priorities-1.
 func (t *Table) ServiceStates(now time.Duration, priorities int) []ServiceState {
 	var list []ServiceState
@@ -48,7 +48,8 @@
 	return list
 }
 
-// Pressure is a service's pressure as the calls of this node see it (see decide.Gate); 0: the service is not known.
+// Pressure returns the pressure on a service as measured by the calls of this node; see decide.Gate. It returns 0 before the
+// service's first use.
 func (t *Table) Pressure(now time.Duration, service string) float64 {
 	if s := t.services[service]; s != nil {
 		return s.gate.Pressure(now)
--- a/internal/dataplane/router/table.go
+++ b/internal/dataplane/router/table.go
@@ -1,18 +1,18 @@
-// Package router decides on the requests that enter the mesh at this node: whether a new call graph is admitted, which
-// servers receive it and how often, when it is hedged, and what its final answer is. The admission curves and the choice of
-// a server are package decide's, the retry budget is package budget's. Package proxy drives it.
+// Package router routes the requests that enter the mesh at this node. It admits or refuses new call graphs, picks the server
+// of each attempt, retries and hedges requests, and decides on the final response. Package decide provides the admission
+// curves and the choice of a server, package budget the retry budget. Package proxy performs the I/O.
 //
-//	table.go          Table: what is kept for all requests; typical latencies, calls of each route
-//	request.go        Request: admission, next attempt, wait
-//	outcome.go        what an attempt's outcome means for the request
-//	retry.go          when a request is retried or given up; Retry-After
-//	hedge.go          second attempts of slow requests
-//	cluster.go        ClusterState: the servers that may receive requests
-//	update.go         a Table's update to another ClusterState
-//	service_state.go  what is shown of a service
+//	table.go          Table: state shared by all requests; typical latencies and call counts of routes
+//	request.go        Request: admission, next attempt, waiting
+//	outcome.go        handling of an attempt's outcome
+//	retry.go          retry conditions, giving up, Retry-After
+//	hedge.go          hedged attempts of slow requests
+//	cluster.go        ClusterState: the configuration and the servers that may receive requests
+//	update.go         update of a Table to a new ClusterState
+//	service_state.go  state of services for logs, metrics and status pages
 //
-// Table and Request are pure state machines: they take the time and an event, and return what the driver has to do. Times
-// are durations since a moment of the driver's choice. They belong to one goroutine, or to the holder of a lock.
+// Table and Request are pure state machines: they take the time and an event, and return the action to perform. Times are
+// durations since an epoch chosen by the driver. They are not safe for concurrent use.
 package router
 
 import (
@@ -26,35 +26,35 @@
 )
 
 const (
-	callCountGain      = 0.05 // weight of the newest run in the mean calls of a route
-	typicalLatencyGain = 0.03 // the same in its mean time
-	minCallCount       = 0.1  // calls a run, below which a service does not count as downstream
-	maxServices        = 4096
+	callCountGain      = 0.05 // weight of the newest run in the moving average of a route's calls
+	typicalLatencyGain = 0.03 // weight of the newest run in the moving average of a route's latency
+	minCallCount       = 0.1  // calls per run below which a service does not count as downstream
+	maxServices        = 4096 // services with state
 )
 
 // Options configure a Table.
 type Options struct {
 	Node, Zone  string
-	RetryRatio  float64       // retry_ratio: retries for each request, of all nodes together
-	RetryWindow time.Duration // over which the ratio is kept
-	Seed        uint64
+	RetryRatio  float64       // retries per request, over all nodes (setting retry_ratio)
+	RetryWindow time.Duration // in which RetryRatio holds
+	Seed        uint64        // of all random choices
 }
 
-// Table is the state that all requests of a node share.
+// Table is the state shared by all requests of a node.
 type Table struct {
-	options        Options
-	rng            *rand.Rand
-	cluster        *ClusterState
-	config         *meshconfig.Config            // of services and levels; nil: none yet
-	backends       map[string]bool               // services of the configuration
-	services       map[string]*service           // that were used: most nodes use few of many
-	targets        map[string][]decide.Target    // servers by service, also of services without a route
-	subsetPosition float64                       // see decide.SubsetPosition
-	levels         map[int]int                   // routes of each priority
-	routes         map[string]int                // routes of each name
-	graphs         map[string]map[string]float64 // mean calls of a run, by route and service
-	typicalLatency map[string]time.Duration      // mean time of a run, by route
-	retrySlack     float64                       // this node's share of the retry slack
+	options           Options
+	rng               *rand.Rand
+	cluster           *ClusterState
+	config            *meshconfig.Config            // last one applied; nil before the first
+	backends          map[string]bool               // names of the configured services
+	services          map[string]*service           // created on first use, as most nodes use only a few services
+	targets           map[string][]decide.Target    // servers by service, including services without a route
+	subsetPosition    float64                       // see decide.SubsetPosition
+	routesPerPriority map[int]int                   // number of routes by priority
+	routesPerName     map[string]int                // number of routes by name
+	meanCalls         map[string]map[string]float64 // mean calls per run, by route and service
+	typicalLatency    map[string]time.Duration      // mean latency of a run, by route
+	retrySlack        float64                       // this node's share of the retry slack
 }
 
 // service is the state of one service.
@@ -62,22 +62,23 @@
 	gate        *decide.Gate
 	picker      *decide.Picker
 	budget      *budget.Budget
-	hedgeTokens float64 // hedged requests that may be sent
+	hedgeTokens float64 // hedged attempts that may be sent; see hedgeShare
 }
 
 // NewTable returns a Table with an empty ClusterState.
 func NewTable(opt Options) *Table {
 	return &Table{
 		options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), cluster: &ClusterState{},
-		services: map[string]*service{}, graphs: map[string]map[string]float64{},
-		typicalLatency: map[string]time.Duration{}, targets: map[string][]decide.Target{}, levels: map[int]int{}, routes: map[string]int{},
+		services: map[string]*service{}, meanCalls: map[string]map[string]float64{},
+		typicalLatency: map[string]time.Duration{}, targets: map[string][]decide.Target{}, routesPerPriority: map[int]int{}, routesPerName: map[string]int{},
 	}
 }
 
 // ClusterState returns the ClusterState of the last Update.
 func (t *Table) ClusterState() *ClusterState { return t.cluster }
 
-// service returns the state of a service, which begins with its first use; nil: the configuration has no such service.
+// service returns the state of a service, and creates it on first use. It returns nil if the service is not configured or
+// maxServices is reached.
 func (t *Table) service(now time.Duration, name string) *service {
 	if s := t.services[name]; s != nil {
 		return s
@@ -90,7 +91,7 @@
 	return s
 }
 
-// SetRetrySlack sets this node's share of the retry slack.
+// SetRetrySlack sets this node's share of the retry slack for each service; see budget.Shares.
 func (t *Table) SetRetrySlack(slack float64) {
 	t.retrySlack = slack
 	for _, s := range t.services {
@@ -98,7 +99,8 @@
 	}
 }
 
-// recordRun takes the time of a run of a route, and the calls that it made.
+// recordRun updates the typical latency and the call counts of a route, and passes the reported pressures to the gates of the
+// called services.
 func (t *Table) recordRun(now time.Duration, route string, outcome *wire.ForwardResponse) {
 	calls := outcome.Calls
 	if took := time.Duration(outcome.TookMs) * time.Millisecond; took > 0 && outcome.Status < 500 {
@@ -107,21 +109,21 @@
 		}
 		t.typicalLatency[route] += time.Duration(typicalLatencyGain * float64(took-t.typicalLatency[route]))
 	}
-	graph := t.graphs[route]
-	if graph == nil {
+	meanCalls := t.meanCalls[route]
+	if meanCalls == nil {
 		if len(calls) == 0 {
 			return
 		}
-		graph = map[string]float64{}
-		t.graphs[route] = graph
+		meanCalls = map[string]float64{}
+		t.meanCalls[route] = meanCalls
 	}
-	for name := range graph {
-		graph[name] *= 1 - callCountGain
+	for name := range meanCalls {
+		meanCalls[name] *= 1 - callCountGain
 	}
 	for _, c := range calls {
 		s := t.service(now, c.Service)
-		if _, known := graph[c.Service]; known || s != nil {
-			graph[c.Service] += float64(c.Count) * callCountGain
+		if _, known := meanCalls[c.Service]; known || s != nil {
+			meanCalls[c.Service] += float64(c.Count) * callCountGain
 		}
 		if s != nil {
 			s.gate.ReportPressure(now, c.Pressure)
@@ -129,11 +131,11 @@
 	}
 }
 
-// downstreamGates returns the gates of the services that a route's graphs call. A graph that would overload them is refused
-// at its entry, by its own priority: further inside, its calls pass without a decision.
+// downstreamGates returns the gates of the services that a route's call graphs call. A graph that would overload one of them
+// is refused at its entry, by its priority, because its inner calls are always admitted.
 func (t *Table) downstreamGates(now time.Duration, route *meshconfig.Route) []*decide.Gate {
 	var gates []*decide.Gate
-	for name, calls := range t.graphs[route.Name] {
+	for name, calls := range t.meanCalls[route.Name] {
 		if calls < minCallCount {
 			continue
 		}
--- a/internal/dataplane/sidecar/node.go
+++ b/internal/dataplane/sidecar/node.go
@@ -104,7 +104,7 @@
 	}
 	n := &Node{log: log, began: time.Now(), pool: rpc.NewPool(running, rpc.PoolOptions{Identity: source})}
 	n.set.Store(set)
-	n.shares.Known = set.Bootstrap
+	n.shares.FirstStart = set.Bootstrap
 	n.inbound = proxy.NewInbound(set.Bounds.Drain, set.HeartbeatInterval, log)
 	n.agent = agent.New(agent.Options{
 		Settings: n.set.Load, Pool: n.pool, Seed: rng.Uint64(), Log: log,
--- a/internal/simulation/lab/forwarding.go
+++ b/internal/simulation/lab/forwarding.go
@@ -19,7 +19,7 @@
 // deliver tells waiting requests whether they have a slot.
 func (n *node) deliver(grants []localserver.SlotGrant[*ticket]) {
 	for _, grant := range grants {
-		grant.Ticket.granted(grant.Go)
+		grant.Ticket.granted(grant.Granted)
 	}
 }
 
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -62,7 +62,7 @@
 	n.hub = relay.NewHub(func() time.Duration { return s.now - n.freshAt })
 	n.table = router.NewTable(router.Options{Node: n.name, Zone: n.zone, RetryRatio: s.scenario.Retry.Ratio, RetryWindow: sec(s.scenario.Retry.WindowS), Seed: s.rng.Uint64()})
 	n.admission = localserver.New[*ticket](ms(s.scenario.DrainMs), ms(s.scenario.HeartbeatMs))
-	n.shares = budget.Shares{Slack: s.scenario.Retry.Slack, Window: sec(s.scenario.Retry.WindowS), Known: s.now == 0}
+	n.shares = budget.Shares{Slack: s.scenario.Retry.Slack, Window: sec(s.scenario.Retry.WindowS), FirstStart: s.now == 0}
 	n.peerView.start(s, &n.machine)
 	n.ready, n.mustKnow = false, s.ackedRevision
 	incarnation := n.incarnation
