--- a/decide/admission.go
+++ b/decide/admission.go
@@ -6,29 +6,26 @@
 	"time"
 )
 
-// Admission at the front: a call is admitted with the probability P = (b-r)/(b-a) between the bounds a and b
-// of its value's curve, where r is the node's mean response time in multiples of the latency target. The
-// curves of the values are stacked, so that a lower value is refused completely before a higher one begins
-// to be. Where the calls in flight show an overload before the response times do, they stand in for r.
+// Admission at the front proxy: a request is admitted with the probability P = (b-r)/(b-a) between the bounds
+// a and b of the curve of its value, where r is the node's mean response time in multiples of the latency
+// target. The curves are stacked, so that a lower value is refused completely before a higher one is refused
+// at all. If the number of calls in flight shows an overload before the response times do, it replaces r.
 const (
-	// r at which even the highest value is refused, and below which the lowest is admitted.
-	admissionLatencyMax = 1.0
-	admissionLatencyMin = 0.6
+	admissionLatencyMax = 1.0 // r at which the pressure is 1
+	admissionLatencyMin = 0.6 // r at which the pressure is 0
 
-	latencyPeriod     = 200 * time.Millisecond // between two readings of r
+	latencyPeriod     = 200 * time.Millisecond // interval between updates of r
 	latencyWindow     = 24                     // outcomes over which r is averaged
 	concurrencyWindow = 8                      // arrivals over which the calls in flight are averaged
 	levelShareWindow  = 64                     // arrivals over which the shares of the levels are averaged
 
-	callsPerTier = 2 // calls that a server holds, for each tier behind it, without being overloaded
-	// calls in flight, in multiples of the capacity, at which even the highest is refused
-	maxConcurrencyRatio = 2
-	capacityGrowthRate  = 0.15 // a second: how fast added servers count as capacity
-	retryValueFactor    = 0.9  // a client's retry is worth a little less than a first attempt
-	levelGapExponent    = 4    // of the share of lower values, by which a curve stands off from theirs
+	callsPerTier        = 2    // calls in flight per server, for each tier behind it, without overload
+	maxConcurrencyRatio = 2    // concurrency ratio at which the pressure is 1
+	capacityGrowthRate  = 0.15 // relative growth of countedServers per second
+	retryValueFactor    = 0.9  // factor on the value of a client's retry
+	levelGapExponent    = 4    // exponent of the gap below a curve; see admissionProbability
 
-	// A request whose TTL is below this share of the largest seen in its class is a later attempt of its
-	// client.
+	// A request whose TTL is below this share of the longest TTL in its class is taken for a client's retry.
 	fullTTLNumerator, fullTTLDenominator = 49, 50
 )
 
@@ -36,23 +33,23 @@
 type admission struct {
 	tenants       []tenant
 	valueLevels   []float64       // distinct values, ascending
-	levelArrivals []float64       // recent arrivals on each
-	longestTTL    []time.Duration // largest TTL seen, by class
+	levelArrivals []float64       // decaying number of arrivals per level
+	longestTTL    []time.Duration // longest TTL received, by class
 
 	normalizedLatency  float64 // r: mean response time in multiples of the latency target
-	latencySum         float64 // of the period: time that calls spent here, in multiples of their targets
-	periodOutcomes     float64 // of the period
-	totalOutcomes      float64
-	pendingLatencyRate float64 // growth of latencySum: the calls in flight, each as one over its target
+	latencySum         float64 // time that calls spent here in this period, in multiples of their targets
+	periodOutcomes     float64 // calls that ended in this period
+	totalOutcomes      float64 // calls that ended in earlier periods
+	pendingLatencyRate float64 // growth of latencySum per nanosecond: sum of 1/target over calls in flight
 	periodEnd          time.Duration
 
-	callsPerServer     float64 // that a server holds without being overloaded
+	callsPerServer     float64 // calls in flight that a server handles without overload
 	meanConcurrency    float64 // calls in flight, averaged over arrivals
-	countedServers     float64 // servers that count as capacity
-	concurrencyLimited bool    // the calls in flight caused a refusal in this period
+	countedServers     float64 // number of servers that count as capacity
+	concurrencyLimited bool    // whether a request was refused in this period at a concurrency ratio above 1
 }
 
-// tenant meters one tenant's requests against its quota.
+// tenant is the token bucket that limits a tenant to its quota.
 type tenant struct {
 	tokens   float64
 	filledAt time.Duration
@@ -63,7 +60,7 @@
 		tenants:    make([]tenant, len(settings.Tenants)),
 		longestTTL: make([]time.Duration, len(settings.Classes)),
 		periodEnd:  now + latencyPeriod,
-		// A server also holds the calls that wait for the tiers behind it.
+		// A server also holds calls that wait for the tiers behind it.
 		callsPerServer: float64(1 + callsPerTier*max(2, settings.Tiers-settings.Tier)),
 	}
 	for _, c := range settings.Classes {
@@ -82,15 +79,16 @@
 	return a
 }
 
-// addLevels adds, for each level, the level times a factor.
+// addLevels adds each level multiplied by factor as a further level.
 func (a *admission) addLevels(factor float64) {
 	for _, value := range a.valueLevels {
 		a.valueLevels = append(a.valueLevels, value*factor)
 	}
 }
 
-// endLatencyPeriod takes the period's response times into r. A period without outcomes keeps r; few outcomes
-// move it little, lest one slow answer close a node that sees few.
+// endLatencyPeriod updates r with the response times of the period. A period without outcomes leaves r
+// unchanged. A period with few outcomes changes it little: otherwise one slow answer would make a node with
+// little traffic refuse its requests.
 func (a *admission) endLatencyPeriod() {
 	if a.periodOutcomes > 0 {
 		mean := a.latencySum / a.periodOutcomes
@@ -101,7 +99,7 @@
 	a.latencySum, a.periodOutcomes = 0, 0
 }
 
-// recordArrival counts an arrival on its level, and averages the calls in flight.
+// recordArrival updates the arrivals of the levels and the mean number of calls in flight.
 func (b *Balancer) recordArrival(value float64) {
 	for i := range b.levelArrivals {
 		b.levelArrivals[i] *= 1 - 1.0/levelShareWindow
@@ -110,8 +108,9 @@
 	b.meanConcurrency += (float64(len(b.calls)) - b.meanConcurrency) / concurrencyWindow
 }
 
-// valueOf is the value of a request: its class's, less for a tenant over its quota and for a client's retry,
-// of whose latency target a part has passed, and which would else displace first attempts.
+// valueOf returns the value of a request: that of its class, reduced for a tenant over its quota and for a
+// client's retry. A retry has less of its latency target left, and at full value it would displace first
+// attempts.
 func (b *Balancer) valueOf(r *Request) float64 {
 	value := b.settings.Classes[r.Class].Value
 	if r.Tenant >= 0 && r.Tenant < len(b.tenants) && !b.withinQuota(r.Tenant) {
@@ -123,24 +122,25 @@
 	return value
 }
 
-// growCapacity lets added servers count as capacity while calls are refused and r shows no overload.
+// growCapacity raises countedServers toward the number of members if requests were refused for concurrency
+// while r shows no overload.
 func (b *Balancer) growCapacity() {
 	servers := float64(len(b.members))
-	calm := b.normalizedLatency < admissionLatencyMin
-	if b.concurrencyLimited && b.countedServers < servers && calm {
+	lowLatency := b.normalizedLatency < admissionLatencyMin
+	if b.concurrencyLimited && b.countedServers < servers && lowLatency {
 		b.countedServers = min(b.countedServers*(1+capacityGrowthRate*latencyPeriod.Seconds()), servers)
 	}
 	b.concurrencyLimited = false
 }
 
-// latencyTarget is the time within which a request earns its full value.
+// latencyTarget returns the time within which an answer to the request earns the full value.
 func (b *Balancer) latencyTarget(r *Request) time.Duration {
 	class := &b.settings.Classes[r.Class]
 	return min(class.LatencyTarget+time.Duration(class.LatencyTargetStretch*float64(r.Work)), class.Deadline)
 }
 
-// latencyTargetLeft is what remains of the latency target. A request with a smaller TTL than others of its
-// class is a later attempt, cut by the client's deadline, which shows how long the client has waited.
+// latencyTargetLeft returns the remaining part of the latency target. A TTL shorter than the longest of the
+// class indicates a client's retry: the client has already waited for the deadline minus the TTL.
 func (b *Balancer) latencyTargetLeft(r *Request) time.Duration {
 	b.longestTTL[r.Class] = max(b.longestTTL[r.Class], r.TTL)
 	left := b.latencyTarget(r)
@@ -150,12 +150,14 @@
 	return left
 }
 
-// admissionProbability is the probability with which a value is admitted, by its curve on the stack.
+// admissionProbability returns the probability of admission for a value at the current pressure. The curve of
+// each level but the lowest starts at a higher pressure the smaller the share of arrivals on its level or
+// above, so that noise in the pressure of one node does not refuse rare requests of high value.
 func (b *Balancer) admissionProbability(value float64) float64 {
 	level := b.level(value)
 	width := 1 / float64(len(b.valueLevels))
 	low := width * float64(level)
-	if value < b.valueLevels[0] { // without value any more: below all others
+	if value < b.valueLevels[0] { // a request of no value is refused before those of the lowest level
 		low -= width
 	} else if level > 0 {
 		low += math.Pow(1-b.levelShare(level), levelGapExponent)
@@ -163,59 +165,60 @@
 	return linearProbability(b.pressure(), low, low+width)
 }
 
-// level is the index of a value's level.
+// level returns the index of the lowest level that is at least value, or else of the highest level.
 func (a *admission) level(value float64) int {
-	at, _ := slices.BinarySearch(a.valueLevels, value)
-	return min(at, len(a.valueLevels)-1)
+	i, _ := slices.BinarySearch(a.valueLevels, value)
+	return min(i, len(a.valueLevels)-1)
 }
 
-// levelShare is the share of the arrivals that is on a level or above.
+// levelShare returns the share of the arrivals that are on a level or above.
 func (a *admission) levelShare(level int) float64 {
-	above, all := 0.0, 0.0
+	above, total := 0.0, 0.0
 	for i, n := range a.levelArrivals {
-		all += n
+		total += n
 		if i >= level {
 			above += n
 		}
 	}
-	return above / all
+	return above / total
 }
 
-// pressure is this node's position on the stack of curves: 0 at the bottom, 1 at the top. It is by r or, if
-// that is more, by the calls in flight: some servers become slow at once when they have too many, long before
-// response times have risen.
+// pressure returns the position on the axis of the stacked curves; the curve of the lowest level starts at 0.
+// It is the larger of the positions by r and by the concurrency ratio: some servers become slow as soon as
+// they hold too many calls, long before the measured response times rise.
 func (b *Balancer) pressure() float64 {
 	byLatency := (b.normalizedLatency - admissionLatencyMin) / (admissionLatencyMax - admissionLatencyMin)
 	byConcurrency := (b.concurrencyRatio() - 1) / (maxConcurrencyRatio - 1)
 	return max(byLatency, byConcurrency)
 }
 
-// concurrencyRatio is the calls in flight in multiples of this node's share of the servers' capacity. Ejected
-// servers are no capacity: the others would else be overloaded in their place. A node's few calls vary by
-// chance, while the servers see the sum over all nodes: so the calls are averaged over some arrivals, and
-// what chance leaves of that is tolerated.
+// concurrencyRatio returns the mean number of calls in flight in multiples of this node's share of the
+// servers' capacity. Ejected servers do not count as capacity, as their calls would overload the others. The
+// few calls of one node vary at random, while the servers receive the sum over all nodes: therefore the calls
+// are averaged over arrivals, and half the square root of the capacity is added as a tolerance.
 func (b *Balancer) concurrencyRatio() float64 {
-	trusted, all := 0, len(b.localSubset)+len(b.remoteSubset)
-	for i := range all {
+	available, total := 0, len(b.localSubset)+len(b.remoteSubset)
+	for i := range total {
 		if s := b.subset(i); s.ejections == 0 && s.zone.ejections == 0 {
-			trusted++
+			available++
 		}
 	}
 	servers := min(float64(len(b.members)), b.countedServers)
 	capacity := b.callsPerServer * servers / float64(max(1, b.settings.Nodes))
-	capacity *= float64(trusted) / float64(max(1, all))
+	capacity *= float64(available) / float64(max(1, total))
 	return b.meanConcurrency / max(1, capacity+math.Sqrt(capacity)/2)
 }
 
-// linearProbability is (b-r)/(b-a) between a and b, 1 below and 0 above. (The paper prints (r-a)/(b-a), which
-// would rise with r.)
+// linearProbability returns (b-r)/(b-a) for r between a and b, 1 below a and 0 above b. (The paper prints
+// (r-a)/(b-a), which would rise with r.)
 func linearProbability(r, a, b float64) float64 {
 	return min(1, max(0, (b-r)/(b-a)))
 }
 
-// retryAfter is the advice of a refusal, with jitter so that refused clients do not return together.
+// retryAfter returns the retry-after of a refusal, with jitter so that the clients do not all retry at the
+// same time. It returns zero if refusals may not carry one.
 func (b *Balancer) retryAfter(targetLeft time.Duration) time.Duration {
-	if !b.settings.MayAdviseReturn {
+	if !b.settings.MaySetRetryAfter {
 		return 0
 	}
 	wait := max(0, b.settings.MaxRetryAfter)
@@ -225,12 +228,13 @@
 	return b.jitter(wait)
 }
 
-// jitter shortens a wait by up to a half.
+// jitter shortens a wait by a random share of up to one half.
 func (b *Balancer) jitter(wait time.Duration) time.Duration {
 	return time.Duration((0.5 + b.rng.Float64()/2) * float64(wait))
 }
 
-// withinQuota meters a tenant's request by a token bucket of one second of its quota.
+// withinQuota takes a token from a tenant's bucket and reports whether there was one. The bucket holds this
+// node's share of the quota for one second, but at least one token.
 func (b *Balancer) withinQuota(i int) bool {
 	t := &b.tenants[i]
 	quota := b.settings.Tenants[i].Quota / float64(max(1, b.settings.Nodes))
--- a/decide/admission_gate.go
+++ b/decide/admission_gate.go
@@ -7,96 +7,100 @@
 	"time"
 )
 
-// The gate's curves and averages. r is the response time in multiples of the latency target.
+// Parameters of Gate. r is the response time in multiples of the latency target.
 const (
-	gateLatencyPeriod = 500 * time.Millisecond // between two readings of r
+	gateLatencyPeriod = 500 * time.Millisecond // interval between updates of r
 	gateOutcomeWindow = 8                      // outcomes over which r is averaged
-	gateLatencyMin    = 0.8                    // r below which the lowest priority is admitted completely
-	gateLatencyMax    = 2.0                    // r at which even the highest priority is refused
-	gateCalmPressure  = 0.83                   // pressure below which no request has to wait for a slot
-	gateIdleLatency   = 0.5                    // r below which the service has capacity to spare
-	gateIdleSlack     = 0.001                  // of the pressure of an idle service above gateLatencyMin
+	gateLatencyMin    = 0.8                    // r below which every request is admitted
+	gateLatencyMax    = 2.0                    // r from which every request is refused
+	gateCalmPressure  = 0.83                   // pressure below which Calm returns true
+	gateIdleLatency   = 0.5                    // upper bound of r for an idle service
+	gateIdleSlack     = 0.001                  // upper bound of its pressure above gateLatencyMin
 
-	saturationWindow       = time.Second // over which requests that find no free server are averaged ...
-	saturationPrior        = 2           // ... as if so many more had found one
-	toleratedSaturation    = 0.1         // share that finds no free server also with capacity to spare
-	saturatedPressureShare = 0.6         // share of the stack that is closed if no request finds one
+	saturationWindow       = time.Second // time constant of the decay of the saturation counters
+	saturationPrior        = 2           // requests that are added to those that found a free server
+	toleratedSaturation    = 0.1         // share of saturated requests that does not raise the pressure
+	saturatedPressureShare = 0.6         // pressure rise at full saturation, as a share of r's range
 
-	reportedPressureWindow = 8           // reports of other nodes over which their pressure is averaged
-	reportedPressureTTL    = time.Second // of a report
+	reportedPressureWindow = 8           // reports over which the pressure at other nodes is averaged
+	reportedPressureTTL    = time.Second // time until a report expires
 
-	minRetryAfterShare = 0.6 // of the longest advice, if no such request is admitted
+	minRetryAfterShare = 0.6 // shortest retry-after at probability 0, as a share of the longest
 )
 
-// Gate decides which new call graphs are admitted to one service, by stacked curves (see admission.go) of
-// priorities. Its r is the mean over a period of the end-to-end times of this node's own requests, in
-// multiples of their latency targets; time-outs and failures count with the time that they took. A Gate
-// belongs to one goroutine, or to the holder of a lock.
+// Gate decides which new call graphs are admitted to one service, by stacked curves (see admission.go), one
+// for each priority. Its r is the mean end-to-end time of this node's own requests, in multiples of their
+// latency targets; timeouts and failures count with the time until they occurred. A Gate must not be used
+// concurrently.
 type Gate struct {
 	rng               *rand.Rand
-	levels            []int // priorities, the lowest (the largest number) first
-	normalizedLatency float64
-	latencySum        float64 // of the period
-	periodOutcomes    float64
+	levels            []int   // priorities, the lowest (the largest number) first
+	normalizedLatency float64 // r
+	latencySum        float64 // response times of this period, in multiples of the latency targets
+	periodOutcomes    float64 // requests that ended in this period
 	periodEnd         time.Duration
-	inflight          int
+	inflight          int // admitted requests that have not ended
 
-	saturatedRequests float64       // requests that found no free server, fading ...
-	seenRequests      float64       // ... and all ...
-	saturationAt      time.Duration // ... at the last of them
+	saturatedRequests   float64       // decaying number of requests that found no free server
+	totalRequests       float64       // decaying number of all requests
+	saturationUpdatedAt time.Duration // last update of the two counters
 
-	reportedPressure   float64       // pressure at other nodes, averaged ...
-	reportedPressureAt time.Duration // ... at the last report
+	reportedPressure   float64       // mean pressure reported by other nodes
+	reportedPressureAt time.Duration // time of the last report
 }
 
-// NewGate returns a gate without history, which admits all.
+// NewGate returns a gate without recorded requests, which admits every request.
 func NewGate(seed uint64, now time.Duration) *Gate {
 	return &Gate{rng: rand.New(rand.NewPCG(seed, gateStream)), periodEnd: now + gateLatencyPeriod}
 }
 
-// SetPriorities sets the priorities that there are; 0 is the highest.
-func (g *Gate) SetPriorities(all []int) {
-	g.levels = slices.Clone(all)
+// SetPriorities sets the priorities in use, in any order; 0 is the highest.
+func (g *Gate) SetPriorities(priorities []int) {
+	g.levels = slices.Clone(priorities)
 	slices.SortFunc(g.levels, func(a, b int) int { return b - a })
 	g.levels = slices.Compact(g.levels)
 }
 
-// NormalizedLatency returns r.
+// NormalizedLatency returns r, the mean response time in multiples of the latency target.
 func (g *Gate) NormalizedLatency() float64 { return g.normalizedLatency }
 
-// RecordCapacity notes whether a request was taken at once, or found no free server. It shows at once what r
-// will show when the queued requests are answered.
-func (g *Gate) RecordCapacity(now time.Duration, taken bool) {
-	fade := g.fade(now)
-	g.saturatedRequests, g.seenRequests, g.saturationAt = g.saturatedRequests*fade, g.seenRequests*fade+1, now
-	if !taken {
+// RecordCapacity records whether a request was accepted by a server without waiting, or found no free server.
+// Saturation raises the pressure at once, whereas r rises only when the queued requests end.
+func (g *Gate) RecordCapacity(now time.Duration, accepted bool) {
+	decay := g.saturationDecay(now)
+	g.saturatedRequests, g.totalRequests, g.saturationUpdatedAt =
+		g.saturatedRequests*decay, g.totalRequests*decay+1, now
+	if !accepted {
 		g.saturatedRequests++
 	}
 }
 
-// fade is by time: by requests, a gate that admits few would remember an overload for long.
-func (g *Gate) fade(now time.Duration) float64 {
-	return math.Exp(-float64(now-g.saturationAt) / float64(saturationWindow))
+// saturationDecay returns the factor by which the saturation counters have decayed since their last update.
+// They decay with time, because a gate that admits few requests would keep a past overload for too long if
+// they decayed with each request.
+func (g *Gate) saturationDecay(now time.Duration) float64 {
+	return math.Exp(-float64(now-g.saturationUpdatedAt) / float64(saturationWindow))
 }
 
-// Pressure is r, or what stands in for it while requests find no free server.
+// Pressure returns r, or the pressure derived from the share of saturated requests if that is higher.
 func (g *Gate) Pressure(now time.Duration) float64 {
-	fade := g.fade(now)
-	saturation := g.saturatedRequests * fade / (g.seenRequests*fade + saturationPrior)
+	decay := g.saturationDecay(now)
+	saturation := g.saturatedRequests * decay / (g.totalRequests*decay + saturationPrior)
 	excess := max(0, saturation-toleratedSaturation) / (1 - toleratedSaturation)
-	stack := gateLatencyMax - gateLatencyMin
-	return max(g.normalizedLatency, gateLatencyMin+stack*saturatedPressureShare*excess)
+	latencyRange := gateLatencyMax - gateLatencyMin
+	return max(g.normalizedLatency, gateLatencyMin+latencyRange*saturatedPressureShare*excess)
 }
 
-// Calm reports whether nothing is about to be refused.
+// Calm reports whether the pressure is so low that hardly any request is refused.
 func (g *Gate) Calm(now time.Duration) bool { return g.Pressure(now) < gateCalmPressure }
 
-// Idle reports whether requests find a free server at once, and are answered well within their targets.
+// Idle reports whether requests find free servers and are answered well within their latency targets.
 func (g *Gate) Idle(now time.Duration) bool {
 	return g.normalizedLatency < gateIdleLatency && g.Pressure(now) < gateLatencyMin+gateIdleSlack
 }
 
-// ReportPressure takes the pressure at another node that calls the service for graphs of this node.
+// ReportPressure records the pressure measured by another node that calls the service on behalf of call
+// graphs of this node.
 func (g *Gate) ReportPressure(now time.Duration, pressure float64) {
 	if now-g.reportedPressureAt > reportedPressureTTL {
 		g.reportedPressure = 0
@@ -105,14 +109,15 @@
 	g.reportedPressureAt = now
 }
 
-// Admit decides on a new call graph. The gates of the downstream services that the graph calls take part, as
-// its calls will pass them without a decision: a graph that would overload one of them is refused at its
-// entry.
+// Admit reports whether a new call graph is admitted. It also consults the gates of the downstream services
+// that the graph calls: a graph that would overload one of them is refused at its entry, since the calls
+// inside a graph are not subject to admission. If no request is in flight, the graph is always admitted.
 func (g *Gate) Admit(now time.Duration, priority int, downstream ...*Gate) bool {
 	return g.inflight == 0 || g.rng.Float64() < g.GraphProbability(now, priority, downstream...)
 }
 
-// GraphProbability is the probability with which a graph is admitted that calls downstream services.
+// GraphProbability returns the probability of admission of a graph that calls the downstream services: the
+// lowest over all its services.
 func (g *Gate) GraphProbability(now time.Duration, priority int, downstream ...*Gate) float64 {
 	g.rollPeriod(now)
 	probability := g.Probability(now, priority)
@@ -123,7 +128,8 @@
 	return probability
 }
 
-// DownstreamProbability is the probability with which a graph is admitted that calls this service downstream.
+// DownstreamProbability returns the probability of admission of a graph that calls this service downstream.
+// It takes into account the pressure reported by other nodes.
 func (g *Gate) DownstreamProbability(now time.Duration, priority int) float64 {
 	if now-g.reportedPressureAt > reportedPressureTTL {
 		return g.Probability(now, priority)
@@ -131,7 +137,7 @@
 	return g.probabilityAt(max(g.Pressure(now), g.reportedPressure), priority)
 }
 
-// Probability is the probability with which a priority is admitted at the present pressure.
+// Probability returns the probability of admission for a priority at the current pressure.
 func (g *Gate) Probability(now time.Duration, priority int) float64 {
 	return g.probabilityAt(g.Pressure(now), priority)
 }
@@ -146,24 +152,25 @@
 	return linearProbability(r, low, low+width)
 }
 
-// RetryAfter is the advice of a refusal: soon where such requests are mostly admitted, and the later the
-// less probable that is, as a client has few attempts and an overload lasts. It is at most the wait that the
-// client would heed, and has jitter, lest all clients return together.
-func (g *Gate) RetryAfter(target, wait time.Duration, probability float64) time.Duration {
-	u := g.rng.Float64()
-	soon := (0.5 + u) * float64(max(target/2, gateLatencyPeriod/2))
-	late := (minRetryAfterShare + (1-minRetryAfterShare)*u) * float64(wait)
-	advice := soon + max(0, late-soon)*(1-probability)
-	return max(time.Millisecond, time.Duration(min(float64(wait), advice)))
+// RetryAfter returns the retry-after of a refusal. It is short if such requests are mostly admitted, and
+// longer the lower their probability of admission, since a client has few attempts and an overload lasts. It
+// is at most maxWait, but at least one millisecond, and has jitter so that the clients do not all retry at
+// the same time.
+func (g *Gate) RetryAfter(target, maxWait time.Duration, probability float64) time.Duration {
+	jitter := g.rng.Float64()
+	shortest := (0.5 + jitter) * float64(max(target/2, gateLatencyPeriod/2))
+	longest := (minRetryAfterShare + (1-minRetryAfterShare)*jitter) * float64(maxWait)
+	wait := shortest + max(0, longest-shortest)*(1-probability)
+	return max(time.Millisecond, time.Duration(min(float64(maxWait), wait)))
 }
 
-// Begin counts an admitted request.
+// Begin records the start of an admitted request.
 func (g *Gate) Begin(now time.Duration) {
 	g.rollPeriod(now)
 	g.inflight++
 }
 
-// Done takes the end of an admitted request.
+// Done records the end of an admitted request. A request without a latency target does not change r.
 func (g *Gate) Done(now, elapsed, target time.Duration) {
 	g.rollPeriod(now)
 	g.inflight = max(0, g.inflight-1)
@@ -173,7 +180,8 @@
 	}
 }
 
-// rollPeriod ends a period that is over. One without outcomes keeps r; few outcomes move it little.
+// rollPeriod ends the period if it is over, and updates r. A period without outcomes leaves r unchanged; one
+// with few outcomes changes it little.
 func (g *Gate) rollPeriod(now time.Duration) {
 	if now < g.periodEnd {
 		return
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -12,65 +12,65 @@
 		{0, 0.55, 1.05, 1},
 		{0.55, 0.55, 1.05, 1},
 		{0.80, 0.55, 1.05, 0.5},
-		{0.95, 0.55, 1.05, 0.2}, // the paper's printed middle would give 0.8
+		{0.95, 0.55, 1.05, 0.2}, // the formula printed in the paper would give 0.8
 		{1.05, 0.55, 1.05, 0},
 		{9, 0.55, 1.05, 0},
 	} {
 		if got := linearProbability(c.r, c.a, c.b); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("curve(%v, %v, %v) = %v, want %v", c.r, c.a, c.b, got, c.want)
+			t.Errorf("linearProbability(%v, %v, %v) = %v, want %v", c.r, c.a, c.b, got, c.want)
 		}
 	}
 }
 
-// Servers that turn slow when crowded do so before r has risen: a second of overload with no answer yet
-// must not pile up on them, and what there is room for goes to the higher worth.
-func TestCrowdingIsRefusedBeforeAnswers(t *testing.T) {
-	b := node(4)
+// An overload must be refused before any answer has raised r, and the remaining capacity must go to requests of
+// the higher value.
+func TestOverloadIsRefusedBeforeAnswers(t *testing.T) {
+	b := newFrontProxy(4)
 	low := offer(b, time.Second, 0, 500)
-	if low < 4*crowd || low > 8*crowd {
-		t.Errorf("%d calls of low worth let in on 4 servers, no crowd is %d", low, 4*crowd)
+	if low < 4*serverCapacity || low > 8*serverCapacity {
+		t.Errorf("%d calls of low value admitted for 4 servers with a capacity of %d calls", low, 4*serverCapacity)
 	}
-	if high := offer(b, time.Second, 1, 500); high == 0 || low+high > 12*crowd {
-		t.Errorf("%d calls of high worth let in after %d", high, low)
+	if high := offer(b, time.Second, 1, 500); high == 0 || low+high > 12*serverCapacity {
+		t.Errorf("%d calls of high value admitted after %d of low value", high, low)
 	}
 }
 
-// A node with room for few calls sees them vary by chance; that is no crowd of the servers, as other nodes
-// then have fewer.
-func TestChanceIsNoCrowd(t *testing.T) {
-	few, many := node(1), node(100)
-	for b, n := range map[*Balancer]int{few: crowd, many: 100 * crowd} {
+// A node with a small share of the capacity must tolerate random variations of its concurrency, as other nodes
+// have fewer calls at that time.
+func TestRandomConcurrencyIsTolerated(t *testing.T) {
+	few, many := newFrontProxy(1), newFrontProxy(100)
+	for b, n := range map[*Balancer]int{few: serverCapacity, many: 100 * serverCapacity} {
 		b.meanConcurrency = float64(n)
 	}
 	if c := few.concurrencyRatio(); c > 0.9 {
-		t.Errorf("crowding %v where one server has what it holds on average", c)
+		t.Errorf("concurrency ratio %v for one server at capacity, want at most 0.9", c)
 	}
 	if c := many.concurrencyRatio(); c < 0.9 {
-		t.Errorf("crowding %v where a hundred servers have", c)
+		t.Errorf("concurrency ratio %v for 100 servers at capacity, want at least 0.9", c)
 	}
 }
 
-// A moment with many calls at a node that sees few is chance, and no reason to refuse the highest worth.
-func TestMomentaryCrowdIsAveraged(t *testing.T) {
-	b := node(1)
+// A short burst of calls at a node with few calls must not cause requests of the highest value to be refused.
+func TestConcurrencyIsAveraged(t *testing.T) {
+	b := newFrontProxy(1)
 	b.meanConcurrency = 1
 	for i := range 9 {
 		b.calls[1000+uint64(i)] = &call{}
 	}
 	offer(b, time.Second, 1, 1)
 	if p := b.admissionProbability(9); p < 1 {
-		t.Errorf("the highest worth is let in with %v after a moment of 9 calls", p)
+		t.Errorf("highest value is admitted with probability %v after a short burst of 9 calls, want 1", p)
 	}
 	offer(b, time.Second, 1, 50)
 	if p := b.admissionProbability(9); p > 0 {
-		t.Errorf("the highest worth is let in with %v where 9 calls and more stay", p)
+		t.Errorf("highest value is admitted with probability %v while at least 9 calls stay in flight, want 0", p)
 	}
 }
 
-// A fleet whose first tier grows threefold has room for no more calls until r has stayed calm for a while:
-// the tiers below may be what is short.
-func TestGrownFleetIsNoRoomAtOnce(t *testing.T) {
-	b := node(4)
+// Added servers must count as capacity only after r has been low for a while, as the tier behind may be the
+// bottleneck.
+func TestAddedServersCountGradually(t *testing.T) {
+	b := newFrontProxy(4)
 	b.meanConcurrency = 10
 	before := b.concurrencyRatio()
 	var list []Server
@@ -79,7 +79,7 @@
 	}
 	b.Members(2*time.Second, Members{Change: ListFull, Servers: list}, nil)
 	if c := b.concurrencyRatio(); c < before {
-		t.Errorf("crowding falls from %v to %v as servers are added", before, c)
+		t.Errorf("concurrency ratio falls from %v to %v as soon as servers are added", before, c)
 	}
 	b.normalizedLatency = 0.2
 	for now := 3 * time.Second; now < 20*time.Second; now += latencyPeriod {
@@ -87,15 +87,15 @@
 		b.beginEvent(now, nil)
 	}
 	if b.countedServers != 12 {
-		t.Errorf("%v servers count as room after calm refusals, want 12", b.countedServers)
+		t.Errorf("%v servers count as capacity after refusals at a low r, want 12", b.countedServers)
 	}
 }
 
-// Where a high worth is rare, letting it in costs little: its curve must stand off, so that the noise of one
-// node does not refuse it. Where it is most of the traffic it must not, or nothing holds the load down.
-func TestRareWorthStandsOff(t *testing.T) {
+// If requests of a high value are rare, they must be refused only at a high pressure, so that noise at one node
+// does not refuse them. If they are most of the traffic, they must be refused earlier to limit the load.
+func TestRareValueIsRefusedLast(t *testing.T) {
 	refusedAt := func(classes ...int) float64 {
-		b := node(4)
+		b := newFrontProxy(4)
 		for i := range 1000 {
 			b.calls = map[uint64]*call{}
 			offer(b, time.Second, classes[i%len(classes)], 1)
@@ -106,21 +106,21 @@
 			}
 		}
 	}
-	if rare, most := refusedAt(0, 0, 0, 0, 0, 0, 0, 1), refusedAt(1, 1, 1, 0); rare < 0.9 || most > 0.6 {
-		t.Errorf("worth 9 begins to be refused at pressure %.2f where it is rare, at %.2f where it is most", rare, most)
+	if rare, frequent := refusedAt(0, 0, 0, 0, 0, 0, 0, 1), refusedAt(1, 1, 1, 0); rare < 0.9 || frequent > 0.6 {
+		t.Errorf("value 9 is refused from pressure %.2f if rare, want at least 0.9; from %.2f if frequent, want at most 0.6", rare, frequent)
 	}
 }
 
-// Refused clients come back at once; marked repeats must not crowd out the first tries of their worth, nor
-// give way to first tries of a lesser one.
-func TestRepeatsGiveWayToFirstTries(t *testing.T) {
+// Marked client retries must be refused before first attempts of the same value, but after first attempts of a
+// lower value.
+func TestClientRetriesAreRefusedBeforeFirstAttempts(t *testing.T) {
 	b := New(Settings{MarksClientRetries: true, Classes: []Class{{Value: 1}, {Value: 9}}}, 1, 0)
-	for at := 0.0; at < 1; at += 0.01 {
-		b.normalizedLatency = admissionLatencyMin + at*(admissionLatencyMax-admissionLatencyMin)
-		p := []float64{b.admissionProbability(1 * retryValueFactor), b.admissionProbability(1), b.admissionProbability(9 * retryValueFactor), b.admissionProbability(9)}
+	for pressure := 0.0; pressure < 1; pressure += 0.01 {
+		b.normalizedLatency = admissionLatencyMin + pressure*(admissionLatencyMax-admissionLatencyMin)
+		probabilities := []float64{b.admissionProbability(1 * retryValueFactor), b.admissionProbability(1), b.admissionProbability(9 * retryValueFactor), b.admissionProbability(9)}
 		for i := range 3 {
-			if p[i] > 0 && p[i+1] < 1 {
-				t.Fatalf("at %v of the stack level %d is let in with %v, the next with %v", at, i, p[i], p[i+1])
+			if probabilities[i] > 0 && probabilities[i+1] < 1 {
+				t.Fatalf("at pressure %v, level %d is admitted with probability %v, the next level with %v", pressure, i, probabilities[i], probabilities[i+1])
 			}
 		}
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,12 +1,12 @@
-// Package decide makes the decisions of load balancers for services that call services: which calls are
-// admitted, which server receives them, what is retried. It is pure: no I/O, no clock, no goroutine.
+// Package decide implements load-balancing policies for services that call other services: which calls are
+// admitted, which server receives them, and what is retried. It uses no I/O, no clock and no goroutines.
 //
-// Balancer is the policy of the balancer's node: the node passes every event to it with the present time,
-// and carries out the actions that it returns. Gate and Picker are the policies of the mesh, which package
-// entry composes.
+// Balancer is the policy of a balancer node: the node passes it each event with the current time, and
+// executes the actions that it returns. Gate and Picker are the policies of the mesh; package router combines
+// them.
 //
 //	api.go               settings, events and actions of Balancer
-//	balancer.go          Balancer: events to actions
+//	balancer.go          Balancer: event handlers
 //	admission.go         stacked admission curves, quotas, retry-after
 //	subset.go            the list of servers; deterministic subsets on a ring
 //	p2c.go               power of two choices, latencies of servers
@@ -20,125 +20,125 @@
 
 import "time"
 
-// Effect says whether a request may run more than once.
+// Effect is the retry semantics of a request.
 type Effect int
 
-// The three effects.
+// The effects.
 const (
-	Idempotent    Effect = iota // may be repeated
-	Keyed                       // repeats are dropped inside a group of servers, for a time
+	Idempotent    Effect = iota // may run any number of times
+	Keyed                       // has a key by which the servers of a Group drop repeats, for the time KeyTTL
 	NonIdempotent               // must not run twice
 )
 
 // Group is the set of servers that drop repeats of a keyed request.
 type Group int
 
-// The three groups.
+// The groups.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	GroupAll  Group = iota // all servers
+	GroupZone              // servers of one zone
+	GroupCell              // servers of one cell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyTarget        time.Duration // an answer within it earns the full value
+	LatencyTarget        time.Duration // an answer within this time earns the full value
 	LatencyTargetStretch float64       // the target grows by this multiple of the request's work
-	Deadline             time.Duration // of the client, over all of its attempts
+	Deadline             time.Duration // time limit of the client for all of its attempts
 	Value                float64
-	LateValueShare       float64 // of the value, for an answer after the target
+	LateValueShare       float64 // share of the value that an answer after the target earns
 	Effect               Effect
-	Group                Group         // Keyed: who drops repeats
-	KeyTTL               time.Duration // Keyed: for how long, from the first send that may have run
+	Group                Group         // servers that drop repeats, if Effect is Keyed
+	KeyTTL               time.Duration // how long they do so, from the first send that may have run
 }
 
-// Weights says what a Server's Weight holds.
+// Weights is the meaning of Server.Weight.
 type Weights int
 
 // The kinds of weight.
 const (
 	WeightsNone    Weights = iota // always 1
-	WeightsNominal                // the registered size
-	WeightsRough                  // the size, give or take
-	WeightsLive                   // the size by 1 + calls in flight a core, some time ago
+	WeightsNominal                // registered size
+	WeightsRough                  // approximate size
+	WeightsLive                   // size divided by 1 + calls in flight per core, possibly out of date
 )
 
-// Tenant is one of those who share the service.
+// Tenant describes one of the tenants that share the service.
 type Tenant struct {
-	Quota float64 // requests a second over all nodes; 0: not known
-	Share float64 // of the service
+	Quota float64 // requests per second over all nodes; zero if unknown
+	Share float64 // share of the service
 }
 
-// Prices are taken off the result, each times its share or rate.
+// Prices are deducted from the result, each multiplied by the rate or share that it applies to.
 type Prices struct {
-	CrossZone float64 // of attempts that cross zones, for each first attempt
-	Handshake float64 // of new connections, for each first attempt
-	Probe     float64 // of probes, for each first attempt
-	Waste     float64 // of work that served no answer, as a share of all work
-	LateFail  float64 // of value that ended unserved after its target
+	CrossZone float64 // for attempts that cross zones, per first attempt
+	Handshake float64 // for new connections, per first attempt
+	Probe     float64 // for probes, per first attempt
+	Waste     float64 // for work that served no answer, as a share of all work
+	LateFail  float64 // for the value of requests that failed after their latency target
 }
 
-// Goal weighs the parts of the result.
+// Goal holds the weights of the parts of the result.
 type Goal struct {
 	Total, WorstWindow, WorstClass, WorstTenant float64
-	// of tenfold steps of the value that is not served ...
+	// weight of the number of nines in the share of the value that is served
 	Nines     float64
-	NinesFull float64 // ... and how many of them earn it in full
+	NinesFull float64 // number of nines that earns the full weight
 }
 
-// Settings are the settings of a node at its start; what is absent is zero. Settings that make no sense do
-// not panic and break no rule: less than one node counts as one, a negative wait as none, and without a class
-// every request fails.
+// Settings are the settings of a node at its start; absent ones are zero. Invalid settings neither cause a
+// panic nor break a rule: fewer than one node counts as one, a negative wait counts as zero, and without a
+// class every request fails.
 type Settings struct {
-	Node, Nodes         int // this node's number among the nodes of its tier
-	Tier, Tiers         int // tier 0: front proxy
+	Node, Nodes         int // index of this node in its tier, and number of nodes in the tier
+	Tier, Tiers         int // index of this node's tier (0 is the front proxy), and number of tiers
 	Zone                string
 	Zones               int
 	Classes             []Class
 	Tenants             []Tenant
 	OverQuotaValue      float64 // factor on the value of a request over its tenant's quota
-	ByWork              bool    // value is counted by work, not by request
+	ByWork              bool    // value is counted per unit of work, not per request
 	Weights             Weights
-	ListOnRequest       bool // the list of servers comes on request only
+	ListOnRequest       bool // the list of servers is sent only on request
 	ListRequestInterval time.Duration
-	DrainGrace          time.Duration // sends to a draining server must have ended after this
-	SlowStartMinShare   float64       // a started server has at least this share of its capacity
+	DrainGrace          time.Duration // time within which sends to a draining server must end
+	SlowStartMinShare   float64       // a server that has just started has this share of its capacity
 	SlowStartDuration   time.Duration
-	FallMultiple        float64 // a starting server fails if it is sent this multiple of its capacity ...
-	FallFor             time.Duration
+	OverloadFactor      float64       // multiple of its capacity at which a starting server fails
+	OverloadDuration    time.Duration // time after which a starting server fails at such a load
 	AnswerGrace         time.Duration // a final answer still counts this long after the deadline
-	Tick                time.Duration // events come no closer together
+	Tick                time.Duration // shortest interval between events
 	MarksClientRetries  bool          // clients mark their retries
-	PassesDeadline      bool          // a call to the next tier carries the time that its caller has left
+	PassesDeadline      bool          // a call to the next tier carries the remaining time of its caller
 	Prices              Prices
 	Goal                Goal
 	MaxAttempts         int
-	MaxPendingRequests  int // 0: not known
+	MaxPendingRequests  int // zero if unknown
 	MaxRetryAfter       time.Duration
-	ConnIdle            time.Duration // idle connections are closed after this
+	ConnIdle            time.Duration // servers close connections that were idle for this long
 	ConnectTimeout      time.Duration
 	Streams             int // concurrent attempts on one connection
 	MayCancel           bool
 	MayProbe            bool
 	MayHedge            bool
-	MayAdviseReturn     bool // refusals may carry a retry-after
+	MaySetRetryAfter    bool // refusals may carry a retry-after
 }
 
-// Change says how a list of servers relates to the one before.
+// Change is the kind of an update of the list of servers.
 type Change int
 
-// The kinds of list.
+// The kinds of update.
 const (
 	ListDelta  Change = iota // changed entries only
-	ListFull                 // complete: missing servers are removed
-	ListStored               // complete, as the node last had it; perhaps old
-	ListFailed               // a call for the list failed, or the watch was lost
+	ListFull                 // complete: servers that are not in it are removed
+	ListStored               // complete, as stored by the node; may be out of date
+	ListFailed               // no list: the request for it failed, or the watch was lost
 )
 
 // Health is a server's state in the list.
 type Health int
 
-// The states.
+// The health states.
 const (
 	Healthy Health = iota
 	Draining
@@ -152,83 +152,83 @@
 	Cell    int
 	Health  Health
 	Weight  float64       // relative size; 0 counts as 1
-	Started time.Duration // 0: long ago
+	Started time.Duration // start of the server's process; zero if it started long ago
 }
 
-// Members is a change of the list of servers.
+// Members is an update of the list of servers.
 type Members struct {
 	Change  Change
 	Servers []Server
 }
 
-// Request is a call, which this node has to answer exactly once.
+// Request is an incoming call, which the node must answer exactly once.
 type Request struct {
 	ID          uint64
 	Class       int           // index into Settings.Classes
-	Tenant      int           // index into Settings.Tenants; -1: none
+	Tenant      int           // index into Settings.Tenants; -1 if there is no tenant
 	TTL         time.Duration // time until the caller gives up
-	Work        time.Duration // expected work; 0: unknown
-	ClientRetry bool          // it is known to be a client's retry
+	Work        time.Duration // expected work; zero if unknown
+	ClientRetry bool          // whether the client marked it as a retry
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt or a probe.
 type Result int
 
-// The results; Full, Unconnected and NotSent prove that nothing ran.
+// The results. After Full, Unconnected and NotSent, the request has certainly not run.
 const (
 	Served Result = iota
 	Errored
 	Full        // rejected before the request was processed
 	TimedOut    // no answer in time
 	Unconnected // no connection
-	Broken      // connection lost while waiting
+	Broken      // connection lost while waiting for the answer
 	Cancelled
 	NotSent
-	Unhealthy // rejected by the node beside an unhealthy server
+	Unhealthy // rejected by the sidecar of an unhealthy server
 )
 
-// Outcome ends one attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	Request uint64
 	Attempt int
 	Server  string
 	Result  Result
 	Elapsed time.Duration // since the send
-	Final   bool          // the request is finished
+	Final   bool          // whether the request is finished
 }
 
-// Probed ends one probe.
+// Probed reports the end of a probe.
 type Probed struct {
 	Server  string
 	Result  Result
 	Elapsed time.Duration
 }
 
-// Timer says that an After is due.
+// Timer reports the expiry of a timer set by After.
 type Timer struct{ Token uint64 }
 
-// ClientGone says that a request's client has left.
+// ClientGone reports that a client has disconnected before its request was answered.
 type ClientGone struct{ Request uint64 }
 
-// Kind names an action.
+// Kind is the kind of an action.
 type Kind int
 
-// The actions and the fields of Action that each uses.
+// The kinds of action, with the fields of Action that each uses.
 const (
-	Send      Kind = iota // Request, Server, Wait (time-out of the attempt)
-	Refuse                // Request, Wait (retry-after; 0: no advice)
+	Send      Kind = iota // Request, Server, Wait (timeout of the attempt)
+	Refuse                // Request, Wait (retry-after; zero if the refusal carries none)
 	Fail                  // Request
 	Cancel                // Request, Attempt
 	Probe                 // Server
-	Watch                 // request changes of the list from now on
-	Unwatch               // request no more changes
-	CloseIdle             // Server: its idle connections
-	Fetch                 // request the complete list once
-	After                 // Token, Wait
+	Watch                 // subscribes to changes of the list of servers
+	Unwatch               // ends the subscription
+	CloseIdle             // Server (whose idle connections are closed)
+	Fetch                 // requests the complete list of servers once
+	After                 // Token, Wait; sets a timer
 	Log                   // Text
 )
 
-// Action is what the node has to do.
+// Action is an instruction to the node.
 type Action struct {
 	Kind    Kind
 	Request uint64
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// The streams of random numbers of one seed: each kind of decider has its own.
+// PCG streams: Balancer, Gate and Picker draw different random numbers from the same seed.
 const (
 	balancerStream = 0x9e3779b97f4a7c15
 	gateStream     = 0x6a7e
 	pickerStream   = 0x91c4
 )
 
-// listTimerToken is the token of the timer that asks for the list of servers; other tokens are requests' ids.
+// listTimerToken is the token of the timer for requests of the server list. Other tokens are request IDs.
 const listTimerToken = 1 << 62
 
-// call is a request that still needs its final answer.
+// call is a request without a final answer.
 type call struct {
 	Request
 	arrived         time.Duration
-	deadline        time.Duration // an answer is of use until then
+	deadline        time.Duration // time after which an answer has no value
 	attempts        []attempt
 	pendingAttempts int           // attempts without an outcome
-	mayHaveRun      bool          // an attempt may have run ...
-	mayHaveRunAt    time.Duration // ... that was sent first at this time ...
-	mayHaveRunOn    *server       // ... to this server
+	mayHaveRun      bool          // whether an attempt that ended or was hedged may have run
+	mayHaveRunAt    time.Duration // time at which the first such attempt was sent
+	mayHaveRunOn    *server       // server to which it was sent
 }
 
-// Balancer decides for one node. It belongs to one goroutine. Its parts, each with a file of its own, share
-// the present time and the list of actions.
+// Balancer is the load-balancing policy of one node. It must not be used concurrently. Its handlers append
+// the resulting actions to out and return the extended slice. The embedded structs hold the state of its
+// parts, each with a file of its own.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration // of the present event
-	actions  []Action      // of the present event
+	now      time.Duration // time of the current event
+	actions  []Action      // actions of the current event
 	calls    map[uint64]*call
 
-	admission       // admission.go: which calls are admitted at the front
+	admission       // admission.go: admission at the front proxy
 	endpoints       // subset.go: the servers, and the subset of this node
 	latencies       // p2c.go: response times of servers
 	retryBudget     // retry.go
@@ -44,7 +45,7 @@
 	listWatch       // subset.go: the watch on the list of servers
 }
 
-// New returns the decisions of a node that starts now.
+// New returns the policy of a node that starts at now.
 func New(settings Settings, seed uint64, now time.Duration) *Balancer {
 	return &Balancer{
 		settings:        settings,
@@ -59,7 +60,8 @@
 	}
 }
 
-// beginEvent takes an event's time and buffer; every handler calls it first.
+// beginEvent sets the time and the action buffer of an event, and ends the latency period if it is over.
+// Every handler calls it first.
 func (b *Balancer) beginEvent(now time.Duration, out []Action) {
 	b.latencySum += b.pendingLatencyRate * float64(now-b.now)
 	b.now, b.actions = now, out
@@ -68,15 +70,15 @@
 	}
 	b.endLatencyPeriod()
 	b.growCapacity()
-	b.fadeIdleOutcomes()
+	b.decayIdleOutcomes()
 	b.periodEnd = now + latencyPeriod
 }
 
-// emit adds an action to those of the present event.
+// emit adds an action to those of the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// Request takes a new call: it is admitted or refused at the front, then sent to a server. A call of an
-// unknown class fails, a repeated id is ignored, an unknown tenant counts as none.
+// Request handles a new call: a front proxy admits or refuses it, and an admitted call is sent to a server. A
+// call of an unknown class fails, a repeated ID is ignored, and an unknown tenant is treated as no tenant.
 func (b *Balancer) Request(now time.Duration, r Request, out []Action) []Action {
 	b.beginEvent(now, out)
 	if b.calls[r.ID] != nil {
@@ -90,7 +92,7 @@
 	value := b.valueOf(&r)
 	targetLeft := b.latencyTargetLeft(&r)
 	if b.settings.Tier == 0 && b.settings.Classes[r.Class].LateValueShare == 0 {
-		// An answer past the latency target has no value: stop before it, and spare the servers.
+		// An answer after the latency target has no value: give up before it to save the servers' work.
 		if targetLeft <= b.settings.AnswerGrace {
 			value = 0
 		} else {
@@ -110,12 +112,12 @@
 	return b.actions
 }
 
-// Outcome takes the end of an attempt.
+// Outcome handles the end of an attempt.
 func (b *Balancer) Outcome(now time.Duration, o Outcome, out []Action) []Action {
 	b.beginEvent(now, out)
 	c := b.calls[o.Request]
 	if c != nil && (o.Attempt < 0 || o.Attempt >= len(c.attempts) || c.attempts[o.Attempt].done) {
-		return b.actions // not an attempt of this node, or a repeated outcome
+		return b.actions // no attempt of this call, or a repeated outcome
 	}
 	b.recordServerOutcome(&o)
 	if c == nil {
@@ -127,7 +129,7 @@
 		return b.actions
 	}
 	if o.Result != Full && o.Result != Unconnected && o.Result != NotSent {
-		b.noteMayHaveRun(c, &c.attempts[o.Attempt])
+		b.recordMayHaveRun(c, &c.attempts[o.Attempt])
 	}
 	if c.pendingAttempts == 0 {
 		b.retryOrEnd(c)
@@ -135,7 +137,7 @@
 	return b.actions
 }
 
-// recordServerOutcome takes what an outcome says of its server.
+// recordServerOutcome updates the state of the server of an attempt that ended.
 func (b *Balancer) recordServerOutcome(o *Outcome) {
 	s := b.servers[o.Server]
 	if s == nil {
@@ -149,7 +151,7 @@
 	}
 }
 
-// recordAttemptOutcome takes what an outcome says of its attempt: of the connection and of the latency.
+// recordAttemptOutcome marks an attempt as done, and records the result of its connection and its latency.
 func (b *Balancer) recordAttemptOutcome(c *call, o *Outcome) {
 	a := &c.attempts[o.Attempt]
 	a.done, a.result = true, o.Result
@@ -158,20 +160,20 @@
 	if o.Result == Cancelled || o.Result == NotSent {
 		return
 	}
-	took, target := o.Elapsed, b.latencyTarget(&c.Request)
-	if o.Result != Served { // else a server that fails fast would seem fast, and attract all calls
-		took = max(took, target)
+	latency, target := o.Elapsed, b.latencyTarget(&c.Request)
+	if o.Result != Served { // otherwise a server that fails fast would look fast and attract all calls
+		latency = max(latency, target)
 	}
-	b.recordLatency(a.server, float64(took)/float64(max(1, target)))
+	b.recordLatency(a.server, float64(latency)/float64(max(1, target)))
 }
 
-// refuseOrFail gives the final answer. A refusal promises that a retry is harmless, so it is given only if
-// that is true.
+// refuseOrFail ends a call without an answer from a server. A refusal tells the client that a retry is safe,
+// so it is sent only if that is true.
 func (b *Balancer) refuseOrFail(c *call) {
 	class := &b.settings.Classes[c.Class]
-	harmless := !c.mayHaveRun || class.Effect == Idempotent ||
+	retrySafe := !c.mayHaveRun || class.Effect == Idempotent ||
 		class.Effect == Keyed && class.Group == GroupAll
-	if harmless && b.now < c.deadline {
+	if retrySafe && b.now < c.deadline {
 		wait := b.retryAfter(b.latencyTarget(&c.Request) - (b.now - c.arrived))
 		b.emit(Action{Kind: Refuse, Request: c.ID, Wait: wait})
 	} else {
@@ -180,9 +182,9 @@
 	b.finish(c, b.latencyTarget(&c.Request))
 }
 
-// finish forgets a finished call and records its response time, in multiples of its latency target. One that
-// was not served counts with its target at least: else quick failures would seem a fast service and admit
-// more.
+// finish removes a finished call and records its response time, in multiples of its latency target, but at
+// least minLatency. The caller passes the latency target for a call that was not served: otherwise fast
+// failures would look like a fast service, and more calls would be admitted.
 func (b *Balancer) finish(c *call, minLatency time.Duration) {
 	delete(b.calls, c.ID)
 	target := float64(max(1, b.latencyTarget(&c.Request)))
@@ -191,13 +193,13 @@
 	b.periodOutcomes++
 }
 
-// Probed takes the result of a probe. This policy sends none.
+// Probed handles the result of a probe. This policy sends no probes.
 func (b *Balancer) Probed(now time.Duration, _ Probed, out []Action) []Action {
 	b.beginEvent(now, out)
 	return b.actions
 }
 
-// Timer takes a due After.
+// Timer handles the expiry of a timer.
 func (b *Balancer) Timer(now time.Duration, t Timer, out []Action) []Action {
 	b.beginEvent(now, out)
 	if t.Token == listTimerToken {
@@ -212,7 +214,7 @@
 	return b.actions
 }
 
-// ClientGone takes the news that a client has left.
+// ClientGone handles the disconnection of a client: it ends the call and cancels its pending attempts.
 func (b *Balancer) ClientGone(now time.Duration, g ClientGone, out []Action) []Action {
 	b.beginEvent(now, out)
 	c := b.calls[g.Request]
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,16 +7,16 @@
 	"ivydeck/decide"
 )
 
-// A node keeps one Balancer, hands it each event with the time, and carries out what comes back.
+// A node has one Balancer, passes it each event with the current time, and executes the returned actions.
 func Example() {
-	set := decide.Settings{
+	settings := decide.Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * time.Millisecond,
 		Classes: []decide.Class{{
 			LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Value: 1, Effect: decide.Idempotent,
 		}},
 	}
 	now := time.Duration(0) // the node's own monotonic clock
-	b := decide.New(set, 1, now)
+	b := decide.New(settings, 1, now)
 	b.Members(now, decide.Members{Change: decide.ListFull, Servers: []decide.Server{
 		{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"},
 	}}, nil)
@@ -27,11 +27,11 @@
 			continue
 		}
 		fmt.Println("send request", a.Request)
-		now += 20 * time.Millisecond // the server is not there
-		lost := decide.Outcome{Request: 7, Server: a.Server, Result: decide.Unconnected, Elapsed: 20 * time.Millisecond}
-		for _, again := range b.Outcome(now, lost, nil) {
-			if again.Kind == decide.Send {
-				fmt.Println("send again to another server:", again.Server != a.Server)
+		now += 20 * time.Millisecond // the connection attempt fails
+		outcome := decide.Outcome{Request: 7, Server: a.Server, Result: decide.Unconnected, Elapsed: 20 * time.Millisecond}
+		for _, retry := range b.Outcome(now, outcome, nil) {
+			if retry.Kind == decide.Send {
+				fmt.Println("send again to another server:", retry.Server != a.Server)
 			}
 		}
 	}
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Detection of idle connections that are dead: a middlebox may drop them after an unknown time. What
-// becomes of sends is counted by the idle time of their connection; from the idle time on after which more
-// are lost than answered, connections are closed rather than used.
+// Detection of dead idle connections: a middlebox may drop idle connections after an unknown time. Lost and
+// answered sends are counted by the idle time of their connection. Connections that were idle for at least
+// the time at which more sends are lost than answered are closed instead of reused.
 const (
-	minIdleTime       = 100 * time.Millisecond // connections idle for less are never suspected
-	idleTimeBuckets   = 8                      // of idle times, each double the one before
-	idleOutcomeWindow = 10 * time.Second       // over which outcomes by idle time fade
-	// that prove connections dead, if they outnumber the answered
+	minIdleTime       = 100 * time.Millisecond // connections idle for less are never considered dead
+	idleTimeBuckets   = 8                      // buckets of idle times, each twice as long as the one before
+	idleOutcomeWindow = 10 * time.Second       // time constant of the decay of the counters
+	// minimum of lost sends to consider connections dead, if more are lost than answered
 	minLostSends         = 2
-	connectFailureWindow = 32 // attempts over which the failures to connect are averaged
+	connectFailureWindow = 32 // attempts over which the connection failures are averaged
 )
 
-// idleConnections is the state of the detection.
+// idleConnections is the state of the detection of dead idle connections.
 type idleConnections struct {
 	idleOutcomes       [idleTimeBuckets]idleOutcome
-	deadIdleBucket     int     // connections are dead from this bucket on; idleTimeBuckets: none are
-	connectFailureRate float64 // share of the attempts that found no connection
+	deadIdleBucket     int     // first bucket of dead connections, or idleTimeBuckets if there is none
+	connectFailureRate float64 // share of the attempts that could not connect
 }
 
-// idleOutcome counts what became of sends on connections of one bucket of idle times.
+// idleOutcome counts the sends on idle connections of one bucket; the counters decay.
 type idleOutcome struct{ lost, answered float64 }
 
-// fadeIdleOutcomes is called once a latencyPeriod.
-func (d *idleConnections) fadeIdleOutcomes() {
+// decayIdleOutcomes must be called once every latencyPeriod.
+func (d *idleConnections) decayIdleOutcomes() {
 	for i := range d.idleOutcomes {
 		d.idleOutcomes[i].lost *= 1 - float64(latencyPeriod)/float64(idleOutcomeWindow)
 		d.idleOutcomes[i].answered *= 1 - float64(latencyPeriod)/float64(idleOutcomeWindow)
 	}
 }
 
-// takeConnection takes the connection for a send, and returns the bucket of its idle time. Connections that
-// were idle for as long as those that proved dead are closed first: a new one costs a handshake, a dead one
-// the request. Sends to all servers count together, so that a single server that hangs proves nothing.
+// takeConnection chooses the connection for a send and returns the bucket of its idle time, or noIdleBucket
+// if the connection is new or was idle for less than minIdleTime. If the connection was idle for as long as
+// dead ones, all idle connections of the server are closed: a new connection costs a handshake, a dead one
+// the request. The counters cover all servers, so that one hung server does not mark connections as dead.
 func (b *Balancer) takeConnection(s *server) (bucket int) {
 	if len(s.idle) == 0 {
 		return noIdleBucket
@@ -42,11 +43,11 @@
 	idleTime := b.now - s.idle[len(s.idle)-1]
 	s.idle = s.idle[:len(s.idle)-1]
 	if b.settings.ConnIdle > 0 && idleTime >= b.settings.ConnIdle {
-		s.idle = s.idle[:0] // closed by the server, and so are those that were idle for longer
+		s.idle = s.idle[:0] // closed by the server, like those that were idle for longer
 		return noIdleBucket
 	}
 	bucket = noIdleBucket
-	for d := minIdleTime; idleTime >= d && bucket < idleTimeBuckets-1; d *= 2 {
+	for lower := minIdleTime; idleTime >= lower && bucket < idleTimeBuckets-1; lower *= 2 {
 		bucket++
 	}
 	if bucket >= b.deadIdleBucket {
@@ -57,7 +58,7 @@
 	return bucket
 }
 
-// recordConnection takes what the end of an attempt says of its connection.
+// recordConnection records whether an attempt could connect, and whether its connection can be reused.
 func (b *Balancer) recordConnection(a *attempt) {
 	b.connectFailureRate *= 1 - 1.0/connectFailureWindow
 	if a.result == Unconnected {
@@ -72,15 +73,14 @@
 	}
 }
 
-// recordIdleOutcome counts whether a send on an idle connection was lost, and finds the shortest idle time
-// after which connections are dead.
+// recordIdleOutcome counts a lost or answered send on an idle connection, and updates deadIdleBucket.
 func (d *idleConnections) recordIdleOutcome(a *attempt, lost bool) {
 	if a.idleBucket != noIdleBucket && lost {
 		d.idleOutcomes[a.idleBucket].lost++
 	} else if a.idleBucket != noIdleBucket {
 		d.idleOutcomes[a.idleBucket].answered++
 	}
-	var sum idleOutcome // of this bucket and those of longer idle times
+	var sum idleOutcome // over bucket i and those of longer idle times
 	d.deadIdleBucket = idleTimeBuckets
 	for i := idleTimeBuckets - 1; i >= 0; i-- {
 		o := d.idleOutcomes[i]
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Outlier detection by consecutive failures: of a server, and of a whole zone as seen from here.
+// Outlier detection by consecutive failures, for servers and for zones.
 const (
-	maxConsecutiveFailures = 3           // failures in a row that eject a server
-	baseEjectionTime       = time.Second // doubled with each further ejection ...
-	maxEjectionDoublings   = 3           // ... so many times
-	serviceRateWindow      = 5 * time.Second
+	maxConsecutiveFailures = 3               // consecutive failures that eject a server
+	baseEjectionTime       = time.Second     // doubled with each ejection since the last success
+	maxEjectionDoublings   = 3               // limit of the doublings
+	serviceRateWindow      = 5 * time.Second // time constant of the average of serviceRate
 )
 
-// outlierState is what is known of the health of a server or a zone.
+// outlierState is the outlier detection state of a server or a zone.
 type outlierState struct {
 	inflight            int
 	consecutiveFailures int
-	ejections           int // since the last success
+	ejections           int // number of ejections since the last success
 	ejectedUntil        time.Duration
 }
 
-// recordFailure counts a failure, and ejects after a number of them in a row, each time for longer.
+// recordFailure counts a failure, and ejects the server or zone after maxFailures consecutive ones. The
+// ejection time grows with each ejection.
 func (h *outlierState) recordFailure(now time.Duration, maxFailures int) {
 	h.consecutiveFailures++
 	if h.consecutiveFailures >= maxFailures {
@@ -36,14 +37,15 @@
 	h.consecutiveFailures, h.ejections, h.ejectedUntil = 0, 0, 0
 }
 
-// avoid reports whether nothing should be sent. After an ejection there is one call at a time until one has
-// succeeded: a server that hangs would else swallow its full share of calls at each return.
-func (h *outlierState) avoid(now time.Duration) bool {
+// shouldAvoid reports whether no call should be sent. After an ejection, one call at a time is allowed until
+// one succeeds: otherwise a server that hangs would receive its full share of calls after each ejection.
+func (h *outlierState) shouldAvoid(now time.Duration) bool {
 	return h.ejectedUntil > now || h.ejections > 0 && h.inflight > 0
 }
 
-// recordResult ejects a server that fails repeatedly, and a whole zone where all of its servers do: it is
-// lost, or partitioned from here, and to find that out server by server would take many calls.
+// recordResult updates the outlier detection of a server and of its zone. A zone is ejected as a whole after
+// failures of several servers: it is probably down or partitioned from this node, and ejecting its servers
+// one by one would cost many calls.
 func (b *Balancer) recordResult(s *server, r Result) {
 	switch r {
 	case Served:
@@ -53,7 +55,8 @@
 		s.recordSuccess()
 		s.zone.recordSuccess()
 	case TimedOut, Unconnected, Broken:
-		if s.consecutiveFailures == 0 || s.zone.ejections > 0 { // a single bad server counts once
+		// Count a single failing server once against its zone, unless the zone was ejected before.
+		if s.consecutiveFailures == 0 || s.zone.ejections > 0 {
 			zoneFailures := min(2*maxConsecutiveFailures, max(maxConsecutiveFailures, s.zone.members))
 			s.zone.recordFailure(b.now, zoneFailures)
 		}
--- a/decide/picker.go
+++ b/decide/picker.go
@@ -11,89 +11,88 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The picker's subset and preferences.
+// Parameters of Picker.
 const (
-	pickerSubsetSize    = 8    // servers of a service that a node keeps to ...
-	pickerRemoteServers = 3    // ... of which so many are in other zones, if there are any
-	localPreference     = 3    // calls in flight that a local server may have more than a remote one ...
-	maxLocalUtilization = 0.75 // ... or any number, as long as it reports less than this
+	pickerSubsetSize    = 8    // servers of a service that a node uses
+	pickerRemoteServers = 3    // servers of the subset that are in other zones, at least, if there are any
+	localPreference     = 3    // excess of calls in flight below which a local server is preferred
+	maxLocalUtilization = 0.75 // reported utilization below which a local server is always preferred
 
-	fullServerPause       = 60 * time.Millisecond  // without calls, for a server without a free slot
-	terminatedServerPause = time.Second            // for one that accepts nothing any more
-	unhealthyServerPause  = 600 * time.Millisecond // for an unhealthy one
-	queuedServerPause     = 200 * time.Millisecond // a report of a queue holds for so long
+	fullServerPause       = 60 * time.Millisecond  // pause in calls to a server without a free slot
+	terminatedServerPause = time.Second            // pause in calls to a server that has terminated
+	unhealthyServerPause  = 600 * time.Millisecond // time for which an unhealthy server is avoided
+	queuedServerPause     = 200 * time.Millisecond // time for which a server with queued requests is avoided
 
-	utilizationWindow      = 400 * time.Millisecond // over which a reported utilization fades
-	relativeLatencyWindow  = 5 * time.Second        // over which a reported latency fades
-	unknownRelativeLatency = 2                      // of a server without a report
-	maxUnhealthyShare      = 0.4                    // of the subset that is avoided as unhealthy
+	utilizationWindow      = 400 * time.Millisecond // time constant of the decay of a reported utilization
+	relativeLatencyWindow  = 5 * time.Second        // time constant of the decay of a reported latency
+	unknownRelativeLatency = 2                      // assumed for a server without a report
+	maxUnhealthyShare      = 0.4                    // largest unhealthy share of the subset that is avoided
 )
 
-// ServerReport is what the node beside a server reports of it; without a RelativeLatency it reports nothing.
+// ServerReport is the report of a server's sidecar. If RelativeLatency is zero, only Queued is valid.
 type ServerReport struct {
-	RelativeLatency float64 // time that a request takes there, in multiples of the time elsewhere
-	Utilization     float64 // running and queued requests, by its slots
-	Queued          bool    // requests are queued
+	RelativeLatency float64 // response time of the server in multiples of that of other servers
+	Utilization     float64 // running and queued requests per slot
+	Queued          bool    // whether requests are queued
 }
 
-// Target is a server of the registry.
+// Target is a registered server.
 type Target struct {
 	ID    string
-	Local bool // in this node's zone
+	Local bool // whether it is in this node's zone
 }
 
-// target is a server as this node sees it.
+// target is the state of a server at this node.
 type target struct {
 	Target
 	outlierState
 	ringPosition    uint64
-	pausedUntil     time.Duration // it receives no calls until then
-	queuedUntil     time.Duration // requests are queued there, as far as is known
-	unhealthyUntil  time.Duration // it is unhealthy, as far as is known
-	relativeLatency float64       // as last reported ...
-	utilization     float64       // ... with this ...
-	reportedAt      time.Duration // ... at this time
+	pausedUntil     time.Duration // end of the time without calls
+	queuedUntil     time.Duration // end of the time for which it counts as having queued requests
+	unhealthyUntil  time.Duration // end of the time for which it counts as unhealthy
+	relativeLatency float64       // from the last report
+	utilization     float64       // from the last report
+	reportedAt      time.Duration // time of the last report
 }
 
-// Picker picks the servers for the calls to one service. It belongs to one goroutine, or to the holder of a
-// lock.
+// Picker chooses the servers for the calls to one service. It must not be used concurrently.
 type Picker struct {
 	rng        *rand.Rand
 	targets    map[string]*target
-	local      []*target // the subset's part in the own zone
-	remote     []*target // the subset's part in other zones
-	candidates []*target // scratch space of usable
+	local      []*target // servers of the subset in this node's zone
+	remote     []*target // servers of the subset in other zones
+	candidates []*target // buffer of usable and pickFromAll
 }
 
-// NewPicker returns a picker without servers.
+// NewPicker returns a picker without servers; SetTargets sets them.
 func NewPicker(seed uint64) *Picker {
 	return &Picker{rng: rand.New(rand.NewPCG(seed, pickerStream)), targets: map[string]*target{}}
 }
 
-// SubsetPosition is a node's position among the nodes of its zone, in [0, 1). Subsets that begin at even
-// positions have each server in nearly as many of them as any other; by a hash of each node's own name, some
-// servers would be in none.
+// SubsetPosition returns the position of a node among the nodes of its zone, ordered by hash, in [0, 1).
+// Subsets that start at evenly spaced positions contain every server about equally often. If they started at
+// the hash of the node's name, some servers would be in no subset.
 func SubsetPosition(node string, nodes []string) float64 {
-	before, all, own := 0, 1, xxhash.Sum64String(node)
+	preceding, total, ownHash := 0, 1, xxhash.Sum64String(node)
 	for _, n := range nodes {
 		if n == node {
 			continue
 		}
-		all++
-		if h := xxhash.Sum64String(n); h < own || h == own && n < node {
-			before++
+		total++
+		if h := xxhash.Sum64String(n); h < ownHash || h == ownHash && n < node {
+			preceding++
 		}
 	}
-	return float64(before) / float64(all)
+	return float64(preceding) / float64(total)
 }
 
-// SetTargets replaces the servers that may be picked. position is where the subset begins: see
-// SubsetPosition.
+// SetTargets replaces the servers that may be picked, and keeps the state of those that remain. position is
+// the start of the subset on the ring; see SubsetPosition.
 func (p *Picker) SetTargets(now time.Duration, list []Target, position float64) {
-	old := p.targets
+	previous := p.targets
 	p.targets, p.local, p.remote = make(map[string]*target, len(list)), nil, nil
 	for _, e := range list {
-		t := old[e.ID]
+		t := previous[e.ID]
 		if t == nil {
 			t = &target{
 				ringPosition:    xxhash.Sum64String(e.ID),
@@ -119,10 +118,12 @@
 	p.local, p.remote = ringSegment(p.local, local, position), ringSegment(p.remote, remote, position)
 }
 
-// Pick returns the server for a call: of two random servers of the subset the one with fewer calls in flight,
-// in this zone unless that is much busier. Servers with a queue come after those of any zone without one.
-// Those in attempted are excluded, and so are unhealthy ones, unless so many are that the cause must be
-// elsewhere. If none of the subset is left, any other server is better than no answer.
+// Pick returns the server for a call, and whether it counts as unhealthy; ok is false if there is none. It
+// picks the less loaded of two random servers of the subset, in this node's zone unless that one is much
+// busier than a remote one. Servers without queued requests, of any zone, are preferred to those with a
+// queue. The servers in attempted are excluded, and so are unhealthy ones, unless the unhealthy share of the
+// subset is too large for the servers to be the cause. If no server of the subset is usable, Pick considers
+// all.
 func (p *Picker) Pick(now time.Duration, attempted []string) (id string, unhealthy, ok bool) {
 	t := p.pickFromSubset(now, attempted)
 	if t == nil {
@@ -134,7 +135,7 @@
 	return t.ID, t.unhealthyUntil > now, true
 }
 
-// pickFromSubset returns a server of the subset; nil: none is usable.
+// pickFromSubset returns a server of the subset, or nil if none is usable.
 func (p *Picker) pickFromSubset(now time.Duration, attempted []string) *target {
 	ignoreHealth, load := p.mostlyUnhealthy(now), p.load(now)
 	for _, withoutQueue := range []bool{true, false} {
@@ -150,7 +151,8 @@
 	return nil
 }
 
-// pickFromAll returns any server, an unhealthy one if there is no other; nil: none is usable.
+// pickFromAll returns a server of the whole list, an unhealthy one only if there is no other. It returns nil
+// if none is usable.
 func (p *Picker) pickFromAll(now time.Duration, attempted []string) *target {
 	load := p.load(now)
 	for _, ignoreHealth := range []bool{p.mostlyUnhealthy(now), true} {
@@ -171,7 +173,7 @@
 
 // mostlyUnhealthy reports whether too many servers of the subset are unhealthy to avoid them.
 func (p *Picker) mostlyUnhealthy(now time.Duration) bool {
-	unhealthy, all := 0, len(p.local)+len(p.remote)
+	unhealthy, total := 0, len(p.local)+len(p.remote)
 	for _, list := range [][]*target{p.local, p.remote} {
 		for _, t := range list {
 			if t.unhealthyUntil > now {
@@ -179,12 +181,13 @@
 			}
 		}
 	}
-	return unhealthy == all || float64(unhealthy) > max(1, maxUnhealthyShare*float64(all))
+	return unhealthy == total || float64(unhealthy) > max(1, maxUnhealthyShare*float64(total))
 }
 
-// load is the calls in flight, weighed by the reported latency and utilization as long as they are fresh:
-// with one call in flight or none, as on most servers of a large mesh, the count alone says nothing. Reports
-// fade, lest a server stay without calls that was slow once, or is new.
+// load returns a function that computes the load of a server: the calls in flight, weighted by the reported
+// latency and utilization. Most servers of a large mesh have one call in flight or none, so that the number
+// alone does not distinguish them. The weights decay, so that a new server, or one that was slow for a time,
+// receives calls again.
 func (p *Picker) load(now time.Duration) func(t *target) float64 {
 	return func(t *target) float64 {
 		age := float64(now - t.reportedAt)
@@ -194,24 +197,24 @@
 	}
 }
 
-// preferredTo reports whether a local server is to be picked rather than a remote one.
+// preferredTo reports whether a local server is picked rather than a remote one.
 func (t *target) preferredTo(remote *target, now time.Duration) bool {
 	return t.inflight < remote.inflight+localPreference || t.hasCapacity(now)
 }
 
-// hasCapacity reports whether a server has lately reported free slots.
+// hasCapacity reports whether a server has recently reported a low utilization.
 func (t *target) hasCapacity(now time.Duration) bool {
 	return now-t.reportedAt < utilizationWindow && t.utilization < maxLocalUtilization
 }
 
-// usable lists the servers of a list that may be picked.
+// usable returns the servers of a list that may be picked. The next call overwrites the result.
 func (p *Picker) usable(
 	now time.Duration, list []*target, attempted []string, withoutQueue, ignoreHealth bool,
 ) []*target {
 	p.candidates = p.candidates[:0]
 	for _, t := range list {
 		switch {
-		case t.avoid(now), t.pausedUntil > now:
+		case t.shouldAvoid(now), t.pausedUntil > now:
 		case withoutQueue && t.queuedUntil > now:
 		case !ignoreHealth && t.unhealthyUntil > now:
 		case slices.Contains(attempted, t.ID):
@@ -222,15 +225,15 @@
 	return p.candidates
 }
 
-// Begin counts a call that is sent to a server.
+// Begin records that a call is sent to a server.
 func (p *Picker) Begin(id string) {
 	if t := p.targets[id]; t != nil {
 		t.inflight++
 	}
 }
 
-// End takes the result of a call, with the report of the node beside the server. Full is a server without a
-// free slot, NotSent one that accepts nothing any more.
+// End records the result of a call and the report of the server's sidecar. Full means that the server had no
+// free slot, NotSent that it has terminated.
 func (p *Picker) End(now time.Duration, id string, r Result, report ServerReport) {
 	t := p.targets[id]
 	if t == nil {
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -1,9 +1,9 @@
 package decide
 
-// slowStartSafety is the share of a starting server's capacity that is used at all.
+// slowStartSafety is the share of the permitted load of a starting server that is used.
 const slowStartSafety = 0.5
 
-// slowStartShare is the share of its capacity that a server surely has; 1 after its slow start.
+// slowStartShare returns the guaranteed share of a server's capacity. It is 1 after the slow start.
 func (b *Balancer) slowStartShare(s *server) float64 {
 	age := b.now - s.Started
 	if s.Started == 0 || age >= b.settings.SlowStartDuration {
@@ -13,9 +13,10 @@
 	return minShare + (1-minShare)*max(0, float64(age)/float64(b.settings.SlowStartDuration))
 }
 
-// withinSlowStart reports whether a server may receive another call, by a token bucket during its slow
-// start. All nodes together may send FallMultiple times what it can do; each takes a fixed part, measured by
-// what its servers answer: by what they are sent, a storm would count as capacity.
+// withinSlowStart reports whether a server may receive another call; during the slow start, a token bucket
+// limits its calls. All nodes together may send less than OverloadFactor times its current capacity, and each
+// node uses a fixed part of that. The capacity is estimated from the rate of answers: the rate of sends would
+// count an overload as capacity.
 func (b *Balancer) withinSlowStart(s *server) bool {
 	share := b.slowStartShare(s)
 	if share == 1 {
@@ -23,10 +24,10 @@
 	}
 	subset := float64(max(1, len(b.localSubset)+len(b.remoteSubset)))
 	members := float64(max(1, len(b.members)))
-	nodes := max(1, float64(b.settings.Nodes)*subset/members) // that know the server
-	fall := b.settings.FallFor.Seconds()
-	rate := max(b.serviceRate/subset*slowStartSafety*b.settings.FallMultiple*share, 1/nodes/fall)
-	s.slowStartTokens = min(s.slowStartTokens+rate*(b.now-s.tokensFilledAt).Seconds(), 1+rate*fall/4)
+	nodes := max(1, float64(b.settings.Nodes)*subset/members) // nodes whose subset has the server
+	overload := b.settings.OverloadDuration.Seconds()
+	rate := max(b.serviceRate/subset*slowStartSafety*b.settings.OverloadFactor*share, 1/nodes/overload)
+	s.slowStartTokens = min(s.slowStartTokens+rate*(b.now-s.tokensFilledAt).Seconds(), 1+rate*overload/4)
 	s.tokensFilledAt = b.now
 	return s.slowStartTokens >= 1
 }
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -9,59 +9,60 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The subset of the servers to which a node keeps, so that connections and knowledge are not spread thin.
+// Subset of the servers that a node uses. It limits the number of connections and gives the node enough
+// responses per server to estimate latencies.
 const (
-	frontSubsetSize  = 8    // of a front node, and of the nodes that know each server
-	innerSubsetSize  = 5    // of a node behind it: more of its calls on each server
-	localSubsetShare = 0.75 // of the subset, in the node's own zone
+	frontSubsetSize  = 8    // minimum for a front node, and number of front nodes per server
+	innerSubsetSize  = 5    // the same for other tiers; smaller, for more calls per server
+	localSubsetShare = 0.75 // share of the subset in the node's zone
 
-	// first wait before the list is requested again, doubled ...
+	// wait before the first retry of a list request, doubled with each further one
 	listRetryBase         = 250 * time.Millisecond
-	maxListRetryDoublings = 8 // ... so many times
+	maxListRetryDoublings = 8 // limit of the doublings
 )
 
-// endpoints are the servers as this node sees them.
+// endpoints is the state of the servers at this node.
 type endpoints struct {
 	servers      map[string]*server
 	zones        map[string]*zone
-	members      []*server // to which calls may be sent, in the order of the ring
-	localSubset  []*server // the subset's part in the own zone
-	remoteSubset []*server // the subset's part in other zones
-	candidates   []*server // scratch space of usable
-	meanWeight   float64   // of the members
+	members      []*server // servers to which calls may be sent, in ring order
+	localSubset  []*server // servers of the subset in this node's zone
+	remoteSubset []*server // servers of the subset in other zones
+	candidates   []*server // buffer of usable
+	meanWeight   float64   // mean weight of the members
 }
 
-// listWatch is the state of the watch on the list of servers, where that comes on request only.
+// listWatch is the state of the watch on the list of servers. It is unused unless ListOnRequest is set.
 type listWatch struct {
 	listRequested bool
 	listWatched   bool
-	listAttempts  int // since the watch was last established
+	listAttempts  int // failed attempts since the watch was last established
 }
 
-// zone is a zone as this node sees it.
+// zone is the state of a zone at this node.
 type zone struct {
 	outlierState
-	members int // of the subset
+	members int // number of servers of the subset in the zone
 }
 
-// server is a server as this node sees it.
+// server is the state of a server at this node.
 type server struct {
 	Server
 	outlierState
 	zone            *zone
 	ringPosition    uint64
 	weight          float64       // relative size
-	excessLatency   float64       // relative latency beyond what the weight explains ...
-	excessLatencyAt time.Duration // ... at this time
-	slowStartTokens float64       // sends that it may receive during its slow start
-	tokensFilledAt  time.Duration // of slowStartTokens
-	// idle connections, by the begin of their idle time; the last is used first
+	excessLatency   float64       // relative latency in excess of the value expected from the weight
+	excessLatencyAt time.Duration // time of the last update of excessLatency
+	slowStartTokens float64       // calls that the server may receive during its slow start
+	tokensFilledAt  time.Duration // time of the last update of slowStartTokens
+	// start of the idle time of each idle connection; the last connection is used first
 	idle   []time.Duration
-	listed bool
-	local  bool // in this node's zone
+	listed bool // whether the server is in the current list
+	local  bool // whether the server is in this node's zone
 }
 
-// Members takes a change of the list of servers.
+// Members handles an update of the list of servers.
 func (b *Balancer) Members(now time.Duration, m Members, out []Action) []Action {
 	b.beginEvent(now, out)
 	if b.settings.ListOnRequest {
@@ -91,7 +92,8 @@
 	return b.actions
 }
 
-// updateServer takes an entry of the list. A new process of a server starts without its past.
+// updateServer adds or updates a server from its entry in the list. If the server's process has restarted,
+// its failures, connections and latency are reset.
 func (b *Balancer) updateServer(e Server) {
 	s := b.servers[e.ID]
 	if s == nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// zone returns the state of a zone, which begins with the first use.
+// zone returns the state of a zone, and creates it if it does not exist.
 func (e *endpoints) zone(name string) *zone {
 	z := e.zones[name]
 	if z == nil {
@@ -119,9 +121,9 @@
 	return z
 }
 
-// chooseSubset chooses the subset: a segment of the ring, mostly of the own zone. The nodes' segments start
-// at even distances: if each were drawn at random, chance would let twice as many nodes know one server as
-// another.
+// chooseSubset chooses the subset: a ring segment of the servers in this node's zone, and a smaller one of
+// the others. The segments of the nodes start at evenly spaced positions: with random positions, some servers
+// would be in twice as many subsets as others.
 func (b *Balancer) chooseSubset() {
 	slices.SortFunc(b.members, func(x, y *server) int {
 		return cmp.Or(cmp.Compare(x.ringPosition, y.ringPosition), cmp.Compare(x.ID, y.ID))
@@ -132,14 +134,14 @@
 	}
 	size = min(max(size, size*len(b.members)/max(1, b.settings.Nodes)), len(b.members))
 	b.splitByZone()
-	// A fleet that has grown is no proof of more capacity: the tier behind may be the short one. It counts
-	// bit by bit, as long as r stays low: see growCapacity.
+	// Added servers do not count as capacity at once, as the tier behind may be the bottleneck; see
+	// growCapacity.
 	if b.countedServers == 0 {
 		b.countedServers = float64(len(b.members))
 	}
 	wantedLocal := max(int(math.Ceil(localSubsetShare*float64(size))), size-len(b.remoteSubset))
 	local := min(len(b.localSubset), wantedLocal)
-	_, position := math.Modf(float64(max(0, b.settings.Node)) * math.Phi) // spreads all numbers evenly
+	_, position := math.Modf(float64(max(0, b.settings.Node)) * math.Phi) // spreads the nodes evenly
 	b.localSubset = ringSegment(b.localSubset, local, position)
 	b.remoteSubset = ringSegment(b.remoteSubset, size-local, position)
 	for _, z := range b.zones {
@@ -150,7 +152,7 @@
 	}
 }
 
-// splitByZone splits the members into those of the own zone and the others.
+// splitByZone splits the members into those of this node's zone and the others, and computes meanWeight.
 func (e *endpoints) splitByZone() {
 	e.localSubset, e.remoteSubset, e.meanWeight = e.localSubset[:0], e.remoteSubset[:0], 0
 	for _, s := range e.members {
@@ -163,14 +165,14 @@
 	}
 }
 
-// ringSegment returns n members of a ring from a position on, in [0, 1).
+// ringSegment returns n consecutive members of a ring, starting at a position in [0, 1).
 func ringSegment[T any](ring []*T, n int, position float64) []*T {
 	start := int(position * float64(len(ring)))
 	return slices.Concat(ring[start:], ring[:start])[:n]
 }
 
-// followList keeps a watch on a list that comes on request only, and requests it again with back-off and
-// jitter.
+// followList updates the state of the list watch after an update. If the watch is lost, it schedules a new
+// request with backoff and jitter.
 func (b *Balancer) followList(c Change) {
 	b.listRequested, b.listWatched = false, c == ListDelta || c == ListFull
 	backoff := listRetryBase << min(b.listAttempts, maxListRetryDoublings)
@@ -183,7 +185,7 @@
 	b.emit(Action{Kind: After, Token: listTimerToken, Wait: b.jitter(wait)})
 }
 
-// requestList requests a watch on the list, unless there is one.
+// requestList requests a watch on the list, unless one exists or is being established.
 func (b *Balancer) requestList() {
 	if !b.listRequested && !b.listWatched {
 		b.listRequested = true
--- a/internal/balancer/node/requests.go
+++ b/internal/balancer/node/requests.go
@@ -27,7 +27,7 @@
 // capacity; the policy has not seen it.
 func refuseSaturated(set *decide.Settings) answer {
 	a := answer{ending: refused}
-	if set.MayAdviseReturn {
+	if set.MaySetRetryAfter {
 		a.retryAfter = min(saturatedRetryAfter, set.MaxRetryAfter)
 	}
 	return a
--- a/internal/balancer/settings/settings.go
+++ b/internal/balancer/settings/settings.go
@@ -177,8 +177,8 @@
 		ListRequestInterval: s.Obligations.ListRequestInterval,
 		SlowStartMinShare:   s.Obligations.SlowStartMinShare,
 		SlowStartDuration:   s.Obligations.SlowStartDuration,
-		FallMultiple:        s.Obligations.FallMultiple,
-		FallFor:             s.Obligations.FallFor,
+		OverloadFactor:      s.Obligations.FallMultiple,
+		OverloadDuration:    s.Obligations.FallFor,
 		AnswerGrace:         s.Obligations.AnswerGrace,
 		MarksClientRetries:  s.Callers.MarksRetry,
 		Prices:              s.Deductions.translate(),
@@ -188,7 +188,7 @@
 		MayCancel:           s.Limits.Cancel,
 		MayProbe:            s.Limits.MayProbe,
 		MayHedge:            s.Limits.MayHedge,
-		MayAdviseReturn:     s.Limits.RetryAfter,
+		MaySetRetryAfter:    s.Limits.RetryAfter,
 	}
 }
 
