--- a/decide/api.go
+++ b/decide/api.go
@@ -115,7 +115,7 @@
 	MaxAttempts         int
 	MaxPendingRequests  int // zero if unknown
 	MaxRetryAfter       time.Duration
-	ConnIdle            time.Duration // servers close connections that were idle for this long
+	ConnIdle            time.Duration // idle connections are closed after this time
 	ConnectTimeout      time.Duration
 	Streams             int // concurrent attempts on one connection
 	MayCancel           bool
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -43,7 +43,7 @@
 	idleTime := b.now - s.idle[len(s.idle)-1]
 	s.idle = s.idle[:len(s.idle)-1]
 	if b.settings.ConnIdle > 0 && idleTime >= b.settings.ConnIdle {
-		s.idle = s.idle[:0] // closed by the server, like those that were idle for longer
+		s.idle = s.idle[:0] // already closed after ConnIdle, like those that were idle for longer
 		return noIdleBucket
 	}
 	bucket = noIdleBucket
