--- a/internal/dataplane/http1/head.go
+++ b/internal/dataplane/http1/head.go
@@ -11,27 +11,27 @@
 	"strings"
 )
 
-// headReader reads lines and counts their bytes.
+// headReader reads the lines of a head of limited size.
 type headReader struct {
-	r    *bufio.Reader
-	left int
+	r         *bufio.Reader
+	remaining int // bytes that the head may still take
 }
 
-// line returns the next line without its CRLF. It is valid until the next read.
+// line returns the next line without its CRLF. The slice is valid until the next read.
 func (h *headReader) line() ([]byte, error) {
 	line, err := h.r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		full := bytes.Clone(line)
-		for errors.Is(err, bufio.ErrBufferFull) && len(full) <= h.left {
+		for errors.Is(err, bufio.ErrBufferFull) && len(full) <= h.remaining {
 			line, err = h.r.ReadSlice('\n')
 			full = append(full, line...)
 		}
 		line = full
 	}
-	if len(line) > h.left || errors.Is(err, bufio.ErrBufferFull) {
+	if len(line) > h.remaining || errors.Is(err, bufio.ErrBufferFull) {
 		return nil, &Error{431, "the head is too large"}
 	}
-	h.left -= len(line)
+	h.remaining -= len(line)
 	if err != nil {
 		if errors.Is(err, io.EOF) && len(line) > 0 {
 			err = io.ErrUnexpectedEOF
@@ -39,39 +39,39 @@
 		return nil, err
 	}
 	if len(line) < 2 || line[len(line)-2] != '\r' {
-		return nil, bad("a line does not end in CRLF")
+		return nil, malformed("a line does not end in CRLF")
 	}
 	line = line[:len(line)-2]
 	for _, b := range line {
 		if b < ' ' && b != '\t' || b == 0x7f {
-			return nil, bad("a control character in the head")
+			return nil, malformed("a control character in the head")
 		}
 	}
 	return line, nil
 }
 
-func isToken(b byte) bool {
+func isTokenChar(b byte) bool {
 	return b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b >= '0' && b <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", b) >= 0
 }
 
-func token(s []byte) bool {
+func isToken(s []byte) bool {
 	for _, b := range s {
-		if !isToken(b) {
+		if !isTokenChar(b) {
 			return false
 		}
 	}
 	return len(s) > 0
 }
 
-// field is where a header line's parts stand in a head.
-type field struct{ name, value, end int }
+// fieldOffsets holds the offsets of a field's name and value, and of the end of the value, in the text of a head.
+type fieldOffsets struct{ name, value, end int }
 
-// fields reads header fields up to the empty line. They are slices of one string, which is all of a head that stays:
-// it begins with first. The fields take the place of those in into.
-func (h *headReader) fields(first []byte, into Headers) (head string, _ Headers, _ error) {
-	var text [768]byte // heads are seldom longer; a longer one takes memory of its own
-	var places [24]field
-	buf, at := append(text[:0], first...), places[:0]
+// fields reads header fields up to the empty line. It copies first and the fields into one string, head, and returns
+// fields that are substrings of it. They overwrite the elements of reuse.
+func (h *headReader) fields(first []byte, reuse Headers) (head string, _ Headers, _ error) {
+	var textSpace [768]byte // on the stack; larger heads are moved to the heap
+	var offsetSpace [24]fieldOffsets
+	text, offsets := append(textSpace[:0], first...), offsetSpace[:0]
 	for {
 		line, err := h.line()
 		if errors.Is(err, io.EOF) {
@@ -84,31 +84,31 @@
 			break
 		}
 		if line[0] == ' ' || line[0] == '\t' {
-			return "", nil, bad("a folded header line")
+			return "", nil, malformed("a folded header line")
 		}
 		colon := bytes.IndexByte(line, ':')
-		if colon < 0 || !token(line[:colon]) {
-			return "", nil, bad("a header line without a proper name")
+		if colon < 0 || !isToken(line[:colon]) {
+			return "", nil, malformed("a header line without a proper name")
 		}
 		value := bytes.Trim(line[colon+1:], " \t")
-		f := field{name: len(buf)}
-		buf = append(buf, line[:colon]...)
-		f.value = len(buf)
-		buf = append(buf, value...)
-		f.end = len(buf)
-		at = append(at, f)
+		f := fieldOffsets{name: len(text)}
+		text = append(text, line[:colon]...)
+		f.value = len(text)
+		text = append(text, value...)
+		f.end = len(text)
+		offsets = append(offsets, f)
 	}
-	head = string(buf)
-	fields := slices.Grow(into[:0], len(at))
-	for _, f := range at {
+	head = string(text)
+	fields := slices.Grow(reuse[:0], len(offsets))
+	for _, f := range offsets {
 		fields = append(fields, Header{head[f.name:f.value], head[f.value:f.end]})
 	}
 	return head, fields, nil
 }
 
-// framing finds where a message's body ends. present is false where no header
-// says so.
-func framing(h Headers, limit int64) (length int64, present bool, err error) {
+// bodyLength returns the length of a message's body in bytes, or -1 if it is chunked. present is false if no field states
+// the length.
+func bodyLength(h Headers, limit int64) (length int64, present bool, err error) {
 	lengths, codings := 0, 0
 	for i := range h {
 		switch {
@@ -116,7 +116,7 @@
 			lengths++
 			v := h[i].Value
 			if v == "" || len(v) > 18 || strings.Trim(v, "0123456789") != "" {
-				return 0, false, bad("Content-Length is %q", v)
+				return 0, false, malformed("Content-Length is %q", v)
 			}
 			length, _ = strconv.ParseInt(v, 10, 64)
 		case strings.EqualFold(h[i].Name, "Transfer-Encoding"):
@@ -128,7 +128,7 @@
 	}
 	switch {
 	case lengths+codings > 1:
-		return 0, false, bad("more than one length of the body")
+		return 0, false, malformed("more than one length of the body")
 	case codings == 1:
 		return -1, true, nil
 	case length > limit:
@@ -137,7 +137,7 @@
 	return length, lengths == 1, nil
 }
 
-// hasToken reports whether a list header names an option.
+// hasToken reports whether the comma-separated values of a field contain an option, ignoring case.
 func hasToken(h Headers, name, option string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
--- a/internal/dataplane/http1/http1.go
+++ b/internal/dataplane/http1/http1.go
@@ -1,7 +1,6 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9112), strictly: what
-// two readers could take for two different things is refused. Unlike net/http's
-// server it leaves the connection to its user, so that requests sent behind each
-// other can run at the same time.
+// Package http1 reads and writes HTTP/1.1 messages (RFC 9112). It rejects messages that another implementation could
+// interpret differently. Unlike net/http, it leaves the connection to the caller, so that pipelined requests can run
+// concurrently.
 package http1
 
 import (
@@ -12,13 +11,13 @@
 	"strings"
 )
 
-// Header is one field, with its name as it was sent.
+// Header is a header field. Its name keeps the letter case of the message.
 type Header struct{ Name, Value string }
 
-// Headers are fields in their order.
+// Headers lists header fields in the order of the message.
 type Headers []Header
 
-// Get returns the first value of a name.
+// Get returns the value of the first field with a name, or "" if there is none.
 func (h Headers) Get(name string) string {
 	for i := range h {
 		if SameName(h[i].Name, name) {
@@ -28,7 +27,7 @@
 	return ""
 }
 
-// Count returns how many headers have a name.
+// Count returns the number of fields with a name.
 func (h Headers) Count(name string) int {
 	n := 0
 	for i := range h {
@@ -39,21 +38,21 @@
 	return n
 }
 
-// Limits bound a message, in bytes.
+// Limits holds the maximum sizes of a message, in bytes.
 type Limits struct {
 	Head int
 	Body int64
 }
 
-// Request is a request without its body.
+// Request is the head of a request.
 type Request struct {
 	Method  string
 	Target  string // path and query as sent
 	Host    string
 	Headers Headers
-	Length  int64 // of the body; -1: in chunks
-	Close   bool  // the connection ends behind it
-	Expect  bool  // the client waits for 100 before it sends the body
+	Length  int64 // of the body in bytes; -1 if it is chunked
+	Close   bool  // "Connection: close" is set
+	Expect  bool  // the client waits for 100 Continue before it sends the body
 }
 
 // Path returns the target without its query.
@@ -62,15 +61,15 @@
 	return path
 }
 
-// Response is an answer without its body.
+// Response is the head of a response.
 type Response struct {
 	Status  int
 	Headers Headers
-	Length  int64 // of the body; -1: in chunks
-	Close   bool
+	Length  int64 // of the body in bytes; -1 if it is chunked
+	Close   bool  // "Connection: close" is set
 }
 
-// Error is why a message is rejected, with the status for its sender.
+// Error is the reason for the rejection of a message, with the status code for its sender.
 type Error struct {
 	Status int
 	Text   string
@@ -78,10 +77,10 @@
 
 func (e *Error) Error() string { return e.Text }
 
-func bad(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
+// malformed returns an Error with status 400.
+func malformed(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
 
-// ReadRequest reads the head of a request. io.EOF means that the peer has ended
-// the connection between requests.
+// ReadRequest reads the head of a request. It returns io.EOF if the peer has closed the connection between requests.
 func ReadRequest(r *bufio.Reader, limits Limits) (*Request, error) {
 	req := new(Request)
 	if err := req.Read(r, limits); err != nil {
@@ -90,11 +89,11 @@
 	return req, nil
 }
 
-// Read is ReadRequest into req. After an error it holds nothing of use.
+// Read is like ReadRequest, but reads into req and reuses its Headers. After an error, req is invalid.
 func (req *Request) Read(r *bufio.Reader, limits Limits) error {
 	h := headReader{r, limits.Head}
 	line, err := h.line()
-	for err == nil && len(line) == 0 && h.left > limits.Head-4 { // RFC 9112, 2.2
+	for err == nil && len(line) == 0 && h.remaining > limits.Head-4 { // skip empty lines (RFC 9112, 2.2)
 		line, err = h.line()
 	}
 	if err != nil {
@@ -102,37 +101,38 @@
 	}
 	method, rest, ok1 := bytes.Cut(line, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
-	if !ok1 || !ok2 || !token(method) {
-		return bad("not a request line")
+	if !ok1 || !ok2 || !isToken(method) {
+		return malformed("not a request line")
 	}
 	if string(version) != "HTTP/1.1" {
 		if string(version) == "HTTP/1.0" {
 			return &Error{505, "HTTP/1.1 is spoken here"}
 		}
-		return bad("not a request line")
+		return malformed("not a request line")
 	}
 	if string(method) == "CONNECT" || len(target) == 0 || target[0] != '/' || bytes.IndexByte(target, '#') >= 0 {
-		return bad("the target is no path")
+		return malformed("the target is no path")
 	}
 	for _, b := range target {
 		if b <= ' ' || b > '~' {
-			return bad("a character in the target that has to be escaped")
+			return malformed("a character in the target that has to be escaped")
 		}
 	}
-	ends, begins, over := len(method), len(method)+1, len(method)+1+len(target) // the line goes with the next read
-	head, fields, err := h.fields(line[:over], req.Headers)
+	// The next read overwrites line.
+	methodEnd, targetStart, targetEnd := len(method), len(method)+1, len(method)+1+len(target)
+	head, fields, err := h.fields(line[:targetEnd], req.Headers)
 	if err != nil {
 		return err
 	}
-	*req = Request{Method: head[:ends], Target: head[begins:over], Headers: fields}
+	*req = Request{Method: head[:methodEnd], Target: head[targetStart:targetEnd], Headers: fields}
 	if req.Headers.Count("Host") != 1 {
-		return bad("not exactly one Host")
+		return malformed("not exactly one Host")
 	}
 	req.Host = req.Headers.Get("Host")
 	if strings.ContainsAny(req.Host, " \t,/@") {
-		return bad("Host is %q", req.Host)
+		return malformed("Host is %q", req.Host)
 	}
-	if req.Length, _, err = framing(req.Headers, limits.Body); err != nil {
+	if req.Length, _, err = bodyLength(req.Headers, limits.Body); err != nil {
 		return err
 	}
 	req.Close = hasToken(req.Headers, "Connection", "close")
@@ -140,8 +140,7 @@
 	return nil
 }
 
-// ReadResponse reads the head of an answer to a request with the given method;
-// interim answers are passed over.
+// ReadResponse reads the head of the response to a request with the given method. It skips interim responses (1xx).
 func ReadResponse(r *bufio.Reader, method string, limits Limits) (*Response, error) {
 	resp := new(Response)
 	if err := resp.Read(r, method, limits); err != nil {
@@ -150,7 +149,7 @@
 	return resp, nil
 }
 
-// Read is ReadResponse into resp. After an error it holds nothing of use.
+// Read is like ReadResponse, but reads into resp and reuses its Headers. After an error, resp is invalid.
 func (resp *Response) Read(r *bufio.Reader, method string, limits Limits) error {
 	h := headReader{r, limits.Head}
 	for {
@@ -158,34 +157,34 @@
 		if err != nil {
 			return err
 		}
-		// HTTP/1.1 SSS reason
+		// HTTP/1.1 200 OK; the reason phrase is optional.
 		if len(line) < 12 || string(line[:9]) != "HTTP/1.1 " || len(line) > 12 && line[12] != ' ' {
-			return bad("not a status line")
+			return malformed("not a status line")
 		}
 		status, err := strconv.Atoi(string(line[9:12]))
 		if err != nil || status < 100 || status > 599 {
-			return bad("not a status line")
+			return malformed("not a status line")
 		}
 		_, fields, err := h.fields(nil, resp.Headers)
 		if err != nil {
 			return err
 		}
 		if status == 101 {
-			return bad("a change of protocol that nobody asked for")
+			return malformed("a change of protocol that nobody asked for")
 		}
 		if status < 200 {
 			continue
 		}
 		*resp = Response{Status: status, Headers: fields, Close: hasToken(fields, "Connection", "close")}
-		length, present, err := framing(fields, limits.Body)
+		length, present, err := bodyLength(fields, limits.Body)
 		if err != nil {
 			return err
 		}
 		switch {
 		case method == "HEAD" || status == 204 || status == 304:
 		case !present:
-			// It would end with the connection, and so would one that broke off.
-			return bad("the answer does not say where it ends")
+			// A body that ends with the connection can't be distinguished from a truncated one.
+			return malformed("the answer does not say where it ends")
 		default:
 			resp.Length = length
 		}
@@ -193,5 +192,5 @@
 	}
 }
 
-// SameName reports whether two names are of the same field.
+// SameName reports whether two field names are equal, ignoring case.
 func SameName(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
--- a/internal/dataplane/http1/http1_test.go
+++ b/internal/dataplane/http1/http1_test.go
@@ -22,45 +22,45 @@
 	return req, body, r, err
 }
 
-// TestRequestsOfUncertainForm has what two readers could take for two different things.
+// TestRequestsOfUncertainForm checks that requests that two implementations could interpret differently are rejected.
 func TestRequestsOfUncertainForm(t *testing.T) {
 	const line, host = "GET /a/ HTTP/1.1\r\n", "Host: h\r\n"
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		text   string
-		status int // 0: the connection ends without an answer
+		status int // zero if the connection ends without a response
 	}{
-		"both lengths":            {line + host + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-		"two lengths":             {line + host + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400},
-		"a signed length":         {line + host + "Content-Length: +3\r\n\r\nabc", 400},
-		"a list of lengths":       {line + host + "Content-Length: 3, 3\r\n\r\nabc", 400},
-		"another coding":          {line + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
-		"bare LF":                 {"GET /a/ HTTP/1.1\nHost: h\n\n", 400},
-		"bare CR":                 {line + "Host: h\rX: y\r\n\r\n", 400},
-		"a folded line":           {line + host + "A: b\r\n c\r\n\r\n", 400},
-		"space before the colon":  {line + host + "Content-Length : 3\r\n\r\nabc", 400},
-		"no colon":                {line + host + "Content-Length\r\n\r\n", 400},
-		"no Host":                 {line + "\r\n", 400},
-		"two Hosts":               {line + host + host + "\r\n", 400},
-		"a control character":     {line + host + "A: \x00\r\n\r\n", 400},
-		"two spaces":              {"GET  /a/ HTTP/1.1\r\n" + host + "\r\n", 400},
-		"an absolute target":      {"GET http://h/a/ HTTP/1.1\r\n" + host + "\r\n", 400},
-		"HTTP/1.0":                {"GET /a/ HTTP/1.0\r\n" + host + "\r\n", 505},
-		"a large head":            {line + host + "A: " + strings.Repeat("x", 2000) + "\r\n\r\n", 431},
-		"a large body":            {line + host + "Content-Length: 5000\r\n\r\n", 413},
-		"large chunks":            {line + host + "Transfer-Encoding: chunked\r\n\r\nffff\r\n", 413},
-		"an odd chunk size":       {line + host + "Transfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n", 400},
-		"a long chunk":            {line + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400},
-		"a chunk size of nothing": {line + host + "Transfer-Encoding: chunked\r\n\r\n;a=b\r\n", 400},
-		"a torn head":             {line + "Host:", 0},
-		"a torn body":             {line + host + "Content-Length: 9\r\n\r\nabc", 0},
+		"both lengths":           {line + host + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		"two lengths":            {line + host + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400},
+		"a signed length":        {line + host + "Content-Length: +3\r\n\r\nabc", 400},
+		"a list of lengths":      {line + host + "Content-Length: 3, 3\r\n\r\nabc", 400},
+		"another coding":         {line + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
+		"bare LF":                {"GET /a/ HTTP/1.1\nHost: h\n\n", 400},
+		"bare CR":                {line + "Host: h\rX: y\r\n\r\n", 400},
+		"a folded line":          {line + host + "A: b\r\n c\r\n\r\n", 400},
+		"space before the colon": {line + host + "Content-Length : 3\r\n\r\nabc", 400},
+		"no colon":               {line + host + "Content-Length\r\n\r\n", 400},
+		"no Host":                {line + "\r\n", 400},
+		"two Hosts":              {line + host + host + "\r\n", 400},
+		"a control character":    {line + host + "A: \x00\r\n\r\n", 400},
+		"two spaces":             {"GET  /a/ HTTP/1.1\r\n" + host + "\r\n", 400},
+		"an absolute target":     {"GET http://h/a/ HTTP/1.1\r\n" + host + "\r\n", 400},
+		"HTTP/1.0":               {"GET /a/ HTTP/1.0\r\n" + host + "\r\n", 505},
+		"a large head":           {line + host + "A: " + strings.Repeat("x", 2000) + "\r\n\r\n", 431},
+		"a large body":           {line + host + "Content-Length: 5000\r\n\r\n", 413},
+		"large chunks":           {line + host + "Transfer-Encoding: chunked\r\n\r\nffff\r\n", 413},
+		"an odd chunk size":      {line + host + "Transfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n", 400},
+		"a long chunk":           {line + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400},
+		"an empty chunk size":    {line + host + "Transfer-Encoding: chunked\r\n\r\n;a=b\r\n", 400},
+		"a truncated head":       {line + "Host:", 0},
+		"a truncated body":       {line + host + "Content-Length: 9\r\n\r\nabc", 0},
 	} {
-		_, _, _, err := read(c.text)
+		_, _, _, err := read(test.text)
 		var e *Error
 		switch {
 		case err == nil:
-			t.Errorf("%s: read", name)
-		case c.status == 0 && errors.As(err, &e), c.status != 0 && (!errors.As(err, &e) || e.Status != c.status):
-			t.Errorf("%s: %v, want status %d", name, err, c.status)
+			t.Errorf("%s: request accepted, want an error", name)
+		case test.status == 0 && errors.As(err, &e), test.status != 0 && (!errors.As(err, &e) || e.Status != test.status):
+			t.Errorf("%s: got error %v, want status %d", name, err, test.status)
 		}
 	}
 }
@@ -70,25 +70,25 @@
 		"3\r\nabc\r\n02;q=1\r\nde\r\n0\r\nT: x\r\n\r\nGET /b HTTP/1.1\r\nhost: h\r\nConnection: a, Close\r\n\r\n"))
 	req, err := ReadRequest(r, limits)
 	if err != nil || req.Target != "/a?x=%41&y" || req.Path() != "/a" {
-		t.Fatalf("%+v, %v", req, err)
+		t.Fatalf("first request: got %+v, error %v", req, err)
 	}
 	if body, err := ReadBody(r, req.Length, limits); err != nil || string(body) != "abcde" {
-		t.Fatalf("%q, %v", body, err)
+		t.Fatalf("body of the first request: got %q, %v, want \"abcde\"", body, err)
 	}
 	if req, err = ReadRequest(r, limits); err != nil || req.Target != "/b" || !req.Close {
-		t.Fatalf("%+v, %v", req, err)
+		t.Fatalf("second request: got %+v, error %v", req, err)
 	}
 	if _, err = ReadRequest(r, limits); !errors.Is(err, io.EOF) {
-		t.Fatalf("%v", err)
+		t.Fatalf("read after the last request: got %v, want EOF", err)
 	}
 }
 
 func TestResponses(t *testing.T) {
-	for text, good := range map[string]bool{
+	for text, valid := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                                           true,
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": true,
 		"HTTP/1.1 204 No Content\r\n\r\n":                                                          true,
-		"HTTP/1.1 200 OK\r\n\r\nok":                                                                false, // ends with the connection, or broke off
+		"HTTP/1.1 200 OK\r\n\r\nok":                                                                false, // no length: may be truncated
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok":                                           false,
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":      false,
 		"HTTP/1.1 20 OK\r\nContent-Length: 0\r\n\r\n":                                              false,
@@ -100,8 +100,8 @@
 		if err == nil {
 			_, err = ReadBody(r, resp.Length, limits)
 		}
-		if (err == nil) != good {
-			t.Errorf("%q: %v", text, err)
+		if (err == nil) != valid {
+			t.Errorf("%q: wrong result: error %v", text, err)
 		}
 	}
 }
@@ -109,12 +109,12 @@
 func TestHopByHopHeadersStay(t *testing.T) {
 	got := string(AppendEndToEnd(nil, Headers{{"Connection", "X-A, keep-alive"}, {"X-A", "1"}, {"X-B", "2"}, {"TE", "x"}, {"Target-Instance", "i"}}, "target-instance"))
 	if got != "X-B: 2\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want only X-B", got)
 	}
 }
 
-// FuzzRequest holds the codec against the standard library's: what this one
-// reads, that one reads alike. This one may refuse more.
+// FuzzRequest compares the parser with net/http: a request that both accept must have the same method, target and body. The
+// parser may reject more.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET / HTTP/1.1\r\nHost: h\r\n\r\n", "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc",
@@ -136,19 +136,19 @@
 		std := bufio.NewReader(bytes.NewReader(data))
 		want, err := http.ReadRequest(std)
 		if err != nil {
-			return // it refuses some methods and targets that mean nothing here
+			return // net/http rejects some methods and targets that this package accepts
 		}
 		wantBody, err := io.ReadAll(want.Body)
 		if err != nil {
 			return
 		}
 		if req.Method != want.Method || req.Target != want.RequestURI || !bytes.Equal(body, wantBody) {
-			t.Errorf("%s %s %q here, %s %s %q there", req.Method, req.Target, body, want.Method, want.RequestURI, wantBody)
+			t.Errorf("parsed as %s %s %q, by net/http as %s %s %q", req.Method, req.Target, body, want.Method, want.RequestURI, wantBody)
 		}
-		// What was written again must be read alike.
-		again := AppendRequestBody(AppendEndToEnd(AppendRequestLine(nil, req.Method, req.Target), req.Headers), req.Method, body)
-		if req2, body2, _, err := read(string(again)); err != nil || req2.Target != req.Target || !bytes.Equal(body, body2) {
-			t.Errorf("%q written as %q: %v", data, again, err)
+		// A rewritten request must parse to the same result.
+		rewritten := AppendRequestBody(AppendEndToEnd(AppendRequestLine(nil, req.Method, req.Target), req.Headers), req.Method, body)
+		if req2, body2, _, err := read(string(rewritten)); err != nil || req2.Target != req.Target || !bytes.Equal(body, body2) {
+			t.Errorf("%q rewritten as %q: the results differ, or error %v", data, rewritten, err)
 		}
 	})
 }
@@ -171,9 +171,7 @@
 	}
 }
 
-// FuzzResponse: whatever a server sends, an answer is whole and has an end that
-// cannot be taken for another, or it is an error; the standard library reads what
-// is read here alike.
+// FuzzResponse compares the parser with net/http: a response that both accept must have the same status and body.
 func FuzzResponse(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 204 No Content\r\n\r\n",
@@ -205,7 +203,7 @@
 			return
 		}
 		if resp.Status != want.StatusCode || !bytes.Equal(body, wantBody) {
-			t.Errorf("%d %q here, %d %q there", resp.Status, body, want.StatusCode, wantBody)
+			t.Errorf("parsed as %d %q, by net/http as %d %q", resp.Status, body, want.StatusCode, wantBody)
 		}
 	})
 }
--- a/internal/dataplane/http1/write.go
+++ b/internal/dataplane/http1/write.go
@@ -4,29 +4,28 @@
 	"strconv"
 )
 
-// hop lists the fields that concern one connection only, and those that a
-// message of ours states itself.
-var hop = []string{
+// hopByHop lists the fields that apply to a single connection, and those that the Append functions write themselves.
+var hopByHop = []string{
 	"connection", "content-length", "transfer-encoding", "keep-alive", "expect", "te", "trailer", "upgrade",
 	"proxy-connection", "proxy-authenticate", "proxy-authorization",
 }
 
-// isOneOf reports whether a field's name is in a list.
-func isOneOf(name string, list []string) bool {
-	for _, l := range list {
-		if SameName(l, name) {
+// containsName reports whether a list contains a field name, ignoring case.
+func containsName(name string, list []string) bool {
+	for _, listed := range list {
+		if SameName(listed, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// AppendEndToEnd writes the fields that go along with a message to the next hop,
-// as lines of a head, without those whose names are given as well.
-func AppendEndToEnd(dst []byte, h Headers, but ...string) []byte {
-	options := h.Count("Connection") > 0
+// AppendEndToEnd appends the fields that are forwarded to the next hop, as lines of a head. It omits hop-by-hop fields and
+// the excluded ones.
+func AppendEndToEnd(dst []byte, h Headers, excluded ...string) []byte {
+	hasConnection := h.Count("Connection") > 0
 	for i := range h {
-		if name := h[i].Name; isOneOf(name, hop) || isOneOf(name, but) || options && hasToken(h, "Connection", name) {
+		if name := h[i].Name; containsName(name, hopByHop) || containsName(name, excluded) || hasConnection && hasToken(h, "Connection", name) {
 			continue
 		}
 		dst = AppendField(dst, h[i].Name, h[i].Value)
@@ -34,7 +33,7 @@
 	return dst
 }
 
-// AppendField writes one line of a head.
+// AppendField appends one line of a head.
 func AppendField(dst []byte, name, value string) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
@@ -42,7 +41,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendRequestLine writes a request's first line.
+// AppendRequestLine appends the first line of a request.
 func AppendRequestLine(dst []byte, method, target string) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -50,7 +49,7 @@
 	return append(dst, " HTTP/1.1\r\n"...)
 }
 
-// AppendRequestBody ends a request's head, behind its fields, and writes its body.
+// AppendRequestBody appends the Content-Length, the end of the head and the body of a request.
 func AppendRequestBody(dst []byte, method string, body []byte) []byte {
 	if len(body) > 0 || method == "POST" || method == "PUT" || method == "PATCH" {
 		dst = appendLength(dst, len(body))
@@ -65,13 +64,13 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendResponse writes an answer with a body of known length. fields are lines of
-// its head; bodyless is an answer that may not have a body.
+// AppendResponse appends a whole response. fields holds lines of its head. If bodyless is set, it omits the Content-Length
+// and the body, as the responses to HEAD and with status 204 or 304 require.
 func AppendResponse(dst []byte, status int, fields, body []byte, bodyless, close bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reason(status)...)
+	dst = append(dst, reasonPhrase(status)...)
 	dst = append(dst, "\r\n"...)
 	dst = append(dst, fields...)
 	if close {
@@ -87,15 +86,15 @@
 	return append(dst, body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 204: "No Content", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout",
 	413: "Content Too Large", 421: "Misdirected Request", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported",
 }
 
-func reason(status int) string {
-	if text, ok := reasons[status]; ok {
+func reasonPhrase(status int) string {
+	if text, ok := reasonPhrases[status]; ok {
 		return text
 	}
 	return "Status"
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -17,239 +17,241 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// attemptResult is an attempt, with its response if it has ended.
+// attemptResult is the result of an attempt at a server. response and outcome are set once the attempt has ended.
 type attemptResult struct {
 	server   string
 	response *wire.ForwardResponse
-	result   decide.Result
+	outcome  decide.Result
 }
 
-// serve makes attempts until there is a final answer.
-func (o *Outbound) serve(client context.Context, c *Call, cluster *ClusterState, r *router.Request) *Answer {
+// serve makes attempts until there is a final response.
+func (o *Outbound) serve(clientCtx context.Context, call *Call, cluster *ClusterState, request *router.Request) *Response {
 	for {
 		o.mu.Lock()
-		action := r.Next(o.now())
+		action := request.Next(o.now())
 		o.mu.Unlock()
-		if a := o.perform(client, c, cluster, r, action); a != nil {
-			return a
+		if response := o.perform(clientCtx, call, cluster, request, action); response != nil {
+			return response
 		}
-		if client.Err() != nil {
-			return textAnswer(504, calledOffText) // the client has left, and reads no answer
+		if clientCtx.Err() != nil {
+			return textResponse(504, cancelledText) // not written, as the client has disconnected
 		}
 	}
 }
 
-// perform carries an action out, and returns the final answer if there is one then.
-func (o *Outbound) perform(client context.Context, c *Call, cluster *ClusterState, r *router.Request, action router.Action) *Answer {
+// perform executes an action of the router. It returns nil if there is no final response yet.
+func (o *Outbound) perform(clientCtx context.Context, call *Call, cluster *ClusterState, request *router.Request, action router.Action) *Response {
 	switch {
 	case action.Response != nil:
-		return generatedAnswer(action.Response)
+		return routerResponse(action.Response)
 	case action.Server == "":
 		timer := timerpool.Get(action.Wait)
 		defer timerpool.Put(timer)
 		select {
 		case <-timer.C:
-		case <-client.Done():
+		case <-clientCtx.Done():
 		}
 		return nil
-	case r.NonIdempotent():
-		return o.handleOutcome(c, r, o.attempt(client, c, cluster, r, action))
+	case request.NonIdempotent():
+		return o.handleOutcome(call, request, o.attempt(clientCtx, call, cluster, request, action))
 	}
-	// An attempt that is in flight at the final answer goes on: its work would be lost, not saved.
-	call, t := o.begin(client, context.Background(), c, cluster, r, action)
-	if call == nil {
-		return o.handleOutcome(c, r, t)
+	// The call does not depend on clientCtx: an idempotent attempt that is in flight at the final response runs to its end,
+	// since cancelling it would waste the work done so far.
+	stream, result := o.startAttempt(clientCtx, context.Background(), call, cluster, request, action)
+	if stream == nil {
+		return o.handleOutcome(call, request, result)
 	}
-	return o.awaitHedged(client, c, cluster, r, call, t)
+	return o.awaitHedged(clientCtx, call, cluster, request, stream, result)
 }
 
-// awaitHedged waits for an attempt in flight, and hedges it with a second one if it takes far longer than its like. It
-// returns the final answer; nil: there is none yet, and no attempt is in flight.
-func (o *Outbound) awaitHedged(client context.Context, c *Call, cluster *ClusterState, r *router.Request, call *rpc.Stream, first attemptResult) (answer *Answer) {
+// awaitHedged waits for an attempt in flight, and starts a second one if the first exceeds the hedge delay. It returns nil if
+// the attempts have ended without a final response.
+func (o *Outbound) awaitHedged(clientCtx context.Context, call *Call, cluster *ClusterState, request *router.Request, stream *rpc.Stream, first attemptResult) (final *Response) {
 	o.mu.Lock()
-	hedge := r.HedgeDelay()
+	hedgeDelay := request.HedgeDelay()
 	o.mu.Unlock()
-	deadline := o.began.Add(r.Deadline)
+	deadline := o.start.Add(request.Deadline)
 	wait := time.Until(deadline)
-	if hedge > 0 {
-		wait = min(wait, hedge)
+	if hedgeDelay > 0 {
+		wait = min(wait, hedgeDelay)
 	}
 	timer := timerpool.Get(wait)
 	defer timerpool.Put(timer)
-	firstReady := call.Ready()          // nil: the first has ended
-	var second chan attemptResult       // nil: there is none
-	var cancelSecond context.CancelFunc // calls the second off
-	for answer == nil && (firstReady != nil || second != nil) {
-		firstOver := false // the first's answer, or its time
+	firstReady := stream.Ready()        // nil once the first attempt has ended
+	var second chan attemptResult       // nil if no second attempt is in flight
+	var cancelSecond context.CancelFunc // set with second
+	for final == nil && (firstReady != nil || second != nil) {
+		firstDone := false // the first attempt has a response or is past its deadline
 		select {
 		case <-firstReady:
-			firstOver = true
-		case t := <-second:
+			firstDone = true
+		case result := <-second:
 			second = nil
-			answer = o.handleOutcome(c, r, t)
-		case <-client.Done():
-			answer = textAnswer(504, calledOffText) // the client has left, and reads no answer
+			final = o.handleOutcome(call, request, result)
+		case <-clientCtx.Done():
+			final = textResponse(504, cancelledText) // not written, as the client has disconnected
 		case <-timer.C:
-			if firstOver = time.Until(deadline) <= 0; !firstOver {
+			if firstDone = time.Until(deadline) <= 0; !firstDone {
 				timer.Reset(time.Until(deadline))
 			}
-			if hedge > 0 && !firstOver {
-				hedge = 0 // once
+			if hedgeDelay > 0 && !firstDone {
+				hedgeDelay = 0 // at most one second attempt
 				o.mu.Lock()
-				action, ok := r.Hedge(o.now())
+				action, ok := request.Hedge(o.now())
 				o.mu.Unlock()
 				if ok {
 					second = make(chan attemptResult, 1)
-					cancelSecond = o.startSecond(c, cluster, r, action, second)
+					cancelSecond = o.startSecond(call, cluster, request, action, second)
 				}
 			}
 		}
-		if firstOver && firstReady != nil { // it returns at once
-			firstReady = nil
-			answer = o.handleOutcome(c, r, o.awaitResponse(context.Background(), c, call, first))
+		if firstDone && firstReady != nil {
+			firstReady = nil // awaitResponse does not block here
+			final = o.handleOutcome(call, request, o.awaitResponse(context.Background(), call, stream, first))
 		}
 	}
-	left := client.Err() != nil
+	disconnected := clientCtx.Err() != nil
 	if firstReady != nil {
-		o.abandonFirst(left, c, r, call, first)
+		o.detachFirst(disconnected, call, request, stream, first)
 	}
 	if second != nil {
-		if left {
+		if disconnected {
 			cancelSecond()
 		}
-		o.lateAttempts.Go(func() { o.handleLateOutcome(r, <-second) })
+		o.lateAttempts.Go(func() { o.handleLateOutcome(request, <-second) })
 	}
-	return answer
+	return final
 }
 
-// abandonFirst leaves an attempt behind that is in flight at the final answer. It goes on to its end, as its work would else
-// be lost, unless the client has left.
-func (o *Outbound) abandonFirst(clientLeft bool, c *Call, r *router.Request, call *rpc.Stream, first attemptResult) {
-	if clientLeft {
-		call.Close()
-		first.response, first.result = noAnswer(), decide.TimedOut
-		o.handleLateOutcome(r, first)
+// detachFirst handles a first attempt that is still in flight at the final response. It cancels the attempt if the client has
+// disconnected, and otherwise awaits its outcome in the background.
+func (o *Outbound) detachFirst(disconnected bool, call *Call, request *router.Request, stream *rpc.Stream, first attemptResult) {
+	if disconnected {
+		stream.Close()
+		first.response, first.outcome = timeoutResponse(), decide.TimedOut
+		o.handleLateOutcome(request, first)
 		return
 	}
-	o.lateAttempts.Go(func() { o.handleLateOutcome(r, o.awaitResponse(context.Background(), c, call, first)) })
+	o.lateAttempts.Go(func() { o.handleLateOutcome(request, o.awaitResponse(context.Background(), call, stream, first)) })
 }
 
-// startSecond starts a second attempt beside the first, and returns what cancels it.
-func (o *Outbound) startSecond(c *Call, cluster *ClusterState, r *router.Request, action router.Action, end chan<- attemptResult) context.CancelFunc {
+// startSecond starts a second attempt while the first is in flight, and sends its result to results. The returned function
+// cancels the attempt.
+func (o *Outbound) startSecond(call *Call, cluster *ClusterState, request *router.Request, action router.Action, results chan<- attemptResult) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	o.lateAttempts.Go(func() {
 		defer cancel()
-		end <- o.attempt(ctx, c, cluster, r, action)
+		results <- o.attempt(ctx, call, cluster, request, action)
 	})
 	return cancel
 }
 
-// handleOutcome takes the end of an attempt, and returns the final answer if that is one.
-func (o *Outbound) handleOutcome(c *Call, r *router.Request, t attemptResult) *Answer {
+// handleOutcome passes the outcome of an attempt to the router. It returns nil if there is no final response yet.
+func (o *Outbound) handleOutcome(call *Call, request *router.Request, result attemptResult) *Response {
 	o.mu.Lock()
-	final, forward := r.HandleOutcome(o.now(), t.server, t.response, t.result)
+	final, forward := request.HandleOutcome(o.now(), result.server, result.response, result.outcome)
 	o.mu.Unlock()
 	switch {
 	case final != nil:
-		return generatedAnswer(final)
+		return routerResponse(final)
 	case forward:
-		return forwardAnswer(t.response, c.Headers.Get("Attempt-Id"))
+		return forwardedResponse(result.response, call.Headers.Get("Attempt-Id"))
 	}
 	return nil
 }
 
-// handleLateOutcome takes the end of an attempt after the final answer.
-func (o *Outbound) handleLateOutcome(r *router.Request, t attemptResult) {
+// handleLateOutcome passes the outcome of an attempt to the router after the final response.
+func (o *Outbound) handleLateOutcome(request *router.Request, result attemptResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r.HandleLateOutcome(o.now(), t.server, t.response, t.result)
+	request.HandleLateOutcome(o.now(), result.server, result.response, result.outcome)
 }
 
-// attempt sends the request to the node beside a server, and waits for the response.
-func (o *Outbound) attempt(ctx context.Context, c *Call, cluster *ClusterState, r *router.Request, action router.Action) attemptResult {
-	call, t := o.begin(ctx, ctx, c, cluster, r, action)
-	if call == nil {
-		return t
+// attempt sends the request to the sidecar of a server and waits for the outcome.
+func (o *Outbound) attempt(ctx context.Context, call *Call, cluster *ClusterState, request *router.Request, action router.Action) attemptResult {
+	stream, result := o.startAttempt(ctx, ctx, call, cluster, request, action)
+	if stream == nil {
+		return result
 	}
-	return o.awaitResponse(ctx, c, call, t)
+	return o.awaitResponse(ctx, call, stream, result)
 }
 
-var forwards = sync.Pool{New: func() any { return new(wire.ForwardRequest) }}
+var forwardRequests = sync.Pool{New: func() any { return new(wire.ForwardRequest) }}
 
-// begin sends the request to the node beside a server. Without a stream, the attempt has ended. dial is the context of the
-// connection, ctx that of the call.
-func (o *Outbound) begin(dial, ctx context.Context, c *Call, cluster *ClusterState, r *router.Request, action router.Action) (*rpc.Stream, attemptResult) {
-	t := attemptResult{server: action.Server}
-	server, _ := cluster.Servers.Get(t.server)
-	if server == nil { // the router has a newer list
-		server, _ = o.cluster().Servers.Get(t.server)
+// startAttempt sends the request to the sidecar of a server. The stream is nil if the attempt has already ended. dialCtx
+// applies to the connection, ctx to the call.
+func (o *Outbound) startAttempt(dialCtx, ctx context.Context, call *Call, cluster *ClusterState, request *router.Request, action router.Action) (*rpc.Stream, attemptResult) {
+	result := attemptResult{server: action.Server}
+	server, _ := cluster.Servers.Get(result.server)
+	if server == nil { // the router may have a newer state of the cluster
+		server, _ = o.cluster().Servers.Get(result.server)
 	}
 	if server == nil {
-		t.response, t.result = notSent(true, "not listed"), decide.NotSent
-		return nil, t
+		result.response, result.outcome = notSent(true, "not listed"), decide.NotSent
+		return nil, result
 	}
-	until := o.began.Add(r.Deadline)
-	peer, err := o.Pool.Live(dial, until, server.Address)
+	deadline := o.start.Add(request.Deadline)
+	peer, err := o.Pool.Live(dialCtx, deadline, server.Address)
 	if err == nil {
-		request := forwards.Get().(*wire.ForwardRequest)
-		fields := messages.Get().(*[]byte)
-		request.Member, request.Service, request.Method, request.Target, request.Body, request.Caller = t.server, r.Service, c.Method, c.Target, c.Body, o.Backend
-		request.Priority, request.Attempt, request.Retry = r.Priority, c.Headers.Get("Attempt-Id"), action.Retry
-		request.TimeLeftMs = uint32(max(1, (r.Deadline - o.now()).Milliseconds()))
-		request.Zone, request.NonIdempotent, request.TypicalLatencyMs, request.IgnoreEjection, request.MayQueue = o.Zone, r.NonIdempotent(), uint32(action.TypicalLatency.Milliseconds()), action.IgnoreEjection, action.MayQueue
-		request.Fields = http1.AppendEndToEnd((*fields)[:0], c.Headers, "Attempt-Id", "Time-Budget", "Target-Instance", "Caller-Service")
-		encoded := request.Fields
+		forward := forwardRequests.Get().(*wire.ForwardRequest)
+		fieldBuffer := messageBuffers.Get().(*[]byte)
+		forward.Member, forward.Service, forward.Method, forward.Target, forward.Body, forward.Caller = result.server, request.Service, call.Method, call.Target, call.Body, o.Backend
+		forward.Priority, forward.Attempt, forward.Retry = request.Priority, call.Headers.Get("Attempt-Id"), action.Retry
+		forward.TimeLeftMs = uint32(max(1, (request.Deadline - o.now()).Milliseconds()))
+		forward.Zone, forward.NonIdempotent, forward.TypicalLatencyMs, forward.IgnoreEjection, forward.MayQueue = o.Zone, request.NonIdempotent(), uint32(action.TypicalLatency.Milliseconds()), action.IgnoreEjection, action.MayQueue
+		forward.Fields = http1.AppendEndToEnd((*fieldBuffer)[:0], call.Headers, "Attempt-Id", "Time-Budget", "Target-Instance", "Caller-Service")
+		encoded := forward.Fields
 		if server.ProtocolVersion < localserver.ProtocolFields {
-			request.Headers, request.Fields = headersOf(request.Fields, request.Attempt), nil
+			forward.Headers, forward.Fields = parseFields(forward.Fields, forward.Attempt), nil
 		}
-		var call *rpc.Stream
-		call, err = peer.Begin(ctx, until, "forward", request)
-		recycle(fields, encoded)
-		proto.Reset(request)
-		forwards.Put(request)
+		var stream *rpc.Stream
+		stream, err = peer.Begin(ctx, deadline, "forward", forward)
+		putBuffer(fieldBuffer, encoded)
+		proto.Reset(forward)
+		forwardRequests.Put(forward)
 		if err == nil {
-			return call, t
+			return stream, result
 		}
 	}
-	if errors.Is(err, rpc.ErrNotSent) { // only the begin of a call can prove that
-		t.response, t.result = notSent(false, "%v", err), decide.Unconnected
-		return nil, t
+	if errors.Is(err, rpc.ErrNotSent) { // once a call has begun, an error no longer proves this
+		result.response, result.outcome = notSent(false, "%v", err), decide.Unconnected
+		return nil, result
 	}
-	return nil, o.outcomeUnknown(ctx, c, t, err)
+	return nil, o.unknownOutcome(ctx, call, result, err)
 }
 
-// awaitResponse waits for the response of an attempt.
-func (o *Outbound) awaitResponse(ctx context.Context, c *Call, call *rpc.Stream, t attemptResult) attemptResult {
+// awaitResponse waits for the outcome of an attempt.
+func (o *Outbound) awaitResponse(ctx context.Context, call *Call, stream *rpc.Stream, result attemptResult) attemptResult {
 	response := new(wire.ForwardResponse)
-	if err := call.Response(response); err != nil {
-		return o.outcomeUnknown(ctx, c, t, err)
+	if err := stream.Response(response); err != nil {
+		return o.unknownOutcome(ctx, call, result, err)
 	}
-	t.response, t.result = response, router.Result(response)
-	return t
+	result.response, result.outcome = response, router.Result(response)
+	return result
 }
 
-func noAnswer() *wire.ForwardResponse {
+func timeoutResponse() *wire.ForwardResponse {
 	return &wire.ForwardResponse{Result: wire.ForwardResponse_DEADLINE_EXCEEDED, Reason: "no answer in time"}
 }
 
-// outcomeUnknown ends an attempt without a response, which may have arrived: whatever the error says, it may have run.
-func (o *Outbound) outcomeUnknown(ctx context.Context, c *Call, t attemptResult, err error) attemptResult {
+// unknownOutcome ends an attempt without a response. The server may have run the request, whatever the error is.
+func (o *Outbound) unknownOutcome(ctx context.Context, call *Call, result attemptResult, err error) attemptResult {
 	switch {
 	case ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded):
-		t.response, t.result = noAnswer(), decide.TimedOut
+		result.response, result.outcome = timeoutResponse(), decide.TimedOut
 	default:
-		o.Log.Debug("request.aborted", "attempt", c.Headers.Get("Attempt-Id"), "server", t.server, "err", err)
-		t.response, t.result = &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}, decide.Broken
+		o.Log.Debug("request.aborted", "attempt", call.Headers.Get("Attempt-Id"), "server", result.server, "err", err)
+		result.response, result.outcome = &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}, decide.Broken
 	}
-	return t
+	return result
 }
 
-// forwardAnswer is a server's answer as the client receives it.
-func forwardAnswer(out *wire.ForwardResponse, attempt string) *Answer {
-	a := &Answer{Status: int(out.Status), Fields: out.Fields, Body: out.Body}
-	if len(out.Headers) > 0 {
-		a.Fields = fieldLines(out.Headers)
+// forwardedResponse converts a server's response for the client.
+func forwardedResponse(response *wire.ForwardResponse, attemptID string) *Response {
+	forwarded := &Response{Status: int(response.Status), Fields: response.Fields, Body: response.Body}
+	if len(response.Headers) > 0 {
+		forwarded.Fields = encodeFields(response.Headers)
 	}
-	a.Fields = http1.AppendField(a.Fields, "Attempt-Id", attempt)
-	return a
+	forwarded.Fields = http1.AppendField(forwarded.Fields, "Attempt-Id", attemptID)
+	return forwarded
 }
--- a/internal/dataplane/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -13,50 +13,50 @@
 	"ivydeck/internal/dataplane/http1"
 )
 
-// client is one connection.
-type client struct {
-	f      *Listener
-	nc     net.Conn
-	ctx    context.Context // until the client has left
-	cancel context.CancelFunc
+// clientConn is a connection from a client.
+type clientConn struct {
+	listener *Listener
+	netConn  net.Conn
+	ctx      context.Context // ends when the client disconnects, or with Serve's context
+	cancel   context.CancelFunc
 
-	requests context.Context // of the requests; its end leaves their answers to be written
-	callOff  context.CancelFunc
+	requestCtx     context.Context // of the handlers; responses are written even after its end
+	cancelRequests context.CancelFunc
 
-	mu      sync.Mutex
-	pending int
-	closing bool // no further request is begun
-	stopped bool // nothing more is read
+	mu          sync.Mutex
+	pending     int  // requests without a response
+	closing     bool // no further request is accepted
+	readStopped bool // nothing more is read
 
-	answered time.Time // when the last answer was written
+	lastResponseAt time.Time // when the last response was written
 }
 
-func (f *Listener) serve(parent context.Context, nc net.Conn) {
+func (l *Listener) serve(parent context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(parent)
-	c := &client{f: f, nc: nc, ctx: ctx, cancel: cancel}
-	c.requests, c.callOff = context.WithCancel(ctx)
-	if !f.addClient(c) {
+	c := &clientConn{listener: l, netConn: conn, ctx: ctx, cancel: cancel}
+	c.requestCtx, c.cancelRequests = context.WithCancel(ctx)
+	if !l.addClient(c) {
 		cancel()
-		nc.Close()
+		conn.Close()
 		return
 	}
-	defer f.removeClient(c)
-	defer context.AfterFunc(parent, func() { nc.SetDeadline(time.Now().Add(lingerTimeout)) })()
+	defer l.removeClient(c)
+	defer context.AfterFunc(parent, func() { conn.SetDeadline(time.Now().Add(lingerTimeout)) })()
 	var running sync.WaitGroup
 	slots := make(chan struct{}, maxPending)
-	turn := make(chan struct{}) // closed once the answer before has been written
-	close(turn)
-	r := bufio.NewReaderSize(nc, 4<<10)
+	lastWritten := make(chan struct{}) // closed once the previous response has been written
+	close(lastWritten)
+	r := bufio.NewReaderSize(conn, 4<<10)
 	for {
-		call, err := c.read(r)
+		call, err := c.readRequest(r)
 		if err != nil {
-			var e *http1.Error
-			if errors.As(err, &e) {
-				done := make(chan struct{})
-				a := textAnswer(e.Status, e.Text)
-				a.Close = true
-				c.answer(turn, done, "", a)
-				turn = done
+			var rejected *http1.Error
+			if errors.As(err, &rejected) {
+				written := make(chan struct{})
+				response := textResponse(rejected.Status, rejected.Text)
+				response.Close = true
+				c.writeResponse(lastWritten, written, "", response)
+				lastWritten = written
 			}
 			break
 		}
@@ -64,37 +64,36 @@
 		case slots <- struct{}{}:
 		case <-ctx.Done():
 		}
-		done := make(chan struct{})
-		before := turn
-		turn = done
-		closes := call.Close
+		written := make(chan struct{})
+		previous := lastWritten
+		lastWritten = written
+		lastRequest := call.Close
 		running.Add(1)
-		f.workers.Go(func() {
+		l.workers.Go(func() {
 			defer running.Done()
 			defer func() { <-slots }()
-			a := f.Handle(c.requests, call)
-			f.release(call.Body)
-			a.Close = a.Close || call.Close
-			c.answer(before, done, call.Method, a)
+			response := l.Handle(c.requestCtx, call)
+			l.releaseBody(call.Body)
+			response.Close = response.Close || call.Close
+			c.writeResponse(previous, written, call.Method, response)
 		})
-		if closes {
+		if lastRequest {
 			break
 		}
 	}
-	c.wait(r, &running)
+	c.awaitResponses(r, &running)
 	cancel()
 	running.Wait()
 	c.linger()
 }
 
-// wait lets requests that were read have their answers; the client's leaving
-// calls them off.
-func (c *client) wait(r *bufio.Reader, running *sync.WaitGroup) {
-	watched := make(chan struct{})
+// awaitResponses waits for the responses to the requests that were read. It cancels the requests if the client disconnects.
+func (c *clientConn) awaitResponses(r *bufio.Reader, running *sync.WaitGroup) {
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
-		// What comes behind the last request is left unread, up to a buffer full.
-		for n := 1; n < r.Size() && c.readUntil(time.Time{}); n = r.Buffered() + 1 {
+		defer close(watcherDone)
+		// Peek detects a disconnect without consuming data, as long as the buffer has space.
+		for n := 1; n < r.Size() && c.setReadDeadline(time.Time{}); n = r.Buffered() + 1 {
 			if _, err := r.Peek(n); err != nil {
 				if !errors.Is(err, os.ErrDeadlineExceeded) {
 					c.cancel()
@@ -104,196 +103,196 @@
 		}
 	}()
 	running.Wait()
-	c.stop()
-	<-watched
+	c.stopReads()
+	<-watcherDone
 }
 
-// readUntil sets the time until which reads wait; false: the connection reads no more.
-func (c *client) readUntil(t time.Time) bool {
+// setReadDeadline sets the read deadline, where the zero time means none. It returns false if reads have been stopped.
+func (c *clientConn) setReadDeadline(deadline time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.stopped {
+	if c.readStopped {
 		return false
 	}
-	c.nc.SetReadDeadline(t)
+	c.netConn.SetReadDeadline(deadline)
 	return true
 }
 
-// stop ends all reads, under way and to come.
-func (c *client) stop() {
+// stopReads aborts pending reads and prevents further ones.
+func (c *clientConn) stopReads() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopReads()
+	c.stopReadsLocked()
 }
 
-// stopReads is stop with mu held. What was read before is still worked on.
-func (c *client) stopReads() {
-	c.stopped = true
-	c.nc.SetReadDeadline(time.Unix(1, 0))
+// stopReadsLocked is stopReads with mu held. Requests that were already read are still processed.
+func (c *clientConn) stopReadsLocked() {
+	c.readStopped = true
+	c.netConn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// linger ends the connection so that the last answer is not lost in a reset,
-// which a close with unread bytes would be.
-func (c *client) linger() {
-	defer c.nc.Close()
+// linger closes the connection. It first lets the client read the last response: closing a socket with unread data sends a
+// reset, which may discard the response.
+func (c *clientConn) linger() {
+	defer c.netConn.Close()
 	c.mu.Lock()
 	closing := c.closing
 	c.mu.Unlock()
-	if tc, ok := c.nc.(*net.TCPConn); ok && closing && tc.CloseWrite() == nil {
-		c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
-		io.CopyN(io.Discard, c.nc, 64<<10)
+	if tc, ok := c.netConn.(*net.TCPConn); ok && closing && tc.CloseWrite() == nil {
+		c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, c.netConn, 64<<10)
 	}
 }
 
-// begin counts a request, from its first byte on, unless an answer that closes is
-// out already: so none closes behind which something has been read.
-func (c *client) begin() bool {
+// beginRequest counts a request as pending, from its first byte on. It returns false if the connection is closing.
+// writeResponse decides under the same lock whether a response closes the connection, so no request is accepted behind one
+// that does.
+func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return false
 	}
 	c.pending++
-	c.f.pending.Add(1)
+	c.listener.pending.Add(1)
 	return true
 }
 
-// drop takes back a request that did not come whole.
-func (c *client) drop() {
+// abortRequest undoes beginRequest for a request that was not received completely.
+func (c *clientConn) abortRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
-	c.f.pending.Add(-1)
+	c.listener.pending.Add(-1)
 }
 
-// errClosing is the end of reading behind an answer that closes.
-var errClosing = errors.New("an answer has closed the connection")
+// errClosing is returned instead of a request if the connection is closing.
+var errClosing = errors.New("the connection is closing")
 
-// read waits for a request and reads it whole. It is booked then, and so is an
-// http1.Error, which is to be answered; after any other error nothing is.
-func (c *client) read(r *bufio.Reader) (*Call, error) {
-	if err := c.await(r); err != nil {
+// readRequest waits for a request and reads it. The request is pending if the error is nil or an http1.Error, to which a
+// response must be written. After any other error it is not.
+func (c *clientConn) readRequest(r *bufio.Reader) (*Call, error) {
+	if err := c.awaitRequest(r); err != nil {
 		return nil, err
 	}
-	if !c.begin() {
+	if !c.beginRequest() {
 		return nil, errClosing
 	}
-	call, err := c.take(r)
-	var e *http1.Error
-	if err != nil && !errors.As(err, &e) {
-		c.drop()
+	call, err := c.receiveRequest(r)
+	var rejected *http1.Error
+	if err != nil && !errors.As(err, &rejected) {
+		c.abortRequest()
 	}
 	return call, err
 }
 
-// await waits for the first byte of a request.
-func (c *client) await(r *bufio.Reader) error {
-	began := time.Now()
+// awaitRequest waits for the first byte of a request.
+func (c *clientConn) awaitRequest(r *bufio.Reader) error {
+	waitStart := time.Now()
 	for {
-		until, _ := c.idleUntil(time.Now(), began)
-		c.readUntil(until)
+		deadline, _ := c.idleDeadline(time.Now(), waitStart)
+		c.setReadDeadline(deadline)
 		_, err := r.Peek(1)
 		if err == nil {
 			return nil
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			now := time.Now()
-			if until, ok := c.idleUntil(now, began); ok && now.Before(until) && c.ctx.Err() == nil {
+			if deadline, ok := c.idleDeadline(now, waitStart); ok && now.Before(deadline) && c.ctx.Err() == nil {
 				continue
 			}
 			return err
 		}
-		c.cancel() // the client has left
+		c.cancel() // the client has disconnected
 		return err
 	}
 }
 
-// idleUntil is when a connection that has waited for a request since a moment has been idle for too long, by the present
-// bounds. It is idle from its last answer on: from the last request on, a slow answer would leave its client less than
-// it was told. ok is false where nothing more is read.
-func (c *client) idleUntil(now, began time.Time) (until time.Time, ok bool) {
-	idle := c.f.Bounds().Idle
+// idleDeadline returns when a connection that has waited for a request since waitStart exceeds the current idle timeout. The
+// timeout runs from the last response, so that a slow response does not shorten it. ok is false if reads have been stopped.
+func (c *clientConn) idleDeadline(now, waitStart time.Time) (deadline time.Time, ok bool) {
+	idle := c.listener.Bounds().Idle
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	from := began
+	idleStart := waitStart
 	switch {
 	case c.pending > 0:
-		from = now
-	case c.answered.After(from):
-		from = c.answered
+		idleStart = now
+	case c.lastResponseAt.After(idleStart):
+		idleStart = c.lastResponseAt
 	}
-	return from.Add(idle), !c.stopped
+	return idleStart.Add(idle), !c.readStopped
 }
 
-// take reads a request whose first byte has arrived.
-func (c *client) take(r *bufio.Reader) (*Call, error) {
-	b := c.f.Bounds()
-	c.readUntil(time.Now().Add(b.HeadWait))
-	call := &Call{Remote: c.nc.RemoteAddr()}
+// receiveRequest reads a request after its first byte has arrived.
+func (c *clientConn) receiveRequest(r *bufio.Reader) (*Call, error) {
+	bounds := c.listener.Bounds()
+	c.setReadDeadline(time.Now().Add(bounds.HeadWait))
+	call := &Call{Remote: c.netConn.RemoteAddr()}
 	req := &call.Request
-	err := req.Read(r, b.Limits)
+	err := req.Read(r, bounds.Limits)
 	if err != nil {
-		return nil, c.late(err, "the head did not come in time")
+		return nil, c.timeoutError(err, "the head did not come in time")
 	}
 	if req.Length != 0 {
 		if req.Expect {
-			c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+			c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := c.netConn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return nil, err
 			}
 		}
-		if c.f.Memory > 0 && c.f.held.Load()+max(0, req.Length) > c.f.Memory {
+		if c.listener.Memory > 0 && c.listener.bodyMemory.Load()+max(0, req.Length) > c.listener.Memory {
 			return nil, &http1.Error{Status: 503, Text: "no memory for the body at the moment"}
 		}
-		c.readUntil(time.Now().Add(bodyTimeout))
-		if call.Body, err = http1.ReadBody(r, req.Length, b.Limits); err != nil {
-			return nil, c.late(err, "the body did not come in time")
+		c.setReadDeadline(time.Now().Add(bodyTimeout))
+		if call.Body, err = http1.ReadBody(r, req.Length, bounds.Limits); err != nil {
+			return nil, c.timeoutError(err, "the body did not come in time")
 		}
-		if len(call.Body) > bodyBuffered {
-			c.f.held.Add(int64(len(call.Body)))
+		if len(call.Body) > maxUncountedBody {
+			c.listener.bodyMemory.Add(int64(len(call.Body)))
 		}
 	}
 	call.Arrived = time.Now()
 	return call, nil
 }
 
-// late turns a time-out inside a request into the answer that says so.
-func (c *client) late(err error, text string) error {
+// timeoutError converts an exceeded read deadline into an http1.Error with status 408.
+func (c *clientConn) timeoutError(err error, text string) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &http1.Error{Status: 408, Text: text}
 	}
 	return err
 }
 
-// answer writes an answer once it is its turn.
-func (c *client) answer(turn, done chan struct{}, method string, a *Answer) {
-	defer close(done)
-	defer c.f.pending.Add(-1)
-	<-turn
+// writeResponse writes a response once the previous one has been written, and then closes written.
+func (c *clientConn) writeResponse(previous, written chan struct{}, method string, response *Response) {
+	defer close(written)
+	defer c.listener.pending.Add(-1)
+	<-previous
 	c.mu.Lock()
 	c.pending--
-	c.answered = time.Now() // and again once it is written
-	over := c.closing
-	if a.Close || c.f.shuttingDown.Load() && c.pending == 0 {
-		a.Close, c.closing = true, true
-		c.stopReads()
+	c.lastResponseAt = time.Now() // set again after the write
+	closed := c.closing
+	if response.Close || c.listener.shuttingDown.Load() && c.pending == 0 {
+		response.Close, c.closing = true, true
+		c.stopReadsLocked()
 	}
 	c.mu.Unlock()
-	if over || c.ctx.Err() != nil {
+	if closed || c.ctx.Err() != nil {
 		return
 	}
-	bodyless := method == "HEAD" || a.Status == 204 || a.Status == 304
-	buf := messages.Get().(*[]byte)
-	message := http1.AppendResponse((*buf)[:0], a.Status, a.Fields, a.Body, bodyless, a.Close)
-	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, err := c.nc.Write(message)
-	recycle(buf, message)
+	bodyless := method == "HEAD" || response.Status == 204 || response.Status == 304
+	buffer := messageBuffers.Get().(*[]byte)
+	message := http1.AppendResponse((*buffer)[:0], response.Status, response.Fields, response.Body, bodyless, response.Close)
+	c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.netConn.Write(message)
+	putBuffer(buffer, message)
 	if err != nil {
 		c.cancel()
-		c.nc.Close()
+		c.netConn.Close()
 		return
 	}
 	c.mu.Lock()
-	c.answered = time.Now()
+	c.lastResponseAt = time.Now()
 	c.mu.Unlock()
 }
--- a/internal/dataplane/proxy/fields.go
+++ b/internal/dataplane/proxy/fields.go
@@ -8,35 +8,35 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxRecycled is the size up to which a message's buffer is used again.
-const maxRecycled = 64 << 10
+// maxPooledBuffer is the largest capacity of a buffer that is returned to the pool, in bytes.
+const maxPooledBuffer = 64 << 10
 
-// messages has buffers for what is written to a client or a server.
-var messages = sync.Pool{New: func() any { return new([]byte) }}
+// messageBuffers holds buffers for messages to clients and servers.
+var messageBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// recycle gives a buffer back with what it has grown to.
-func recycle(buf *[]byte, message []byte) {
-	if cap(message) <= maxRecycled {
+// putBuffer returns a buffer to the pool, with the memory of the message that was appended to it.
+func putBuffer(buf *[]byte, message []byte) {
+	if cap(message) <= maxPooledBuffer {
 		*buf = message
-		messages.Put(buf)
+		messageBuffers.Put(buf)
 	}
 }
 
-// fieldLines are the fields that a node of the version before has sent one by one. It sends the request's id among them,
-// which is told apart from them here.
-func fieldLines(headers []*wire.Header) []byte {
+// encodeFields converts the fields of a message from a node of the previous version, which sends them as a list, to lines of
+// a head. It omits the Attempt-Id, which such a node includes in the list.
+func encodeFields(headers []*wire.Header) []byte {
 	dst := make([]byte, 0, 256)
-	for _, h := range headers {
-		if !http1.SameName(h.Name, "Attempt-Id") {
-			dst = http1.AppendField(dst, h.Name, h.Value)
+	for _, header := range headers {
+		if !http1.SameName(header.Name, "Attempt-Id") {
+			dst = http1.AppendField(dst, header.Name, header.Value)
 		}
 	}
 	return dst
 }
 
-// headersOf is the opposite of lines.
-func headersOf(fields []byte, attempt string) []*wire.Header {
-	headers := []*wire.Header{{Name: "Attempt-Id", Value: attempt}}
+// parseFields is the inverse of encodeFields: it converts lines of a head to a list and adds the Attempt-Id.
+func parseFields(fields []byte, attemptID string) []*wire.Header {
+	headers := []*wire.Header{{Name: "Attempt-Id", Value: attemptID}}
 	for line := range bytes.SplitSeq(fields, []byte("\r\n")) {
 		if name, value, ok := bytes.Cut(line, []byte(": ")); ok {
 			headers = append(headers, &wire.Header{Name: string(name), Value: string(value)})
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -21,53 +21,53 @@
 	return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: terminated, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Forward passes a request to the server that it names, or rejects it.
-func (in *Inbound) Forward(ctx context.Context, q *wire.ForwardRequest) (*wire.ForwardResponse, error) {
-	until := time.Now().Add(time.Duration(q.TimeLeftMs) * time.Millisecond)
-	ask := localserver.Request{
-		Member: q.Member, Service: q.Service, Attempt: q.Attempt, Priority: q.Priority, Repeat: q.Retry, Wait: q.MayQueue,
-		Call: health.Call{Zone: q.Zone, TypicalLatency: time.Duration(q.TypicalLatencyMs) * time.Millisecond, NonIdempotent: q.NonIdempotent, IgnoreEjection: q.IgnoreEjection},
-	}
-	a, refused := in.admit(ctx, ask, until)
-	if refused != nil {
-		return refused, nil
-	}
-	began := in.now()
-	out, calledOff := a.send(ctx, q, until)
-	end := localserver.ResultOf(out)
-	if calledOff {
-		end = health.Void
-	}
-	in.finish(a, q, out, end, began)
-	return out, nil
+// Forward sends a request to the server that it names, or rejects it.
+func (i *Inbound) Forward(ctx context.Context, request *wire.ForwardRequest) (*wire.ForwardResponse, error) {
+	deadline := time.Now().Add(time.Duration(request.TimeLeftMs) * time.Millisecond)
+	slotRequest := localserver.Request{
+		Member: request.Member, Service: request.Service, Attempt: request.Attempt, Priority: request.Priority, Repeat: request.Retry, Wait: request.MayQueue,
+		Call: health.Call{Zone: request.Zone, TypicalLatency: time.Duration(request.TypicalLatencyMs) * time.Millisecond, NonIdempotent: request.NonIdempotent, IgnoreEjection: request.IgnoreEjection},
+	}
+	pool, rejection := i.admit(ctx, slotRequest, deadline)
+	if rejection != nil {
+		return rejection, nil
+	}
+	start := i.now()
+	response, cancelled := pool.send(ctx, request, deadline)
+	outcome := localserver.ResultOf(response)
+	if cancelled {
+		outcome = health.Void
+	}
+	i.finish(pool, request, response, outcome, start)
+	return response, nil
 }
 
-// admit waits for a slot of the server that a request names. It returns the server, or the outcome of a request that is
-// rejected.
-func (in *Inbound) admit(ctx context.Context, request localserver.Request, until time.Time) (*serverPool, *wire.ForwardResponse) {
-	in.mu.Lock()
-	t := in.spare
-	if in.spare = nil; t == nil {
-		t = new(ticket)
-	}
-	admission, reason, verdicts := in.admission.Arrive(in.now(), request, t)
-	if admission == localserver.Queue { // the verdict can't come before mu is free again
-		t.verdict = make(chan bool, 1)
+// admit waits for a slot of the server that a request names. It returns the pool of the server, or the response to a request
+// that is rejected.
+func (i *Inbound) admit(ctx context.Context, request localserver.Request, deadline time.Time) (*serverPool, *wire.ForwardResponse) {
+	i.mu.Lock()
+	queueTicket := i.freeTicket
+	if i.freeTicket = nil; queueTicket == nil {
+		queueTicket = new(ticket)
+	}
+	decision, reason, verdicts := i.registry.Arrive(i.now(), request, queueTicket)
+	if decision == localserver.Queue { // a verdict is delivered with mu held, so none can arrive before this
+		queueTicket.verdict = make(chan bool, 1)
 	} else {
-		in.spare = t
+		i.freeTicket = queueTicket
 	}
-	deliver(verdicts)
-	a := in.apps[request.Member]
+	deliverVerdicts(verdicts)
+	pool := i.pools[request.Member]
 	var load serverLoad
-	due := false
-	if admission == localserver.Full && a != nil {
-		load, due = a.load.countRejection(in.now())
+	logDue := false
+	if decision == localserver.Full && pool != nil {
+		load, logDue = pool.load.countRejection(i.now())
 	}
-	in.mu.Unlock()
-	if due {
-		load.log(in.Log, in.now(), request.Member, a.slots)
+	i.mu.Unlock()
+	if logDue {
+		load.log(i.Log, i.now(), request.Member, pool.slots)
 	}
-	switch admission {
+	switch decision {
 	case localserver.Terminated:
 		return nil, notSent(true, "%s", reason)
 	case localserver.Hangs:
@@ -77,124 +77,125 @@
 	case localserver.Full:
 		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: reason, Queued: true}
 	case localserver.Queue:
-		if reason := in.await(ctx, request, t, until); reason != "" {
+		if reason := i.awaitSlot(ctx, request, queueTicket, deadline); reason != "" {
 			return nil, notSent(false, "%s", reason)
 		}
 	}
-	return a, nil
+	return pool, nil
 }
 
-// finish records the end of a run, and adds to its outcome what the node has measured.
-func (in *Inbound) finish(a *serverPool, q *wire.ForwardRequest, out *wire.ForwardResponse, end health.Outcome, began time.Duration) {
-	in.mu.Lock()
-	now := in.now()
-	f := in.admission.Finish(now, q.Member, q.Attempt, end)
-	deliver(f.Verdicts)
-	a.load.busy += now - began
-	in.mu.Unlock()
-	out.Queued, out.RelativeLatency, out.Utilization = f.Queued, float32(f.RelativeLatency), float32(f.Utilization)
-	out.TookMs = uint32((now - began).Milliseconds())
-	if in.Trace != nil {
-		in.Trace(trace.Record{Attempt: q.Attempt, Began: began, Took: now - began, Service: q.Service, Server: q.Member, Status: int(out.Status), Reason: out.Reason})
-	}
-	if f.Ejected {
-		in.Log.Warn("server.ejected", "member", q.Member, "zone", q.Zone, "result", out.Result.String(), "status", out.Status, "reason", out.Reason)
-	}
-	if f.Restored {
-		in.Log.Info("server.restored", "member", q.Member, "zone", q.Zone)
-	}
-	for _, c := range f.Called {
-		w := &wire.CallCount{Service: c.Service, Count: c.Times}
-		if in.Pressure != nil {
-			w.Pressure = in.Pressure(c.Service)
+// finish records the end of a run, and adds the load and the calls of the run to the response.
+func (i *Inbound) finish(pool *serverPool, request *wire.ForwardRequest, response *wire.ForwardResponse, outcome health.Outcome, start time.Duration) {
+	i.mu.Lock()
+	now := i.now()
+	finished := i.registry.Finish(now, request.Member, request.Attempt, outcome)
+	deliverVerdicts(finished.Verdicts)
+	pool.load.busy += now - start
+	i.mu.Unlock()
+	response.Queued, response.RelativeLatency, response.Utilization = finished.Queued, float32(finished.RelativeLatency), float32(finished.Utilization)
+	response.TookMs = uint32((now - start).Milliseconds())
+	if i.Trace != nil {
+		i.Trace(trace.Record{Attempt: request.Attempt, Began: start, Took: now - start, Service: request.Service, Server: request.Member, Status: int(response.Status), Reason: response.Reason})
+	}
+	if finished.Ejected {
+		i.Log.Warn("server.ejected", "member", request.Member, "zone", request.Zone, "result", response.Result.String(), "status", response.Status, "reason", response.Reason)
+	}
+	if finished.Restored {
+		i.Log.Info("server.restored", "member", request.Member, "zone", request.Zone)
+	}
+	for _, called := range finished.Called {
+		count := &wire.CallCount{Service: called.Service, Count: called.Times}
+		if i.Pressure != nil {
+			count.Pressure = i.Pressure(called.Service)
 		}
-		out.Calls = append(out.Calls, w)
+		response.Calls = append(response.Calls, count)
 	}
 }
 
-// calledOffText is the end of a request that its sender no longer wants, for those who read of it.
-const calledOffText = "called off"
+// cancelledText is the reason given for requests that their senders have cancelled.
+const cancelledText = "called off"
 
-// await waits for a slot; it says why there is none.
-func (in *Inbound) await(ctx context.Context, request localserver.Request, t *ticket, until time.Time) (reason string) {
-	timer := timerpool.Get(time.Until(until) - minTimeLeft)
+// awaitSlot waits for the verdict on a queued request. It returns why the request was rejected, or "" if it has a slot.
+func (i *Inbound) awaitSlot(ctx context.Context, request localserver.Request, queueTicket *ticket, deadline time.Time) (reason string) {
+	timer := timerpool.Get(time.Until(deadline) - minTimeLeft)
 	defer timerpool.Put(timer)
 	select {
-	case ok := <-t.verdict:
-		if !ok {
+	case granted := <-queueTicket.verdict:
+		if !granted {
 			return "no room"
 		}
-		in.mu.Lock()
-		defer in.mu.Unlock()
-		in.admission.Run(in.now(), request)
+		i.mu.Lock()
+		defer i.mu.Unlock()
+		i.registry.Run(i.now(), request)
 		return ""
 	case <-ctx.Done():
-		reason = calledOffText
+		reason = cancelledText
 	case <-timer.C:
 		reason = "no slot in time"
 	}
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if !in.admission.Dequeue(request.Member, t) && <-t.verdict { // the slot came at the same moment
-		deliver(in.admission.Release(in.now(), request.Member))
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if !i.registry.Dequeue(request.Member, queueTicket) && <-queueTicket.verdict { // the slot was granted in the meantime
+		deliverVerdicts(i.registry.Release(i.now(), request.Member))
 	}
 	return reason
 }
 
-// send makes one attempt at the server. cancelled: it ended because its sender has cancelled it.
-func (a *serverPool) send(ctx context.Context, q *wire.ForwardRequest, until time.Time) (response *wire.ForwardResponse, cancelled bool) {
-	c, err := a.connect(ctx, until)
-	left := time.Until(until)
-	if left < minTimeLeft || ctx.Err() != nil {
+// send sends the request to the server once. cancelled is set if the sender has cancelled the request, or if its time was up
+// before it was sent.
+func (p *serverPool) send(ctx context.Context, request *wire.ForwardRequest, deadline time.Time) (response *wire.ForwardResponse, cancelled bool) {
+	conn, err := p.getConn(ctx, deadline)
+	timeLeft := time.Until(deadline)
+	if timeLeft < minTimeLeft || ctx.Err() != nil {
 		if err == nil {
-			a.keep(c)
+			p.putConn(conn)
 		}
-		return notSent(false, calledOffText), true
+		return notSent(false, cancelledText), true
 	}
 	if err != nil {
 		return notSent(false, "connecting: %v", err), false
 	}
-	buf := messages.Get().(*[]byte)
-	message := appendForward((*buf)[:0], q, left)
+	buffer := messageBuffers.Get().(*[]byte)
+	message := appendForward((*buffer)[:0], request, timeLeft)
 	size := len(message)
-	c.nc.SetDeadline(until)
-	stop := atEnd(ctx, c.interrupt)
-	n, err := c.nc.Write(message)
-	recycle(buf, message)
+	conn.netConn.SetDeadline(deadline)
+	stopInterrupt := onDone(ctx, conn.interrupt)
+	sent, err := conn.netConn.Write(message)
+	putBuffer(buffer, message)
 	if err != nil {
-		stop()
-		c.nc.Close()
-		if n < size {
-			// Its end never left, but what a server makes of a part is its own affair.
+		stopInterrupt()
+		conn.netConn.Close()
+		if sent < size {
+			// The request was sent in part, and the server may have acted on that part.
 			return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "writing: " + err.Error()}, false
 		}
 	}
-	body, err := c.read(q.Method, q.Attempt)
-	clean := stop()
+	body, err := conn.read(request.Method, request.Attempt)
+	notInterrupted := stopInterrupt()
 	if err != nil {
-		c.nc.Close()
+		conn.netConn.Close()
 		response := &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}
 		switch {
 		case ctx.Err() != nil:
-			response.Reason, cancelled = calledOffText, true
+			response.Reason, cancelled = cancelledText, true
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			response.Result = wire.ForwardResponse_DEADLINE_EXCEEDED
 		}
 		return response, cancelled
 	}
-	response = checkResponse(q, &c.resp, body, c.used)
-	if clean && !c.resp.Close && !c.surplus && c.r.Buffered() == 0 {
-		c.answered()
-		a.keep(c) // nothing of it is ours any more
+	response = checkResponse(request, &conn.resp, body, conn.used)
+	if notInterrupted && !conn.resp.Close && !conn.skipped && conn.reader.Buffered() == 0 {
+		conn.updateIdleTimeout()
+		p.putConn(conn) // another request may use conn from here on
 	} else {
-		c.nc.Close()
+		conn.netConn.Close()
 	}
 	return response, false
 }
 
-// atEnd has f called at the end of a context, unless the stop that it returns comes before: then that reports true.
-// A call's own context is a stream, which needs no help for it.
-func atEnd(ctx context.Context, f func()) (stop func() bool) {
+// onDone is like context.AfterFunc: it calls f when ctx ends, unless stop is called before that and returns true. For an
+// rpc.Stream, which most callers pass, it avoids the goroutine that AfterFunc would start.
+func onDone(ctx context.Context, f func()) (stop func() bool) {
 	if s, ok := ctx.(*rpc.Stream); ok {
 		s.OnEnd(f)
 		return s.ClearOnEnd
@@ -202,45 +203,45 @@
 	return context.AfterFunc(ctx, f)
 }
 
-// appendForward writes a request as its server gets it.
-func appendForward(dst []byte, q *wire.ForwardRequest, left time.Duration) []byte {
-	dst = http1.AppendRequestLine(dst, q.Method, q.Target)
-	if len(q.Headers) > 0 {
-		dst = append(dst, fieldLines(q.Headers)...)
+// appendForward appends a request in the form that the server receives.
+func appendForward(dst []byte, request *wire.ForwardRequest, timeLeft time.Duration) []byte {
+	dst = http1.AppendRequestLine(dst, request.Method, request.Target)
+	if len(request.Headers) > 0 {
+		dst = append(dst, encodeFields(request.Headers)...)
 	} else {
-		dst = append(dst, q.Fields...)
+		dst = append(dst, request.Fields...)
 	}
-	dst = http1.AppendField(dst, "Attempt-Id", q.Attempt)
+	dst = http1.AppendField(dst, "Attempt-Id", request.Attempt)
 	dst = append(dst, "Time-Budget: "...)
-	dst = strconv.AppendInt(dst, max(1, left.Milliseconds()), 10)
+	dst = strconv.AppendInt(dst, max(1, timeLeft.Milliseconds()), 10)
 	dst = append(dst, "\r\n"...)
-	dst = http1.AppendField(dst, "Target-Instance", q.Member)
-	dst = http1.AppendField(dst, "Caller-Service", q.Caller)
-	return http1.AppendRequestBody(dst, q.Method, q.Body)
+	dst = http1.AppendField(dst, "Target-Instance", request.Member)
+	dst = http1.AppendField(dst, "Caller-Service", request.Caller)
+	return http1.AppendRequestBody(dst, request.Method, request.Body)
 }
 
-// checkResponse returns the outcome that an answer stands for. used: the connection has carried a request before, so an answer
-// may be a surplus one to it. Only its id tells whose an answer is, and nothing that it says is believed before
-// that: a promise that another request has not run, or another's body, must not become this one's.
-func checkResponse(q *wire.ForwardRequest, resp *http1.Response, body []byte, used bool) *wire.ForwardResponse {
-	unrun := resp.Headers.Count("Not-Executed") > 0 || resp.Status == 421
+// checkResponse converts a response from the server to the outcome of a request. It checks the Attempt-Id first: the body of
+// another request, or the promise that another one has not run, must not be attributed to this request. used is set if the
+// connection has carried an earlier request, to which a response without an id may belong.
+func checkResponse(request *wire.ForwardRequest, resp *http1.Response, body []byte, used bool) *wire.ForwardResponse {
+	notExecuted := resp.Headers.Count("Not-Executed") > 0 || resp.Status == 421
 	switch id := resp.Headers.Get("Attempt-Id"); {
-	case id == q.Attempt:
+	case id == request.Attempt:
 	case id != "":
 		return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "the answer to another request"}
-	case !unrun || used: // a server may turn a request away before it has read whose it is
+	case !notExecuted || used: // a server may reject a request before it has read the Attempt-Id
 		return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "an answer without an id"}
 	}
-	if unrun {
+	if notExecuted {
 		return &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_RUN, Status: int32(resp.Status), Terminated: resp.Status == 421}
 	}
 	if resp.Status/100 == 2 && (resp.Headers.Get("Server-Seal") == "" || resp.Headers.Count("Content-Encoding") > 0) {
 		return &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: "not the server's own body"}
 	}
-	out := &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: int32(resp.Status), Body: body}
-	out.Fields = http1.AppendEndToEnd(make([]byte, 0, 256), resp.Headers, "Attempt-Id")
-	if len(q.Headers) > 0 {
-		out.Headers, out.Fields = headersOf(out.Fields, q.Attempt), nil
+	response := &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: int32(resp.Status), Body: body}
+	response.Fields = http1.AppendEndToEnd(make([]byte, 0, 256), resp.Headers, "Attempt-Id")
+	if len(request.Headers) > 0 {
+		response.Headers, response.Fields = parseFields(response.Fields, request.Attempt), nil
 	}
-	return out
+	return response
 }
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -23,114 +23,117 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// bed is one node with both sides, and stand-ins for two servers.
-type bed struct {
-	t        testing.TB
-	in       *Inbound
-	out      *Outbound
-	front    string
-	clients  *Listener
-	handled  atomic.Int64 // requests whose final answer is known
-	mu       sync.Mutex
-	arrivals map[string][]string // servers, by Attempt-Id
-	headers  map[string]http.Header
+// harness is a node with an Outbound, an Inbound and two servers.
+type harness struct {
+	t             testing.TB
+	inbound       *Inbound
+	outbound      *Outbound
+	clientAddress string
+	listener      *Listener
+	handled       atomic.Int64 // requests for which Handle has returned
+	mu            sync.Mutex
+	arrivals      map[string][]string    // names of the servers that received a request, by Attempt-Id
+	headers       map[string]http.Header // of the last request that a server received, by Attempt-Id
 }
 
-// app is a server's stand-in: what it does with a request is written in the path.
-func (b *bed) app(name string, gate chan struct{}) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startServer starts a server whose response depends on the path of the request. Some paths block until gate is closed. It
+// returns the address of the server.
+func (h *harness) startServer(name string, gate chan struct{}) string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Attempt-Id")
-		b.mu.Lock()
-		b.arrivals[id] = append(b.arrivals[id], name)
-		first := len(b.arrivals[id]) == 1
-		b.headers[id] = r.Header.Clone()
-		b.mu.Unlock()
+		h.mu.Lock()
+		h.arrivals[id] = append(h.arrivals[id], name)
+		firstAttempt := len(h.arrivals[id]) == 1
+		h.headers[id] = r.Header.Clone()
+		h.mu.Unlock()
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("Attempt-Id", id)
-		switch do := r.URL.Path; {
-		case strings.Contains(do, "wait"):
+		switch path := r.URL.Path; {
+		case strings.Contains(path, "wait"):
 			<-gate
-		case strings.Contains(do, "stuck") && first:
+		case strings.Contains(path, "stuck") && firstAttempt:
 			<-gate
-		case strings.Contains(do, "work"): // for long enough to be told
+		case strings.Contains(path, "work"): // takes a measurable time
 			time.Sleep(2 * time.Millisecond)
-		case strings.Contains(do, "full") && first:
+		case strings.Contains(path, "full") && firstAttempt:
 			w.Header().Set("Not-Executed", "1")
 			w.WriteHeader(503)
 			return
-		case strings.Contains(do, "torn") && first:
+		case strings.Contains(path, "truncated") && firstAttempt:
 			w.Header().Set("Content-Length", "100")
 			io.WriteString(w, "part")
 			return
-		case strings.Contains(do, "other") && first: // an answer to another request, and behind it what the query says
-			nc, _, err := w.(http.Hijacker).Hijack()
+		case strings.Contains(path, "other") && firstAttempt: // a response to another request, followed by the right one if the query is "own"
+			conn, _, err := w.(http.Hijacker).Hijack()
 			if err != nil {
-				b.t.Error(err)
+				h.t.Error(err)
 				return
 			}
-			fmt.Fprint(nc, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nAttempt-Id: old\r\nContent-Length: 0\r\n\r\n")
+			fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nAttempt-Id: old\r\nContent-Length: 0\r\n\r\n")
 			if r.URL.RawQuery == "own" {
-				fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nAttempt-Id: %s\r\nContent-Length: 3\r\n\r\nown", id)
+				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nAttempt-Id: %s\r\nContent-Length: 3\r\n\r\nown", id)
 			}
-			nc.Close()
+			conn.Close()
 			return
-		case strings.Contains(do, "nobody"):
+		case strings.Contains(path, "no-id"):
 			w.Header().Del("Attempt-Id")
-		case strings.Contains(do, "bare"):
+		case strings.Contains(path, "unsealed"):
 			io.WriteString(w, "no seal")
 			return
-		case strings.Contains(do, "busy"):
+		case strings.Contains(path, "busy"):
 			w.WriteHeader(429)
 			return
 		}
 		w.Header().Set("Server-Seal", "seal")
 		fmt.Fprintf(w, "%s %s %s", r.Method, r.RequestURI, body)
 	})}
-	go s.Serve(l)
-	b.t.Cleanup(func() { s.Close() })
-	return l.Addr().String()
+	go server.Serve(ln)
+	h.t.Cleanup(func() { server.Close() })
+	return ln.Addr().String()
 }
 
-func newHarness(t testing.TB, gate chan struct{}) *bed { return newBedFor(t, gate, time.Hour) }
+func newHarness(t testing.TB, gate chan struct{}) *harness {
+	return newHarnessWithDrain(t, gate, time.Hour)
+}
 
-func newBedFor(t testing.TB, gate chan struct{}, drain time.Duration) *bed {
-	return newBedOf(t, gate, drain, nil)
+func newHarnessWithDrain(t testing.TB, gate chan struct{}, drain time.Duration) *harness {
+	return newHarnessWithIdentity(t, gate, drain, nil)
 }
 
-// newBedOf is newBedFor with an identity for the way between nodes.
-func newBedOf(t testing.TB, gate chan struct{}, drain time.Duration, source *identity.Source) *bed {
-	b := &bed{t: t, arrivals: map[string][]string{}, headers: map[string]http.Header{}}
+// newHarnessWithIdentity is newHarnessWithDrain with an identity for the connections between nodes.
+func newHarnessWithIdentity(t testing.TB, gate chan struct{}, drain time.Duration, source *identity.Source) *harness {
+	h := &harness{t: t, arrivals: map[string][]string{}, headers: map[string]http.Header{}}
 	log := slog.New(slog.DiscardHandler)
 	ctx, cancel := context.WithCancel(context.Background())
-	b.in = NewInbound(drain, time.Second, log)
-	nodes, err := net.Listen("tcp", "127.0.0.1:0")
+	h.inbound = NewInbound(drain, time.Second, log)
+	nodeListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients, err := net.Listen("tcp", "127.0.0.1:0")
+	clientListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := rpc.NewServer(rpc.ServerOptions{Log: log, Identity: source})
-	server.Handle("forward", rpc.Unary(b.in.Forward))
-	b.out = &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: 10 * time.Second, Pool: rpc.NewPool(ctx, rpc.PoolOptions{Identity: source}), Log: log, Graph: b.in.Graph, CallFailed: b.in.CallFailed}
-	b.out.Start(1)
-	b.out.SetRetrySlack(1000)
-	handle := func(ctx context.Context, c *Call) *Answer {
-		defer b.handled.Add(1)
-		return b.out.Handle(ctx, c)
+	server.Handle("forward", rpc.Unary(h.inbound.Forward))
+	h.outbound = &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: 10 * time.Second, Pool: rpc.NewPool(ctx, rpc.PoolOptions{Identity: source}), Log: log, Graph: h.inbound.Graph, CallFailed: h.inbound.CallFailed}
+	h.outbound.Start(1)
+	h.outbound.SetRetrySlack(1000)
+	handle := func(ctx context.Context, call *Call) *Response {
+		defer h.handled.Add(1)
+		return h.outbound.Handle(ctx, call)
 	}
-	front := &Listener{Handle: handle, Bounds: b.out.Bounds, Log: log}
-	b.clients = front
+	listener := &Listener{Handle: handle, Bounds: h.outbound.Bounds, Log: log}
+	h.listener = listener
 	var running sync.WaitGroup
-	running.Go(func() { server.Serve(ctx, nodes) })
-	running.Go(func() { front.Serve(ctx, clients) })
+	running.Go(func() { server.Serve(ctx, nodeListener) })
+	running.Go(func() { listener.Serve(ctx, clientListener) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	b.front = clients.Addr().String()
+	h.clientAddress = clientListener.Addr().String()
 
 	route := func(prefix, kind string) map[string]any {
 		return map[string]any{"name": prefix, "hostname": "h.example", "path_prefix": prefix, "route_type": kind,
@@ -148,40 +151,40 @@
 	var list cowmap.Map[*wire.Server]
 	edit := list.Edit()
 	for _, id := range []string{"i-1", "i-2"} {
-		b.in.Heartbeat(Heartbeat{ID: id, Service: "s", Address: b.app(id, gate), Zone: "z", Slots: 8}, time.Now())
-		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: nodes.Addr().String(), Zone: "z", ProtocolVersion: localserver.ProtocolFields})
+		h.inbound.Heartbeat(Heartbeat{ID: id, Service: "s", Address: h.startServer(id, gate), Zone: "z", Slots: 8}, time.Now())
+		edit.Set(id, &wire.Server{Member: id, Service: "s", Address: nodeListener.Addr().String(), Zone: "z", ProtocolVersion: localserver.ProtocolFields})
 	}
-	w := &ClusterState{Config: config, Servers: edit.Map()}
-	b.out.Update(w)
-	return b
+	cluster := &ClusterState{Config: config, Servers: edit.Map()}
+	h.outbound.Update(cluster)
+	return h
 }
 
-func (b *bed) ask(method, path, id, body string, more ...string) (int, string, http.Header) {
-	b.t.Helper()
-	req, err := http.NewRequest(method, "http://"+b.front+path, strings.NewReader(body))
+func (h *harness) request(method, path, id, body string, headers ...string) (int, string, http.Header) {
+	h.t.Helper()
+	req, err := http.NewRequest(method, "http://"+h.clientAddress+path, strings.NewReader(body))
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	req.Host = "h.example"
 	req.Header.Set("Attempt-Id", id)
 	req.Header.Set("Time-Budget", "15000")
-	for i := 0; i+1 < len(more); i += 2 {
-		req.Header.Set(more[i], more[i+1])
+	for i := 0; i+1 < len(headers); i += 2 {
+		req.Header.Set(headers[i], headers[i+1])
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		b.t.Fatalf("%s: %v", path, err)
+		h.t.Fatalf("%s: %v", path, err)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	responseBody, err := io.ReadAll(resp.Body)
 	if err != nil {
-		b.t.Fatalf("%s: %v", path, err)
+		h.t.Fatalf("%s: %v", path, err)
 	}
-	return resp.StatusCode, string(answer), resp.Header
+	return resp.StatusCode, string(responseBody), resp.Header
 }
 
-func (b *bed) servers(id string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.arrivals[id])
+func (h *harness) arrivalCount(id string) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.arrivals[id])
 }
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -10,224 +10,221 @@
 )
 
 const (
-	serverHead  = 64 << 10
-	serverBody  = 64 << 20
-	dialTimeout = 300 * time.Millisecond
-	minTimeLeft = 5 * time.Millisecond // below this a request is not begun
+	maxServerHead = 64 << 10 // bytes, of a response
+	maxServerBody = 64 << 20 // bytes, of a response
+	dialTimeout   = 300 * time.Millisecond
+	minTimeLeft   = 5 * time.Millisecond // requests with less time left are not sent
 )
 
-// Heartbeat is what a server says of itself.
+// Heartbeat is the state that a server reports to the sidecar on its machine.
 type Heartbeat = localserver.Heartbeat
 
-// ticket is a request that may have to wait; its verdict comes once.
+// ticket identifies a request that may be queued for a slot. If it is queued, its channel receives one verdict.
 type ticket struct{ verdict chan bool }
 
-// Inbound is the node's side beside a server. All requests to it pass here, so it knows what the
-// server holds, and can turn a request away before the server has seen it. It is
-// the driver of package admission.
+// Inbound forwards requests to the servers on this machine. As all requests to them pass through it, it counts those in
+// flight and can reject a request before the server receives it. The decisions are those of a localserver.Registry.
 type Inbound struct {
 	Log *slog.Logger
-	// Pressure is what calls that begin here meet at a service; nil: not known.
+	// Pressure returns the pressure of a service as seen by calls from this node. It may be nil.
 	Pressure func(service string) float64
-	// Trace takes each run at a server here; nil: no traces are kept.
+	// Trace receives a record of each request that a server here has run. It may be nil.
 	Trace func(trace.Record)
 
-	began   time.Time
-	changed chan struct{} // has room for one: what Servers returns has changed
+	start   time.Time
+	changed chan struct{} // buffered, see Changed
 
-	mu        sync.Mutex
-	admission *localserver.Registry[*ticket]
-	spare     *ticket                // of a request that had no need to wait
-	apps      map[string]*serverPool // by member, those in service
+	mu         sync.Mutex
+	registry   *localserver.Registry[*ticket]
+	freeTicket *ticket                // left by a request that was not queued, for reuse
+	pools      map[string]*serverPool // by member
 }
 
-// serverPool is where an incarnation of a server is reached.
+// serverPool holds the idle connections to an incarnation of a server.
 type serverPool struct {
-	in      *Inbound
+	inbound *Inbound
 	address string
 	slots   int
-	idle    []*serverConn
+	idle    []*serverConn // most recently used last
 	closed  bool
-	load    serverLoad // guarded by in.mu
+	load    serverLoad // guarded by inbound.mu
 }
 
-// NewInbound returns an Inbound without servers. After drain from the
-// acknowledgement of a draining status nothing arrives; servers speak every heartbeat.
+// NewInbound returns an Inbound without servers. A server receives no request later than drain after the acknowledgement of
+// its draining status. heartbeat is the interval at which servers send heartbeats.
 func NewInbound(drain, heartbeat time.Duration, log *slog.Logger) *Inbound {
 	return &Inbound{
-		Log: log, began: time.Now(), changed: make(chan struct{}, 1),
-		admission: localserver.New[*ticket](drain, heartbeat), apps: map[string]*serverPool{},
+		Log: log, start: time.Now(), changed: make(chan struct{}, 1),
+		registry: localserver.New[*ticket](drain, heartbeat), pools: map[string]*serverPool{},
 	}
 }
 
-// Changed is signalled when the result of Servers may have changed.
-func (in *Inbound) Changed() <-chan struct{} { return in.changed }
+// Changed returns a channel that receives a value when the result of Servers may have changed.
+func (i *Inbound) Changed() <-chan struct{} { return i.changed }
 
-func (in *Inbound) now() time.Duration { return time.Since(in.began) }
+func (i *Inbound) now() time.Duration { return time.Since(i.start) }
 
-// Since returns the time from a moment to the zero time of its records.
-func (in *Inbound) Since(t time.Time) time.Duration { return in.began.Sub(t) }
+// Since returns the duration from t to the zero time of the trace records.
+func (i *Inbound) Since(t time.Time) time.Duration { return i.start.Sub(t) }
 
-// deliver hands out verdicts. Each ticket gets one, for which it has room.
-func deliver(verdicts []localserver.SlotGrant[*ticket]) {
-	for _, v := range verdicts {
-		v.Ticket.verdict <- v.Granted
+// deliverVerdicts sends verdicts to queued requests. It does not block, as each ticket receives one and has a buffer for it.
+func deliverVerdicts(verdicts []localserver.SlotGrant[*ticket]) {
+	for _, grant := range verdicts {
+		grant.Ticket.verdict <- grant.Granted
 	}
 }
 
-// addServer keeps an app for an incarnation in service. Called with mu held.
-func (in *Inbound) addServer(b Heartbeat) {
-	a := in.apps[b.ID]
-	if a == nil {
-		a = &serverPool{in: in}
-		in.apps[b.ID] = a
+// addServer creates or updates the pool of an incarnation. It must be called with mu held.
+func (i *Inbound) addServer(heartbeat Heartbeat) {
+	pool := i.pools[heartbeat.ID]
+	if pool == nil {
+		pool = &serverPool{inbound: i}
+		i.pools[heartbeat.ID] = pool
 	}
-	if server, ok := in.admission.Server(b.ID); ok {
-		a.address, a.slots = server.Address, server.Slots
+	if server, ok := i.registry.Server(heartbeat.ID); ok {
+		pool.address, pool.slots = server.Address, server.Slots
 	}
 }
 
-// removeServer closes the connections to an incarnation that has ended. Called with mu held.
-func (in *Inbound) removeServer(id string) {
-	if a := in.apps[id]; a != nil {
-		delete(in.apps, id)
-		a.closed = true
-		for _, c := range a.idle {
-			c.nc.Close()
+// removeServer closes the idle connections to an incarnation that has ended. It must be called with mu held.
+func (i *Inbound) removeServer(id string) {
+	if pool := i.pools[id]; pool != nil {
+		delete(i.pools, id)
+		pool.closed = true
+		for _, conn := range pool.idle {
+			conn.netConn.Close()
 		}
-		a.idle = nil
+		pool.idle = nil
 	}
 }
 
-// Heartbeat takes a server's word. It reports false for one of an incarnation that has ended.
-func (in *Inbound) Heartbeat(b Heartbeat, now time.Time) bool {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	h := in.admission.Heartbeat(now.Sub(in.began), b)
-	deliver(h.Verdicts)
-	for _, id := range h.Ended {
-		in.removeServer(id)
+// Heartbeat processes a heartbeat of a server. It returns false if the incarnation has ended or can't be added.
+func (i *Inbound) Heartbeat(heartbeat Heartbeat, now time.Time) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	result := i.registry.Heartbeat(now.Sub(i.start), heartbeat)
+	deliverVerdicts(result.Verdicts)
+	for _, id := range result.Ended {
+		i.removeServer(id)
 	}
-	if h.New {
-		in.Log.Info("server.registered", "member", b.ID, "service", b.Service, "address", b.Address)
+	if result.New {
+		i.Log.Info("server.registered", "member", heartbeat.ID, "service", heartbeat.Service, "address", heartbeat.Address)
 	}
-	if h.Recovered {
-		in.Log.Info("server.recovered", "member", b.ID)
+	if result.Recovered {
+		i.Log.Info("server.recovered", "member", heartbeat.ID)
 	}
-	if h.Drains {
-		in.Log.Info("server.draining", "member", b.ID)
+	if result.Drains {
+		i.Log.Info("server.draining", "member", heartbeat.ID)
 	}
-	if h.OK {
-		in.addServer(b)
-		in.Wake()
+	if result.OK {
+		i.addServer(heartbeat)
+		i.Wake()
 	}
-	return h.OK
+	return result.OK
 }
 
-// Adopt adds a server that the registry has for this machine; see localserver.
-func (in *Inbound) Adopt(b Heartbeat, now time.Time) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if in.admission.Adopt(now.Sub(in.began), b) {
-		in.addServer(b)
-		in.Log.Info("server.adopted", "member", b.ID)
+// Adopt adds a server that is registered for this machine but has not yet sent a heartbeat to this process.
+func (i *Inbound) Adopt(heartbeat Heartbeat, now time.Time) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.registry.Adopt(now.Sub(i.start), heartbeat) {
+		i.addServer(heartbeat)
+		i.Log.Info("server.adopted", "member", heartbeat.ID)
 	}
 }
 
-// Deregister ends a server at its own request.
-func (in *Inbound) Deregister(id string) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	ended, verdicts := in.admission.Deregister(id)
-	deliver(verdicts)
+// Deregister removes a server at its own request.
+func (i *Inbound) Deregister(id string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	ended, verdicts := i.registry.Deregister(id)
+	deliverVerdicts(verdicts)
 	if ended {
-		in.removeServer(id)
-		in.Log.Info("server.deregistered", "member", id)
+		i.removeServer(id)
+		i.Log.Info("server.deregistered", "member", id)
 	}
-	in.Wake()
+	i.Wake()
 }
 
-// Wake makes Changed fire.
-func (in *Inbound) Wake() {
+// Wake signals the channel of Changed.
+func (i *Inbound) Wake() {
 	select {
-	case in.changed <- struct{}{}:
+	case i.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Sweep terminates servers without a heartbeat for too long, and closes
-// connections that have been idle for long.
-func (in *Inbound) Sweep(now time.Time) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	unresponsive, verdicts := in.admission.Sweep(now.Sub(in.began))
-	deliver(verdicts)
+// Sweep removes servers whose heartbeats are overdue, and closes connections that have exceeded their idle timeout.
+func (i *Inbound) Sweep(now time.Time) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	unresponsive, verdicts := i.registry.Sweep(now.Sub(i.start))
+	deliverVerdicts(verdicts)
 	for _, id := range unresponsive {
-		in.Log.Warn("server.heartbeat_lost", "member", id)
-		in.removeServer(id)
-		in.Wake()
-	}
-	for _, a := range in.apps {
-		keep := a.idle[:0]
-		for _, c := range a.idle {
-			if now.Before(c.until) {
-				keep = append(keep, c)
+		i.Log.Warn("server.heartbeat_lost", "member", id)
+		i.removeServer(id)
+		i.Wake()
+	}
+	for _, pool := range i.pools {
+		kept := pool.idle[:0]
+		for _, conn := range pool.idle {
+			if now.Before(conn.idleDeadline) {
+				kept = append(kept, conn)
 			} else {
-				c.nc.Close()
+				conn.netConn.Close()
 			}
 		}
-		a.idle = keep
+		pool.idle = kept
 	}
 }
 
-// Servers returns the servers of this machine as they should be registered.
-func (in *Inbound) Servers() []Heartbeat {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.admission.Servers()
+// Servers returns the servers that should be registered for this machine.
+func (i *Inbound) Servers() []Heartbeat {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.registry.Servers()
 }
 
-// Load is the number of requests at each server here, and of those that wait for
-// it, in the order of Servers.
-func (in *Inbound) Load() (servers []Heartbeat, inflight, queued []int) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	servers = in.admission.Servers()
-	for _, b := range servers {
-		i, w := in.admission.Load(b.ID)
-		inflight, queued = append(inflight, i), append(queued, w)
+// Load returns the servers with the numbers of requests that each has in flight and queued.
+func (i *Inbound) Load() (servers []Heartbeat, inflight, queued []int) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	servers = i.registry.Servers()
+	for _, server := range servers {
+		running, waiting := i.registry.Load(server.ID)
+		inflight, queued = append(inflight, running), append(queued, waiting)
 	}
 	return servers, inflight, queued
 }
 
-// Unhealthy returns, by local server, the zones for whose callers it is ejected; see health.
-func (in *Inbound) Unhealthy() map[string][]string {
-	in.mu.Lock()
-	defer in.mu.Unlock()
+// Unhealthy returns, by member, the zones for whose callers the server is ejected; see package health.
+func (i *Inbound) Unhealthy() map[string][]string {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	unhealthy := map[string][]string{}
-	for _, b := range in.admission.Servers() {
-		unhealthy[b.ID] = in.admission.Unhealthy(b.ID)
+	for _, server := range i.registry.Servers() {
+		unhealthy[server.ID] = i.registry.Unhealthy(server.ID)
 	}
 	return unhealthy
 }
 
-// Busy is the number of requests that servers here hold.
-func (in *Inbound) Busy() int {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.admission.Busy()
+// Busy returns the number of requests that are in flight or queued at the servers here.
+func (i *Inbound) Busy() int {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.registry.Busy()
 }
 
-// Graph reports whether a request is a call of a run in flight here; see admission.
-func (in *Inbound) Graph(attempt, service string) (inner, repeat bool) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.admission.Graph(attempt, service)
+// Graph reports whether a request is a call made by a run in flight here; see localserver.Registry.Graph.
+func (i *Inbound) Graph(attempt, service string) (inner, repeat bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.registry.Graph(attempt, service)
 }
 
-// CallFailed notes that a call of a run here has failed; see admission.
-func (in *Inbound) CallFailed(attempt string) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.admission.CallFailed(attempt)
+// CallFailed records that a call made by a run here has failed; see localserver.Registry.CallFailed.
+func (i *Inbound) CallFailed(attempt string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.registry.CallFailed(attempt)
 }
--- a/internal/dataplane/proxy/listener_test.go
+++ b/internal/dataplane/proxy/listener_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// TestAConnectionIsIdleFromItsAnswerOn: an answer that took long leaves its client the whole time to use the connection
-// again, and so does a configuration that allows more.
+// TestAConnectionIsIdleFromItsAnswerOn checks that the idle timeout runs from the last response, so that a slow response does
+// not shorten it, and that a configured increase applies at once.
 func TestAConnectionIsIdleFromItsAnswerOn(t *testing.T) {
 	idle := 5 * time.Second
-	c := &client{f: &Listener{Bounds: func() Bounds { return Bounds{Idle: idle} }}}
-	began := time.Now()
-	check := func(what string, now, want time.Time) {
+	conn := &clientConn{listener: &Listener{Bounds: func() Bounds { return Bounds{Idle: idle} }}}
+	start := time.Now()
+	check := func(name string, now, want time.Time) {
 		t.Helper()
-		if until, ok := c.idleUntil(now, began); !ok || !until.Equal(want) {
-			t.Errorf("%s: until %v after the request, %v", what, until.Sub(began), ok)
+		if deadline, ok := conn.idleDeadline(now, start); !ok || !deadline.Equal(want) {
+			t.Errorf("%s: deadline %v after the start of the wait, reading: %v", name, deadline.Sub(start), ok)
 		}
 	}
-	check("no request yet", began, began.Add(idle))
-	c.pending = 1
-	check("a request under way", began.Add(time.Hour), began.Add(time.Hour+idle))
-	c.pending, c.answered = 0, began.Add(3*time.Second)
-	check("an answer after 3 s", began.Add(4*time.Second), began.Add(8*time.Second))
+	check("no request yet", start, start.Add(idle))
+	conn.pending = 1
+	check("a pending request", start.Add(time.Hour), start.Add(time.Hour+idle))
+	conn.pending, conn.lastResponseAt = 0, start.Add(3*time.Second)
+	check("a response after 3 s", start.Add(4*time.Second), start.Add(8*time.Second))
 	idle = 15 * time.Second
-	check("a configuration that allows more", began.Add(8*time.Second), began.Add(18*time.Second))
-	c.stopped = true
-	if _, ok := c.idleUntil(began, began); ok {
-		t.Error("a connection that reads nothing more waits on")
+	check("a configuration that allows more", start.Add(8*time.Second), start.Add(18*time.Second))
+	conn.readStopped = true
+	if _, ok := conn.idleDeadline(start, start); ok {
+		t.Error("idleDeadline reports true although reads have been stopped")
 	}
 }
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -17,29 +17,29 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestAnOlderNodeGetsWhatItUnderstands: while the mesh is renewed, half of the nodes are of the version before. They
-// read fields one by one, and answer so.
-func TestAnOlderNodeGetsWhatItUnderstands(t *testing.T) {
-	b := newHarness(t, nil)
-	_, want, wantHeaders := b.ask("POST", "/once/x", "new", "payload", "X-A", "1: 2")
-	w := *b.out.cluster()
-	edit := w.Servers.Edit()
-	b.out.cluster().Servers.Each(func(id string, s *wire.Server) {
-		edit.Set(id, &wire.Server{Member: id, Service: s.Service, Address: s.Address, Zone: s.Zone})
+// TestForwardToOlderNode checks requests to a node of the previous version, which encodes header fields as a list. Both
+// versions run during an upgrade.
+func TestForwardToOlderNode(t *testing.T) {
+	h := newHarness(t, nil)
+	_, want, wantHeaders := h.request("POST", "/once/x", "new", "payload", "X-A", "1: 2")
+	cluster := *h.outbound.cluster()
+	edit := cluster.Servers.Edit()
+	h.outbound.cluster().Servers.Each(func(id string, server *wire.Server) {
+		edit.Set(id, &wire.Server{Member: id, Service: server.Service, Address: server.Address, Zone: server.Zone})
 	})
-	w.Servers = edit.Map()
-	b.out.Update(&w)
-	_, got, gotHeaders := b.ask("POST", "/once/x", "old", "payload", "X-A", "1: 2")
+	cluster.Servers = edit.Map()
+	h.outbound.Update(&cluster)
+	_, got, gotHeaders := h.request("POST", "/once/x", "old", "payload", "X-A", "1: 2")
 	if got != want {
 		t.Errorf("the body is %q, want %q", got, want)
 	}
-	for name, values := range map[string][2]http.Header{"at the server": {b.headers["old"], b.headers["new"]}, "at the client": {gotHeaders, wantHeaders}} {
-		for _, h := range values {
-			for _, own := range []string{"Attempt-Id", "Date", "Time-Budget", "Target-Instance"} {
-				if h.Get(own) == "" {
-					delete(h, own)
+	for name, values := range map[string][2]http.Header{"at the server": {h.headers["old"], h.headers["new"]}, "at the client": {gotHeaders, wantHeaders}} {
+		for _, header := range values {
+			for _, varying := range []string{"Attempt-Id", "Date", "Time-Budget", "Target-Instance"} {
+				if header.Get(varying) == "" {
+					delete(header, varying)
 				} else {
-					h.Set(own, "there")
+					header.Set(varying, "present")
 				}
 			}
 		}
@@ -49,49 +49,49 @@
 	}
 }
 
-func TestWhatBecomesOfRequests(t *testing.T) {
-	b := newHarness(t, nil)
-	for i, c := range []struct {
+func TestRequestOutcomes(t *testing.T) {
+	h := newHarness(t, nil)
+	for i, test := range []struct {
 		method, path, body string
 		status, arrivals   int
-		answer             string
+		responseBody       string
 	}{
 		{"GET", "/safe/x?a=%41&b", "", 200, 1, "GET /safe/x?a=%41&b "},
 		{"POST", "/once/x", "payload", 200, 1, "POST /once/x payload"},
-		{"POST", "/once/other?own", "p", 200, 1, "own"}, // the surplus answer's promise is not this request's
+		{"POST", "/once/other?own", "p", 200, 1, "own"}, // the Not-Executed of the preceding response belongs to another request
 		{"POST", "/once/other", "p", 502, 1, "the server gave no proper answer\n"},
 		{"GET", "/safe/other", "", 200, 2, "GET /safe/other "},
 		{"GET", "/none/x", "", 404, 0, "no route\n"},
-		{"GET", "/safe/torn", "", 200, 2, "GET /safe/torn "},
-		{"POST", "/once/full", "p", 200, 2, "POST /once/full p"},                  // not run, so another may have it
-		{"POST", "/once/torn", "p", 502, 1, "the server gave no proper answer\n"}, // it may have run
-		{"POST", "/once/bare", "p", 502, 1, "the server gave no proper answer\n"},
-		{"POST", "/once/nobody", "p", 502, 1, "the server gave no proper answer\n"},
-		{"POST", "/once/busy", "p", 502, 1, "the server failed\n"}, // 429 would be a promise that nobody made
+		{"GET", "/safe/truncated", "", 200, 2, "GET /safe/truncated "},
+		{"POST", "/once/full", "p", 200, 2, "POST /once/full p"},                       // not run, so it may be retried
+		{"POST", "/once/truncated", "p", 502, 1, "the server gave no proper answer\n"}, // it may have run
+		{"POST", "/once/unsealed", "p", 502, 1, "the server gave no proper answer\n"},
+		{"POST", "/once/no-id", "p", 502, 1, "the server gave no proper answer\n"},
+		{"POST", "/once/busy", "p", 502, 1, "the server failed\n"}, // a 429 would tell the client that the request has not run
 	} {
 		id := fmt.Sprint("id", i)
-		status, answer, _ := b.ask(c.method, c.path, id, c.body)
-		if status != c.status || answer != c.answer || b.servers(id) != c.arrivals {
-			t.Errorf("%s %s: %d %q after %d servers, want %d %q after %d", c.method, c.path, status, answer, b.servers(id), c.status, c.answer, c.arrivals)
+		status, responseBody, _ := h.request(test.method, test.path, id, test.body)
+		if status != test.status || responseBody != test.responseBody || h.arrivalCount(id) != test.arrivals {
+			t.Errorf("%s %s: got %d %q after %d attempts, want %d %q after %d", test.method, test.path, status, responseBody, h.arrivalCount(id), test.status, test.responseBody, test.arrivals)
 		}
 	}
-	b.ask("GET", "/safe/h", "idh", "", "Caller-Service", "liar", "Target-Instance", "x", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2")
-	b.mu.Lock()
-	h := b.headers["idh"]
-	b.mu.Unlock()
-	if h.Get("Caller-Service") != "own" || !strings.HasPrefix(h.Get("Target-Instance"), "i-") || h.Get("X-Hop") != "" || h.Get("X-Kept") != "2" {
-		t.Errorf("the server got %v", h)
+	h.request("GET", "/safe/h", "idh", "", "Caller-Service", "spoofed", "Target-Instance", "x", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2")
+	h.mu.Lock()
+	header := h.headers["idh"]
+	h.mu.Unlock()
+	if header.Get("Caller-Service") != "own" || !strings.HasPrefix(header.Get("Target-Instance"), "i-") || header.Get("X-Hop") != "" || header.Get("X-Kept") != "2" {
+		t.Errorf("the server received the headers %v", header)
 	}
 }
 
-// TestJudge: the promise that a request has not run counts only where it is this request's.
-func TestJudge(t *testing.T) {
-	for _, c := range []struct {
-		status  int
-		id      string
-		promise bool
-		used    bool
-		want    wire.ForwardResponse_Result
+// TestCheckResponse checks that a promise that a request has not run is accepted only if it belongs to this request.
+func TestCheckResponse(t *testing.T) {
+	for _, test := range []struct {
+		status      int
+		id          string
+		notExecuted bool
+		used        bool
+		want        wire.ForwardResponse_Result
 	}{
 		{200, "a", false, true, wire.ForwardResponse_ANSWERED},
 		{503, "a", true, true, wire.ForwardResponse_NOT_RUN},
@@ -99,197 +99,197 @@
 		{503, "b", true, true, wire.ForwardResponse_BROKEN},
 		{421, "b", false, false, wire.ForwardResponse_BROKEN},
 		{503, "", true, true, wire.ForwardResponse_BROKEN},
-		{503, "", true, false, wire.ForwardResponse_NOT_RUN}, // nobody else has used the connection
+		{503, "", true, false, wire.ForwardResponse_NOT_RUN}, // the first request on the connection
 		{503, "", false, false, wire.ForwardResponse_BROKEN},
 		{200, "", false, false, wire.ForwardResponse_BROKEN},
 	} {
-		resp := &http1.Response{Status: c.status, Headers: http1.Headers{{Name: "Server-Seal", Value: "s"}}}
-		if c.id != "" {
-			resp.Headers = append(resp.Headers, http1.Header{Name: "Attempt-Id", Value: c.id})
+		resp := &http1.Response{Status: test.status, Headers: http1.Headers{{Name: "Server-Seal", Value: "s"}}}
+		if test.id != "" {
+			resp.Headers = append(resp.Headers, http1.Header{Name: "Attempt-Id", Value: test.id})
 		}
-		if c.promise {
+		if test.notExecuted {
 			resp.Headers = append(resp.Headers, http1.Header{Name: "Not-Executed", Value: "1"})
 		}
-		if out := checkResponse(&wire.ForwardRequest{Attempt: "a"}, resp, nil, c.used); out.Result != c.want {
-			t.Errorf("%+v: %v", c, out.Result)
+		if response := checkResponse(&wire.ForwardRequest{Attempt: "a"}, resp, nil, test.used); response.Result != test.want {
+			t.Errorf("%+v: got result %v", test, response.Result)
 		}
 	}
 }
 
-// TestDrainedServersGetNothing: after the bound nothing passes, and where no server
-// is left the refusal says when to come back.
+// TestDrainedServersGetNothing checks that servers receive no requests after the drain time, and that a request without any
+// server is rejected with Retry-After.
 func TestDrainedServersGetNothing(t *testing.T) {
-	b := newBedFor(t, nil, 0)
-	for _, heartbeat := range b.in.Servers() {
+	h := newHarnessWithDrain(t, nil, 0)
+	for _, heartbeat := range h.inbound.Servers() {
 		heartbeat.Draining, heartbeat.Seq = true, 1
-		b.in.Heartbeat(heartbeat, time.Now().Add(-time.Second))
-		heartbeat.Draining, heartbeat.Seq = false, 2 // it never comes back from that
-		b.in.Heartbeat(heartbeat, time.Now())
+		h.inbound.Heartbeat(heartbeat, time.Now().Add(-time.Second))
+		heartbeat.Draining, heartbeat.Seq = false, 2 // draining is final
+		h.inbound.Heartbeat(heartbeat, time.Now())
 	}
-	req := time.Now()
-	status, _, h := b.ask("POST", "/once/x", "d", "p", "Time-Budget", "300")
-	if status != 503 || h.Get("Retry-After") == "" || b.servers("d") != 0 {
-		t.Errorf("%d %v after %d servers in %v", status, h, b.servers("d"), time.Since(req))
+	start := time.Now()
+	status, _, header := h.request("POST", "/once/x", "d", "p", "Time-Budget", "300")
+	if status != 503 || header.Get("Retry-After") == "" || h.arrivalCount("d") != 0 {
+		t.Errorf("got status %d, headers %v after %d attempts in %v, want 503 with Retry-After and no attempt", status, header, h.arrivalCount("d"), time.Since(start))
 	}
-	if b.in.Deregister("i-1"); b.in.Heartbeat(Heartbeat{ID: "i-1", Seq: 9}, time.Now()) {
-		t.Error("a life that has ended was taken back")
+	if h.inbound.Deregister("i-1"); h.inbound.Heartbeat(Heartbeat{ID: "i-1", Seq: 9}, time.Now()) {
+		t.Error("a heartbeat of an incarnation that has ended was accepted")
 	}
 }
 
-// TestAdopt: a process that starts anew serves the listed server at once, until
-// another incarnation speaks from its address.
+// TestAdopt checks that a restarted node serves a registered server at once, until another incarnation sends a heartbeat from
+// its address.
 func TestAdopt(t *testing.T) {
-	in := NewInbound(time.Hour, time.Second, slog.New(slog.DiscardHandler))
-	in.Adopt(Heartbeat{ID: "i-1", Service: "s", Address: "a", Slots: 4}, time.Now())
-	in.Adopt(Heartbeat{ID: "i-0", Service: "s", Address: "a", Slots: 4}, time.Now())
-	if got := in.Servers(); len(got) != 1 || got[0].ID != "i-1" {
-		t.Fatalf("%v", got)
+	inbound := NewInbound(time.Hour, time.Second, slog.New(slog.DiscardHandler))
+	inbound.Adopt(Heartbeat{ID: "i-1", Service: "s", Address: "a", Slots: 4}, time.Now())
+	inbound.Adopt(Heartbeat{ID: "i-0", Service: "s", Address: "a", Slots: 4}, time.Now())
+	if got := inbound.Servers(); len(got) != 1 || got[0].ID != "i-1" {
+		t.Fatalf("got servers %v after Adopt, want i-1", got)
 	}
-	in.Heartbeat(Heartbeat{ID: "i-2", Service: "s", Address: "a", Slots: 4, Seq: 1}, time.Now())
-	if got := in.Servers(); len(got) != 1 || got[0].ID != "i-2" {
-		t.Errorf("%v", got)
+	inbound.Heartbeat(Heartbeat{ID: "i-2", Service: "s", Address: "a", Slots: 4, Seq: 1}, time.Now())
+	if got := inbound.Servers(); len(got) != 1 || got[0].ID != "i-2" {
+		t.Errorf("got servers %v after a heartbeat of i-2, want i-2", got)
 	}
 }
 
-// TestPipelining sends requests behind each other of which the first is held up:
-// the others run meanwhile, and the answers keep their order.
+// TestPipelining checks that pipelined requests run concurrently while the first is blocked, and that the responses are in
+// order.
 func TestPipelining(t *testing.T) {
 	gate := make(chan struct{})
-	b := newHarness(t, gate)
-	nc, err := net.Dial("tcp", b.front)
+	h := newHarness(t, gate)
+	conn, err := net.Dial("tcp", h.clientAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	defer conn.Close()
 	for i, path := range []string{"/safe/wait", "/safe/1", "/safe/2"} {
-		fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: p%d\r\nTime-Budget: 15000\r\n\r\n", path, i)
+		fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: p%d\r\nTime-Budget: 15000\r\n\r\n", path, i)
 	}
-	for b.servers("p1") == 0 || b.servers("p2") == 0 {
-		time.Sleep(time.Millisecond) // until they have run, the first being held
+	for h.arrivalCount("p1") == 0 || h.arrivalCount("p2") == 0 {
+		time.Sleep(time.Millisecond) // until both have run, while the first is blocked
 	}
 	close(gate)
-	r := bufio.NewReader(nc)
+	reader := bufio.NewReader(conn)
 	for _, want := range []string{"GET /safe/wait ", "GET /safe/1 ", "GET /safe/2 "} {
-		resp, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(resp.Body); string(body) != want {
-			t.Errorf("%q, want %q", body, want)
+			t.Errorf("got body %q, want %q", body, want)
 		}
 	}
-	fmt.Fprintf(nc, "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n")
-	resp, err := http.ReadResponse(r, nil)
+	fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n")
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil || resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("%v, %v", resp, err)
+		t.Errorf("malformed request: got %v, error %v, want status 400 and a closed connection", resp, err)
 	}
 }
 
-// TestStop: a node that ends answers what it has read, and reads nothing more.
+// TestStop checks that after Stop, requests that were read are answered and no more are read.
 func TestStop(t *testing.T) {
 	gate := make(chan struct{})
-	b := newHarness(t, gate)
+	h := newHarness(t, gate)
 	dial := func() (net.Conn, *bufio.Reader) {
-		nc, err := net.Dial("tcp", b.front)
+		conn, err := net.Dial("tcp", h.clientAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(20 * time.Second))
-		return nc, bufio.NewReader(nc)
+		t.Cleanup(func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(20 * time.Second))
+		return conn, bufio.NewReader(conn)
 	}
-	const ask = "GET /safe/%s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %s\r\nTime-Budget: 15000\r\n\r\n"
+	const requestFormat = "GET /safe/%s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %s\r\nTime-Budget: 15000\r\n\r\n"
 	idle, idleReader := dial()
-	fmt.Fprintf(idle, ask, "x", "i")
+	fmt.Fprintf(idle, requestFormat, "x", "i")
 	if resp, err := http.ReadResponse(idleReader, nil); err != nil || resp.Close {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("first request: got %v, error %v", resp, err)
 	} else if _, err := io.ReadAll(resp.Body); err != nil {
 		t.Fatal(err)
 	}
 	busy, busyReader := dial()
-	fmt.Fprintf(busy, ask, "wait", "w")
-	for b.servers("w") == 0 {
+	fmt.Fprintf(busy, requestFormat, "wait", "w")
+	for h.arrivalCount("w") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.clients.Stop()
+	h.listener.Stop()
 	if _, err := idleReader.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("an idle connection stays: %v", err)
+		t.Errorf("an idle connection was not closed: %v", err)
 	}
 	close(gate)
 	resp, err := http.ReadResponse(busyReader, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("what was read got %v, %v", resp, err)
+		t.Errorf("pending request: got %v, error %v, want status 200 and a closed connection", resp, err)
 	}
 	late, lateReader := dial()
-	fmt.Fprintf(late, ask, "x", "late")
-	if _, err := lateReader.ReadByte(); err == nil || b.servers("late") != 0 {
-		t.Errorf("a request was taken after the end: %v", err)
+	fmt.Fprintf(late, requestFormat, "x", "late")
+	if _, err := lateReader.ReadByte(); err == nil || h.arrivalCount("late") != 0 {
+		t.Errorf("a request was accepted after Stop: %v", err)
 	}
 }
 
-// TestCut: at its last moment a node answers what has run behind one that hangs.
-func TestCut(t *testing.T) {
+// TestCloseAll checks that a completed request is answered although an earlier one on the connection hangs.
+func TestCloseAll(t *testing.T) {
 	gate := make(chan struct{})
-	b := newHarness(t, gate)
+	h := newHarness(t, gate)
 	defer close(gate)
-	nc, err := net.Dial("tcp", b.front)
+	conn, err := net.Dial("tcp", h.clientAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	ask := func(path, id string) {
-		fmt.Fprintf(nc, "GET /safe/%s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %s\r\nTime-Budget: 15000\r\n\r\n", path, id)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	sendRequest := func(path, id string) {
+		fmt.Fprintf(conn, "GET /safe/%s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %s\r\nTime-Budget: 15000\r\n\r\n", path, id)
 	}
-	ask("wait", "hangs")
-	ask("x", "through")
-	for b.servers("hangs") == 0 || b.handled.Load() == 0 {
+	sendRequest("wait", "hanging")
+	sendRequest("x", "completed")
+	for h.arrivalCount("hanging") == 0 || h.handled.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.clients.Stop()
-	b.clients.CloseAll()
-	r := bufio.NewReader(nc)
+	h.listener.Stop()
+	h.listener.CloseAll()
+	reader := bufio.NewReader(conn)
 	for i, want := range []int{504, 200} {
-		resp, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil || resp.StatusCode != want {
-			t.Fatalf("answer %d: %v, %v, want %d", i, resp, err, want)
+			t.Fatalf("response %d: got %v, error %v, want status %d", i, resp, err, want)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			t.Fatal(err)
 		}
 		if resp.Close != (i == 1) {
-			t.Errorf("answer %d closes: %v", i, resp.Close)
+			t.Errorf("response %d closes the connection: %v", i, resp.Close)
 		}
 	}
-	if rest, _ := io.ReadAll(r); len(rest) > 0 {
-		t.Errorf("behind the last answer came %q", rest)
+	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
+		t.Errorf("got %q after the last response", rest)
 	}
 }
 
-// TestASecondServerIsAsked: a request that may run again does not wait for a run that takes far longer than its like,
-// and the slow run goes on to its end.
-func TestASecondServerIsAsked(t *testing.T) {
+// TestHedging checks that an idempotent request is sent to a second server if the first is slow, and that the slow run is not
+// cancelled.
+func TestHedging(t *testing.T) {
 	gate := make(chan struct{})
-	b := newHarness(t, gate)
-	b.ask("GET", "/safe/work", "like", "") // now its usual time is known
-	status, answer, _ := b.ask("GET", "/safe/stuck", "slow", "")
-	if status != 200 || answer != "GET /safe/stuck " || b.servers("slow") != 2 {
-		t.Errorf("%d %q after %d servers", status, answer, b.servers("slow"))
+	h := newHarness(t, gate)
+	h.request("GET", "/safe/work", "typical", "") // sets the typical latency
+	status, responseBody, _ := h.request("GET", "/safe/stuck", "slow", "")
+	if status != 200 || responseBody != "GET /safe/stuck " || h.arrivalCount("slow") != 2 {
+		t.Errorf("got %d %q after %d attempts, want 200 after 2", status, responseBody, h.arrivalCount("slow"))
 	}
-	if b.in.Busy() != 1 {
-		t.Errorf("%d runs go on, want the slow one", b.in.Busy())
+	if h.inbound.Busy() != 1 {
+		t.Errorf("%d runs in flight, want only the slow one", h.inbound.Busy())
 	}
 	close(gate)
-	b.out.Wait()
-	if b.in.Busy() != 0 {
-		t.Error("the slow run has no end")
+	h.outbound.Wait()
+	if h.inbound.Busy() != 0 {
+		t.Error("the slow run is still in flight")
 	}
 }
 
-// TestBeatsBesideRequests is for the race detector: a server speaks while requests make new connections to it.
-func TestBeatsBesideRequests(t *testing.T) {
-	b := newHarness(t, nil)
-	server := b.in.Servers()[0]
+// TestHeartbeatsDuringRequests provokes data races between heartbeats and requests that open connections to the server.
+func TestHeartbeatsDuringRequests(t *testing.T) {
+	h := newHarness(t, nil)
+	server := h.inbound.Servers()[0]
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -299,66 +299,67 @@
 				return
 			default:
 				server.Seq++
-				b.in.Heartbeat(server, time.Now())
+				h.inbound.Heartbeat(server, time.Now())
 			}
 		}
 	}()
 	for i := range 10 {
-		if status, _, _ := b.ask("GET", "/safe/torn", fmt.Sprint("beside", i), ""); status != 200 { // each closes a connection
-			t.Errorf("%d", status)
+		if status, _, _ := h.request("GET", "/safe/truncated", fmt.Sprint("concurrent", i), ""); status != 200 { // truncated responses close connections
+			t.Errorf("got status %d, want 200", status)
 		}
 	}
 	close(stop)
 	<-stopped
 }
 
-// TestAClientLeaves: what runs for a client that has left is called off, also where a second server was asked.
-func TestAClientLeaves(t *testing.T) {
+// TestClientDisconnect checks that the attempts for a client that has disconnected are cancelled, including a hedged one.
+func TestClientDisconnect(t *testing.T) {
 	gate := make(chan struct{})
-	b := newHarness(t, gate)
+	h := newHarness(t, gate)
 	defer close(gate)
-	b.ask("GET", "/safe/work", "like", "")
+	h.request("GET", "/safe/work", "typical", "")
 	for i, path := range []string{"/safe/wait", "/once/wait"} {
-		id := fmt.Sprint("left", i)
-		nc, err := net.Dial("tcp", b.front)
+		id := fmt.Sprint("disconnected", i)
+		conn, err := net.Dial("tcp", h.clientAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %s\r\nTime-Budget: 15000\r\n\r\n", path, id)
-		for b.servers(id) < 2-i {
+		fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %s\r\nTime-Budget: 15000\r\n\r\n", path, id)
+		for h.arrivalCount(id) < 2-i {
 			time.Sleep(time.Millisecond)
 		}
-		nc.Close()
-		for b.in.Busy() > 0 { // a run that goes on would hold the test up until its own limit
+		conn.Close()
+		for h.inbound.Busy() > 0 { // a run that is not cancelled blocks here until its deadline
 			time.Sleep(time.Millisecond)
 		}
 	}
-	b.out.Wait()
+	h.outbound.Wait()
 }
 
-func TestInnerCallsAreTold(t *testing.T) {
+// TestInnerCalls checks that Graph identifies calls by the Attempt-Id of a run in flight.
+func TestInnerCalls(t *testing.T) {
 	gate := make(chan struct{})
-	b := newHarness(t, gate)
+	h := newHarness(t, gate)
 	done := make(chan struct{})
-	go func() { defer close(done); b.ask("GET", "/safe/wait", "graph1", "") }()
-	for b.servers("graph1") == 0 {
+	go func() { defer close(done); h.request("GET", "/safe/wait", "graph1", "") }()
+	for h.arrivalCount("graph1") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for id, want := range map[string]bool{"graph1.abc": true, "graph1-x.y": true, "graph1": false, "graph1abc": false, "graph2.abc": false, ".": false} {
-		if inner, _ := b.in.Graph(id, "s"); inner != want {
-			t.Errorf("%s: inner is %v", id, inner)
+		if inner, _ := h.inbound.Graph(id, "s"); inner != want {
+			t.Errorf("%s: got inner %v", id, inner)
 		}
 	}
 	close(gate)
 	<-done
-	if inner, _ := b.in.Graph("graph1.abc", "s"); inner {
-		t.Error("a call of a run that has ended passes for an inner one")
+	if inner, _ := h.inbound.Graph("graph1.abc", "s"); inner {
+		t.Error("a call of a run that has ended is reported as an inner call")
 	}
 }
 
-// BenchmarkRequest measures a request's way through both nodes; "direct" is what its client and server cost without.
+// BenchmarkRequest measures a request through the mesh, with and without TLS, and directly to the server for comparison.
 func BenchmarkRequest(b *testing.B) {
-	bed := newHarness(b, nil)
+	plain := newHarness(b, nil)
 	ca, err := identity.NewAuthority(b.TempDir(), 2*time.Hour)
 	if err != nil {
 		b.Fatal(err)
@@ -371,20 +372,20 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	secured := newBedOf(b, nil, time.Hour, source)
-	for name, address := range map[string]string{"mesh": bed.front, "secured": secured.front, "direct": bed.app("direct", nil)} {
+	secured := newHarnessWithIdentity(b, nil, time.Hour, source)
+	for name, address := range map[string]string{"mesh": plain.clientAddress, "secured": secured.clientAddress, "direct": plain.startServer("direct", nil)} {
 		b.Run(name, func(b *testing.B) {
-			nc, err := net.Dial("tcp", address)
+			conn, err := net.Dial("tcp", address)
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer nc.Close()
-			r := bufio.NewReader(nc)
-			msg := []byte("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: p\r\nTime-Budget: 15000\r\n\r\n")
+			defer conn.Close()
+			reader := bufio.NewReader(conn)
+			message := []byte("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: p\r\nTime-Budget: 15000\r\n\r\n")
 			b.ReportAllocs()
 			for b.Loop() {
-				nc.Write(msg)
-				resp, err := http.ReadResponse(r, nil)
+				conn.Write(message)
+				resp, err := http.ReadResponse(reader, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/dataplane/proxy/refusal_log.go
+++ b/internal/dataplane/proxy/refusal_log.go
@@ -7,48 +7,48 @@
 	"ivydeck/internal/dataplane/router"
 )
 
-// pressureEvery is the shortest time between two records of refusals for one service or by one server.
-const pressureEvery = 2 * time.Second
+// rejectionLogInterval is the minimum time between two log records of rejections for the same service or server.
+const rejectionLogInterval = 2 * time.Second
 
-// refusals sums up what was refused for one service, so that a log says why without a line for each request.
-type refusals struct {
+// rejections counts the requests for a service that were rejected since the last log record.
+type rejections struct {
 	since      time.Duration
-	gates      int // requests that its gate, or that of a service behind it, did not admit
-	noCapacity int // requests that were admitted and found no server with room
+	gates      int // not admitted by the gate of the service or of a downstream service
+	noCapacity int // admitted, but no server had capacity
 }
 
-// count counts a refusal, and returns the counts if they are to be logged now.
-func (r *refusals) count(now time.Duration, admitted bool) (counts refusals, due bool) {
+// count counts a rejection. It returns and resets the counts if they are due to be logged.
+func (r *rejections) count(now time.Duration, admitted bool) (counts rejections, logDue bool) {
 	if admitted {
 		r.noCapacity++
 	} else {
 		r.gates++
 	}
-	if now-r.since < pressureEvery {
+	if now-r.since < rejectionLogInterval {
 		return counts, false
 	}
 	counts = *r
-	*r = refusals{since: now}
+	*r = rejections{since: now}
 	return counts, true
 }
 
-// log logs the refusals with the state of the service.
-func (r refusals) log(log *slog.Logger, now router.ServiceState) {
-	log.Info("admission.rejecting", "service", now.Service, "gates", r.gates, "no_capacity", r.noCapacity,
-		"normalized_latency", now.NormalizedLatency, "pressure", now.Pressure, "servers", now.Servers, "probabilities", now.Probabilities)
+// log logs the counts and the state of the service.
+func (r rejections) log(logger *slog.Logger, state router.ServiceState) {
+	logger.Info("admission.rejecting", "service", state.Service, "gates", r.gates, "no_capacity", r.noCapacity,
+		"normalized_latency", state.NormalizedLatency, "pressure", state.Pressure, "servers", state.Servers, "probabilities", state.Probabilities)
 }
 
-// serverLoad sums up how busy a server beside the node was between two records of requests that it had no room for.
+// serverLoad sums up the load of a server on this machine since the last log record of rejections for lack of a slot.
 type serverLoad struct {
 	since    time.Duration
-	busy     time.Duration // time of its runs, added up
+	busy     time.Duration // total duration of the runs that have ended
 	rejected int
 }
 
-// countRejection counts a request without a free slot, and returns the sums if they are to be logged now.
-func (l *serverLoad) countRejection(now time.Duration) (sums serverLoad, due bool) {
+// countRejection counts a request that found no free slot. It returns and resets the sums if they are due to be logged.
+func (l *serverLoad) countRejection(now time.Duration) (sums serverLoad, logDue bool) {
 	l.rejected++
-	if now-l.since < pressureEvery {
+	if now-l.since < rejectionLogInterval {
 		return sums, false
 	}
 	sums = *l
@@ -56,8 +56,8 @@
 	return sums, true
 }
 
-// log writes how much of its slots' time the server was busy; over 1 is rounding.
-func (l serverLoad) log(log *slog.Logger, now time.Duration, member string, slots int) {
+// log logs the load. The utilization may exceed 1, as runs that began before the interval count in full.
+func (l serverLoad) log(logger *slog.Logger, now time.Duration, member string, slots int) {
 	utilization := l.busy.Seconds() / ((now - l.since).Seconds() * float64(max(1, slots)))
-	log.Info("server.saturated", "member", member, "slots", slots, "utilization", utilization, "rejected", l.rejected)
+	logger.Info("server.saturated", "member", member, "slots", slots, "utilization", utilization, "rejected", l.rejected)
 }
--- a/internal/dataplane/proxy/server_conn.go
+++ b/internal/dataplane/proxy/server_conn.go
@@ -14,104 +14,103 @@
 )
 
 const (
-	defaultIdleTimeout = 9 * time.Second        // a server keeps an idle connection for at least this
-	idleMargin         = 400 * time.Millisecond // before the server's own timeout a connection is closed
+	defaultIdleTimeout = 9 * time.Second        // servers keep idle connections open for at least this long
+	idleMargin         = 400 * time.Millisecond // an idle connection is closed this long before the server's timeout
 
-	maxSurplus = 4 // answers to other requests that are skipped before the connection is closed
+	maxSkipped = 4 // responses to other requests that read skips
 )
 
-// serverConn is a connection to the server of this machine. It carries one request
-// at a time.
+// serverConn is a connection to a server on this machine. It carries one request at a time.
 type serverConn struct {
-	nc    net.Conn
-	r     *bufio.Reader
-	look  *sock.Inspector
-	idle  time.Duration // that the server allows
-	until time.Time     // an idle one is not used after this
+	netConn      net.Conn
+	reader       *bufio.Reader
+	inspector    *sock.Inspector
+	idleTimeout  time.Duration // how long the connection may be idle
+	idleDeadline time.Time     // an idle connection is not used after this
 
-	used    bool // it has carried a request before
-	surplus bool // it has carried an answer without a request
+	used    bool // it has carried an earlier request
+	skipped bool // it has carried a response to another request
 
-	resp      http1.Response // the last answer's head
-	interrupt func()         // ends a read or write under way; made once
+	resp      http1.Response // head of the last response
+	interrupt func()         // aborts a pending read or write; allocated once
 }
 
-// connect returns the idle connection that was used last, or a new one.
-func (a *serverPool) connect(ctx context.Context, until time.Time) (*serverConn, error) {
+// getConn returns the most recently used idle connection, or a new one.
+func (p *serverPool) getConn(ctx context.Context, deadline time.Time) (*serverConn, error) {
 	now := time.Now()
 	var address string
 	for {
-		a.in.mu.Lock()
-		address = a.address
-		n := len(a.idle)
+		p.inbound.mu.Lock()
+		address = p.address
+		n := len(p.idle)
 		if n == 0 {
-			a.in.mu.Unlock()
+			p.inbound.mu.Unlock()
 			break
 		}
-		c := a.idle[n-1]
-		a.idle = a.idle[:n-1]
-		a.in.mu.Unlock()
-		if now.Before(c.until) && c.look.Idle() {
-			return c, nil
+		idle := p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		p.inbound.mu.Unlock()
+		if now.Before(idle.idleDeadline) && idle.inspector.Idle() {
+			return idle, nil
 		}
-		c.nc.Close()
+		idle.netConn.Close()
 	}
-	dialer := net.Dialer{Timeout: min(dialTimeout, time.Until(until)), KeepAlive: -1}
-	nc, err := dialer.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: min(dialTimeout, time.Until(deadline)), KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	raw, err := nc.(syscall.Conn).SyscallConn()
+	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
-		nc.Close()
+		conn.Close()
 		return nil, err
 	}
 	return &serverConn{
-		nc: nc, r: bufio.NewReaderSize(nc, 4<<10), look: sock.NewInspector(raw), idle: defaultIdleTimeout,
-		interrupt: func() { nc.SetDeadline(time.Unix(1, 0)) },
+		netConn: conn, reader: bufio.NewReaderSize(conn, 4<<10), inspector: sock.NewInspector(raw), idleTimeout: defaultIdleTimeout,
+		interrupt: func() { conn.SetDeadline(time.Unix(1, 0)) },
 	}, nil
 }
 
-// keep puts a connection back.
-func (a *serverPool) keep(c *serverConn) {
-	c.nc.SetDeadline(time.Time{}) // once past, it would fail the look that connect takes
-	c.until = time.Now().Add(c.idle)
-	c.used = true
-	a.in.mu.Lock()
-	defer a.in.mu.Unlock()
-	if a.closed || len(a.idle) >= a.slots {
-		c.nc.Close()
+// putConn returns a connection to the pool, or closes it if the pool is full or closed.
+func (p *serverPool) putConn(conn *serverConn) {
+	conn.netConn.SetDeadline(time.Time{}) // an expired deadline would fail the check in getConn
+	conn.idleDeadline = time.Now().Add(conn.idleTimeout)
+	conn.used = true
+	p.inbound.mu.Lock()
+	defer p.inbound.mu.Unlock()
+	if p.closed || len(p.idle) >= p.slots {
+		conn.netConn.Close()
 		return
 	}
-	a.idle = append(a.idle, c)
+	p.idle = append(p.idle, conn)
 }
 
-// read reads a whole answer, its head into resp. One to another request may be a surplus one in front of the right one, which is worth
-// waiting for: a request that may run once has no other chance. The connection is not used again.
-func (c *serverConn) read(method, attempt string) (body []byte, err error) {
-	limits := http1.Limits{Head: serverHead, Body: serverBody}
+// read reads the response to a request, its head into c.resp. It skips up to maxSkipped responses to other requests, because
+// the right one may follow and a non-idempotent request can't be retried. The connection is not reused in that case.
+func (c *serverConn) read(method, attemptID string) (body []byte, err error) {
+	limits := http1.Limits{Head: maxServerHead, Body: maxServerBody}
 	for n := 0; ; n++ {
-		if err := c.resp.Read(c.r, method, limits); err != nil {
+		if err := c.resp.Read(c.reader, method, limits); err != nil {
 			return nil, err
 		}
-		body, err := http1.ReadBody(c.r, c.resp.Length, limits)
+		body, err := http1.ReadBody(c.reader, c.resp.Length, limits)
 		if err != nil {
 			return nil, err
 		}
 		id := c.resp.Headers.Get("Attempt-Id")
-		if id == "" || id == attempt || c.resp.Close || n >= maxSurplus {
+		if id == "" || id == attemptID || c.resp.Close || n >= maxSkipped {
 			return body, nil
 		}
-		c.surplus = true
+		c.skipped = true
 	}
 }
 
-// answered notes for how long the server keeps the connection.
-func (c *serverConn) answered() {
+// updateIdleTimeout applies the timeout of the response's Keep-Alive header.
+func (c *serverConn) updateIdleTimeout() {
 	for part := range strings.SplitSeq(c.resp.Headers.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if n, err := strconv.Atoi(value); strings.EqualFold(name, "timeout") && err == nil && n >= 0 {
-			c.idle = time.Duration(n)*time.Second - idleMargin
+			c.idleTimeout = time.Duration(n)*time.Second - idleMargin
 		}
 	}
 }
