--- a/internal/dataplane/proxy/listener.go
+++ b/internal/dataplane/proxy/listener.go
@@ -1,5 +1,5 @@
 // Package proxy forwards HTTP requests. Outbound accepts requests from clients on this machine and selects a server for each.
-// Inbound forwards requests from all nodes to the servers on this machine, and all their requests pass through it.
+// Inbound forwards requests from all nodes to the servers on this machine, which receive all their requests through it.
 package proxy
 
 import (
@@ -21,7 +21,7 @@
 	writeTimeout     = 10 * time.Second       // for a client to receive a response
 	lingerTimeout    = 180 * time.Millisecond // for a client to receive the last response before the connection is closed
 	bodyTimeout      = 30 * time.Second       // for a client to send a body
-	maxUncountedBody = 64 << 10               // bytes; smaller bodies do not count against Listener.Memory
+	maxUncountedBody = 64 << 10               // bytes; bodies up to this size do not count against Listener.Memory
 )
 
 // Call is a request with its complete body.
@@ -64,11 +64,11 @@
 	clients      map[*clientConn]bool
 	open         atomic.Int64
 	pending      atomic.Int64
-	workers      *workerpool.Pool // run the requests; created by Serve
+	workers      *workerpool.Pool // runs Handle; created by Serve
 	bodyMemory   atomic.Int64     // bytes
 }
 
-// BeginShutdown makes each connection close with the next response after which no request is pending.
+// BeginShutdown makes each connection close with the next response that leaves no request pending.
 func (l *Listener) BeginShutdown() { l.shuttingDown.Store(true) }
 
 // Stop stops reading requests. It closes connections without a pending request at once, and the others after their last
