--- a/internal/controlplane/raft/append_entries.go
+++ b/internal/controlplane/raft/append_entries.go
@@ -6,20 +6,21 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// handleAppendEntries appends a leader's entries where they join the own log (thesis, 3.5).
+// handleAppendEntries appends the leader's entries if the log matches at the entry before them (thesis, 3.5). Otherwise it
+// rejects them with a hint where the logs may match.
 func (n *Node) handleAppendEntries(m *wire.RaftMessage) {
 	reply := &wire.RaftMessage{
 		Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, To: m.From, HeartbeatRound: m.HeartbeatRound,
 		SyncUs: uint32(n.syncTime.Microseconds()),
 	}
 	index, entries := m.Index, m.Entries
-	for len(entries) > 0 && index < n.snapshot.Index { // these are in the snapshot
+	for len(entries) > 0 && index < n.snapshot.Index { // already in the snapshot
 		index, entries = entries[0].Index, entries[1:]
 	}
 	t, ok := n.term(index)
 	switch {
 	case index < n.snapshot.Index:
-		reply.Index = n.committed // all of it matches
+		reply.Index = n.committed // committed entries always match
 	case !ok || index == m.Index && t != m.LogTerm:
 		reply.Reject = true
 		reply.Index, reply.LogTerm = n.conflictHint(index, m.LogTerm)
@@ -31,7 +32,7 @@
 	n.send(reply)
 }
 
-// appendMissing appends the entries that the log lacks, in place of those that conflict with them.
+// appendMissing appends the entries that are not in the log. It truncates the log at the first conflicting entry.
 func (n *Node) appendMissing(entries []*wire.Entry) {
 	for i, e := range entries {
 		t, ok := n.term(e.Index)
@@ -46,8 +47,8 @@
 	}
 }
 
-// conflictHint returns the position to which the leader may go back at once, over whole terms, after its entry at an
-// index did not match.
+// conflictHint returns the index and term from which the leader should retry, after its entry at index did not match. It
+// skips the entries of terms after logTerm, which cannot match.
 func (n *Node) conflictHint(index, logTerm uint64) (hint, hintTerm uint64) {
 	hint = min(index-1, n.last())
 	for hint > n.committed {
@@ -60,17 +61,17 @@
 	return hint, hintTerm
 }
 
-// handleAppendEntriesResponse takes a member's answer to entries, a heartbeat or a snapshot.
+// handleAppendEntriesResponse processes a member's response to entries, a heartbeat or a snapshot.
 func (n *Node) handleAppendEntriesResponse(m *wire.RaftMessage) {
 	p := n.progress[m.From]
 	if n.state != stateLeader || p == nil {
 		return
 	}
 	p.lastContact, p.syncTime = n.now, time.Duration(m.SyncUs)*time.Microsecond
-	n.keepStamp(p, m.Stamp)
+	n.storeStamp(p, m.Stamp)
 	if m.HeartbeatRound > p.heartbeatRound {
 		p.heartbeatRound = m.HeartbeatRound
-		n.confirmContact()
+		n.updateQuorumContact()
 	}
 	if m.Reject {
 		n.handleRejection(p, m)
--- a/internal/controlplane/raft/coldstart_test.go
+++ b/internal/controlplane/raft/coldstart_test.go
@@ -35,7 +35,7 @@
 func TestPendingProposalsShareMessages(t *testing.T) {
 	c := leading(t)
 	settle(c)
-	const burst = 3 * maxEntries
+	const burst = 3 * maxMessageEntries
 	entries := 0
 	for range burst {
 		if _, _, err := c.Propose(c.now, []byte("registration")); err != nil {
--- a/internal/controlplane/raft/compaction.go
+++ b/internal/controlplane/raft/compaction.go
@@ -6,19 +6,18 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// The backlog after a snapshot with which the next one is due: at least snapshotEntries and a share of the state's size,
-// or one of the maxima. So a large state is written less often than a small one, and snapshots never write more than
-// snapshotShare times what the log itself writes.
+// A snapshot is due when the backlog of entries after the last one reaches one of the maxima, or has minBacklogEntries and
+// the last snapshot is at most snapshotWriteRatio times its size. Below the maxima, snapshots therefore write at most
+// snapshotWriteRatio times as many bytes as the log.
 const (
-	snapshotEntries    = 512
-	maxSnapshotEntries = 8 * snapshotEntries
-	snapshotBytes      = 16 << 20
-	snapshotShare      = 2
+	minBacklogEntries  = 512
+	maxBacklogEntries  = 8 * minBacklogEntries
+	maxBacklogBytes    = 16 << 20
+	snapshotWriteRatio = 2
 )
 
-// The tail of entries that is kept before a snapshot, for members that lag: some seconds of changes at 2,000 a second. A
-// leader keeps more, within the catch-up bounds, while a member is sent entries or a snapshot after which it will need
-// them.
+// The tail of entries before the snapshot is kept for members that lag. A leader keeps up to catchUpEntries and
+// catchUpBytes while a member needs them to catch up.
 const (
 	tailEntries    = 8192
 	tailBytes      = 16 << 20
@@ -26,25 +25,25 @@
 	catchUpBytes   = 4 * tailBytes
 )
 
-// Backlog is the number of entries after the snapshot.
+// Backlog returns the number of entries after the snapshot.
 func (l *raftLog) Backlog() int { return int(l.last() - l.snapshot.Index) }
 
-// First is the index of the oldest entry that has to stay on disk, for the term that precedes the log. Where it is the
-// snapshot's own index, the entry may be missing.
+// First returns the index of the oldest entry that must stay on disk. It precedes the entries in memory, and its term is
+// needed to match the first of them. The entry may be missing if its index is the snapshot's.
 func (l *raftLog) First() uint64 { return l.base.index }
 
-// SnapshotDue reports whether the state should be compacted, which bounds the log in memory and on disk whatever the
-// size of the proposals.
+// SnapshotDue reports whether the log should be compacted. Compaction bounds the log in memory and on disk, regardless of
+// the size of the proposals.
 func (l *raftLog) SnapshotDue() bool {
 	switch {
-	case l.backlogBytes >= snapshotBytes, l.Backlog() >= maxSnapshotEntries:
+	case l.backlogBytes >= maxBacklogBytes, l.Backlog() >= maxBacklogEntries:
 		return true
 	}
-	return l.Backlog() >= snapshotEntries && snapshotShare*l.backlogBytes >= len(l.snapshot.Data)
+	return l.Backlog() >= minBacklogEntries && snapshotWriteRatio*l.backlogBytes >= len(l.snapshot.Data)
 }
 
-// Compact makes a snapshot of the state as it was at an applied index the log's own, and drops the entries before it
-// that are beyond the tail to be kept (thesis, 5.1). It returns nil if the log has a newer snapshot already.
+// Compact sets the snapshot to data, the state at an applied index, and drops the entries before the retained tail
+// (thesis, 5.1). It returns nil if index is not applied yet or not newer than the current snapshot.
 func (n *Node) Compact(index uint64, data []byte) *wire.RaftSnapshot {
 	if index > n.applied || index <= n.snapshot.Index {
 		return nil
@@ -58,7 +57,7 @@
 	return n.snapshot
 }
 
-// dropMembershipsBefore makes the membership in force at an index the first one.
+// dropMembershipsBefore drops the memberships before the one in force at index, which becomes the first.
 func (l *raftLog) dropMembershipsBefore(index uint64) {
 	inForce := 0
 	for i, m := range l.memberships {
@@ -70,12 +69,12 @@
 	l.memberships[0].index = index
 }
 
-// trimTail drops the oldest entries that need not be kept.
+// trimTail drops the entries before the snapshot that no longer have to be kept.
 func (n *Node) trimTail() {
 	base := n.tailBase(n.tailEntries, tailBytes)
 	if n.state == stateLeader {
 		for _, p := range n.progress {
-			base = min(base, n.neededBy(p))
+			base = min(base, n.catchUpBase(p))
 		}
 	}
 	base = max(base, n.tailBase(n.catchUpEntries, catchUpBytes))
@@ -87,8 +86,8 @@
 	n.base = position{base, term}
 }
 
-// neededBy is the index after which a member needs all entries to catch up.
-func (n *Node) neededBy(p *progress) uint64 {
+// catchUpBase returns the index after which entries must be kept so that a member can catch up.
+func (n *Node) catchUpBase(p *progress) uint64 {
 	switch {
 	case n.now-p.lastContact > catchUpTimeout:
 		return n.last()
@@ -97,10 +96,11 @@
 	case p.match >= n.base.index:
 		return p.match
 	}
-	return n.last() // it needs a snapshot, and will get the newest one
+	return n.last() // the member needs a snapshot, and is sent the newest one
 }
 
-// tailBase is the index up to which entries are dropped if so many entries and bytes are kept before the snapshot.
+// tailBase returns the index up to which entries can be dropped if at most the given numbers of entries and bytes are kept
+// before the snapshot.
 func (l *raftLog) tailBase(entries, bytes int) uint64 {
 	base := l.snapshot.Index
 	for base > l.base.index && entries > 0 {
@@ -114,7 +114,7 @@
 	return base
 }
 
-// countBacklog counts the bytes of the entries after the snapshot.
+// countBacklog recomputes backlogBytes.
 func (l *raftLog) countBacklog() {
 	l.backlogBytes = 0
 	for _, e := range l.entries[l.snapshot.Index-l.base.index:] {
--- a/internal/controlplane/raft/compaction_test.go
+++ b/internal/controlplane/raft/compaction_test.go
@@ -91,13 +91,13 @@
 // TestLargeStatesAreSnapshottedLessOften: a snapshot that is as large as many entries waits for as many.
 func TestLargeStatesAreSnapshottedLessOften(t *testing.T) {
 	c := leading(t)
-	proposeMany(t, c, snapshotEntries, 100)
+	proposeMany(t, c, minBacklogEntries, 100)
 	c.Compact(c.applied, make([]byte, 8<<20))
-	proposeMany(t, c, 2*snapshotEntries, 100)
+	proposeMany(t, c, 2*minBacklogEntries, 100)
 	if c.SnapshotDue() {
 		t.Errorf("%d entries of 100 bytes make a snapshot of 8 MB due", c.Backlog())
 	}
-	proposeMany(t, c, maxSnapshotEntries-2*snapshotEntries, 10)
+	proposeMany(t, c, maxBacklogEntries-2*minBacklogEntries, 10)
 	if !c.SnapshotDue() {
 		t.Errorf("%d entries make none due", c.Backlog())
 	}
--- a/internal/controlplane/raft/election.go
+++ b/internal/controlplane/raft/election.go
@@ -6,40 +6,40 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// campaignType says how a campaign begins.
+// campaignType is the phase or cause of a campaign.
 type campaignType int
 
 const (
-	campaignPreElection campaignType = iota // pre-vote: nothing changes before a majority would grant its votes
+	campaignPreElection campaignType = iota // pre-vote: leaves term and vote unchanged
 	campaignElection
-	campaignTransfer // as campaignElection, asked for by the leader itself
+	campaignTransfer // election requested by the leader, for a leadership transfer
 )
 
-// resetElectionTimer draws the time at which this member campaigns if it has no contact with a leader before.
+// resetElectionTimer draws a random deadline. The member campaigns when it expires without contact to a leader.
 func (n *Node) resetElectionTimer() {
-	low, high := electionMin, electionMax
-	if n.leaderID == noID && n.now-n.startedAt < startPhase {
-		low, high = startElectionMin, startElectionMax
+	low, high := minElectionTimeout, maxElectionTimeout
+	if n.leaderID == noID && n.now-n.startedAt < startupPhase {
+		low, high = minStartupElectionTimeout, maxStartupElectionTimeout
 	}
 	n.electionDeadline = n.now + low + time.Duration(n.rng.Int64N(int64(high-low)))
 }
 
-// becomeFollower enters a term as a follower; noID: its leader is not known.
+// becomeFollower makes this member a follower in term. leaderID is noID if the term's leader is unknown.
 func (n *Node) becomeFollower(term, leaderID uint64) {
 	if n.state == stateLeader {
-		n.contactAt = n.knownContactAt() // before the term changes
+		n.contactAt = n.knownContactAt() // before the term changes, on which it depends
 		n.rejectPendingReads()
 		clear(n.progress)
 	}
 	if term > n.hardState.Term {
 		n.hardState.Term, n.hardState.Vote = term, noID
 	}
-	n.state, n.leaderID, n.leadTransferee = stateFollower, leaderID, noID
+	n.state, n.leaderID, n.transferee = stateFollower, leaderID, noID
 	n.resetElectionTimer()
 }
 
-// campaign requests votes. It begins with a pre-vote, since a member that was cut off would else depose a leader with
-// whom all others are in contact (thesis, 9.6); a leadership transfer needs none.
+// campaign requests votes or pre-votes from the other voters. A pre-vote prevents a member that was partitioned from
+// deposing a leader with which all others are in contact (thesis, 9.6). Leadership transfers skip it.
 func (n *Node) campaign(kind campaignType) {
 	n.leaderID = noID
 	n.votes = map[uint64]bool{n.id: true}
@@ -49,7 +49,7 @@
 	} else {
 		n.state = stateCandidate
 		n.hardState.Term, n.hardState.Vote = term, n.id
-		n.campaignAt = n.now
+		n.campaignStartedAt = n.now
 	}
 	for _, p := range n.Peers() {
 		if p.Voter && p.Id != n.id {
@@ -62,11 +62,11 @@
 	n.countVotes()
 }
 
-// handleRequestVote answers a candidate or pre-candidate.
+// handleRequestVote replies to a candidate or pre-candidate.
 func (n *Node) handleRequestVote(m *wire.RaftMessage) {
 	reply := &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, To: m.From, PreVote: m.PreVote, Reject: true}
-	// A member in contact with its leader disregards requests, unless the leader has asked for them (thesis, 4.2.3).
-	leaderAlive := !m.LeadershipTransfer && (n.state == stateLeader || n.leaderID != noID && n.now-n.leaderContactAt < electionMin)
+	// A member in contact with its leader rejects requests, unless the leader requested the election (thesis, 4.2.3).
+	leaderAlive := !m.LeadershipTransfer && (n.state == stateLeader || n.leaderID != noID && n.now-n.leaderContactAt < minElectionTimeout)
 	// Election restriction: a leader must have all committed entries (thesis, 3.6.1).
 	logUpToDate := m.LogTerm > n.lastTerm() || m.LogTerm == n.lastTerm() && m.Index >= n.last()
 	switch {
@@ -80,7 +80,7 @@
 			n.becomeFollower(m.Term, noID)
 		}
 		if logUpToDate && (n.hardState.Vote == noID || n.hardState.Vote == m.From) {
-			n.hardState.Vote = m.From // synced before the answer is sent
+			n.hardState.Vote = m.From // synced before the reply is sent: see Ready
 			reply.Reject = false
 			n.resetElectionTimer()
 		}
@@ -91,10 +91,10 @@
 	n.send(reply)
 }
 
-// voteRejectionReason says why a vote was rejected.
+// voteRejectionReason returns the reason to report with a rejected vote.
 func (n *Node) voteRejectionReason(m *wire.RaftMessage, leaderAlive, logUpToDate bool) wire.RaftMessage_Refusal {
 	switch {
-	case n.isStranger(m.From):
+	case n.isNonMember(m.From):
 		return wire.RaftMessage_NOT_MEMBER
 	case m.Term < n.hardState.Term:
 		return wire.RaftMessage_STALE_TERM
@@ -106,7 +106,7 @@
 	return wire.RaftMessage_ALREADY_VOTED
 }
 
-// handlePreVote counts a granted pre-vote for the campaign in progress.
+// handlePreVote counts a granted pre-vote if it belongs to the current campaign.
 func (n *Node) handlePreVote(m *wire.RaftMessage) {
 	if n.state == statePreCandidate && m.Term == n.hardState.Term+1 {
 		n.votes[m.From] = true
@@ -114,7 +114,7 @@
 	}
 }
 
-// countVotes goes on once a majority has granted its votes.
+// countVotes starts the election after a won pre-vote, and makes this member the leader after a won election.
 func (n *Node) countVotes() {
 	granted, voters := 0, 0
 	for _, p := range n.Peers() {
@@ -135,17 +135,17 @@
 	n.becomeLeader()
 }
 
-// becomeLeader begins to lead the term in which this member was elected.
+// becomeLeader makes this member the leader of the current term.
 func (n *Node) becomeLeader() {
-	n.state, n.leaderID, n.leadTransferee = stateLeader, n.id, noID
+	n.state, n.leaderID, n.transferee = stateLeader, n.id, noID
 	n.progress = map[uint64]*progress{}
-	// No later term has a leader before a majority has voted in it, which was after this campaign began.
-	n.quorumContactAt, n.leaderSince = n.campaignAt, n.now
+	// A majority voted in this term after the campaign started, so no later term had a leader at that time.
+	n.quorumContactAt, n.leaderSince = n.campaignStartedAt, n.now
 	clear(n.roundStartedAt)
 	clear(n.leaving)
-	n.catchUp = catchUp{}
-	// Only an entry of the leader's own term is committed by counting replicas (thesis, 3.6.2 and 6.4).
+	n.catchUp = catchUpTracker{}
+	// A leader can only commit entries of its own term by counting replicas (thesis, 3.6.2 and 6.4), so it appends one.
 	n.append(&wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_NO_OP})
-	n.resetProgress()
+	n.updateProgress()
 	n.broadcastHeartbeat()
 }
--- a/internal/controlplane/raft/election_test.go
+++ b/internal/controlplane/raft/election_test.go
@@ -16,11 +16,11 @@
 		if member.Leader() != 2 {
 			t.Fatalf("member %d: %d leads", id, member.Leader())
 		}
-		member.Tick(lateNow + electionMin - 1)
+		member.Tick(lateNow + minElectionTimeout - 1)
 		if member.Leader() != 2 {
 			t.Errorf("member %d has forgotten its leader too soon", id)
 		}
-		member.Tick(lateNow + electionMax)
+		member.Tick(lateNow + maxElectionTimeout)
 		if member.Leader() != 0 {
 			t.Errorf("member %d still names %d", id, member.Leader())
 		}
--- a/internal/controlplane/raft/fingerprint.go
+++ b/internal/controlplane/raft/fingerprint.go
@@ -11,13 +11,13 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// AppendFingerprint appends to b what determines this member's behaviour, and nothing else: two members with the same
-// fingerprint react alike to the same events. It is what a model checker compares states by. A time counts only by the
-// timeouts that it has passed. rename maps identities to numbers, so that states which differ by identities alone have
-// the same fingerprint.
+// AppendFingerprint appends the state that determines this member's behaviour to b. Two members with equal fingerprints
+// react alike to the same events, so model checkers compare states by it. Times are included only as the timeouts that
+// have expired. rename maps identities to numbers, so that states that differ only in their identities have equal
+// fingerprints.
 func (n *Node) AppendFingerprint(b []byte, rename func(uint64) uint64) []byte {
 	b = appendNumbers(b, rename(n.id), uint64(n.state), rename(n.leaderID), n.hardState.Term, rename(n.hardState.Vote))
-	b = appendFlags(b, n.now-n.leaderContactAt < electionMin, n.now >= n.electionDeadline)
+	b = appendFlags(b, n.now-n.leaderContactAt < minElectionTimeout, n.now >= n.electionDeadline)
 	b = n.raftLog.appendFingerprint(b, rename)
 	if n.state == statePreCandidate || n.state == stateCandidate {
 		b = appendIDs(b, slices.Collect(maps.Keys(n.votes)), rename)
@@ -28,7 +28,7 @@
 	return b
 }
 
-// appendFingerprint appends the log's part.
+// appendFingerprint appends the log's part of the fingerprint to b.
 func (l *raftLog) appendFingerprint(b []byte, rename func(uint64) uint64) []byte {
 	b = appendNumbers(b, l.stable, l.committed, l.applied, l.snapshot.Index, l.snapshot.Term)
 	b = appendPeers(b, l.snapshot.GetPeers().GetPeers(), rename)
@@ -39,18 +39,18 @@
 	return b
 }
 
-// fingerprintRounds is how many of the last rounds of heartbeats differ by what an answer to them would confirm.
+// fingerprintRounds is the number of most recent heartbeat rounds whose age is part of the fingerprint.
 const fingerprintRounds = 4
 
-// appendLeaderFingerprint appends a leader's part.
+// appendLeaderFingerprint appends the state that only a leader maintains to b.
 func (n *Node) appendLeaderFingerprint(b []byte, rename func(uint64) uint64) []byte {
 	b = appendFlags(b, n.isolated())
 	b = appendNumbers(b, n.heartbeatRound)
 	for r := n.heartbeatRound; r > 0 && n.heartbeatRound-r < fingerprintRounds; r-- {
 		at, ok := n.roundStartedAt[r]
-		b = appendFlags(b, ok && n.now-at <= electionMax)
+		b = appendFlags(b, ok && n.now-at <= maxElectionTimeout)
 	}
-	b = appendNumbers(b, rename(n.leadTransferee))
+	b = appendNumbers(b, rename(n.transferee))
 	ids := slices.SortedFunc(maps.Keys(n.progress), func(x, y uint64) int { return cmp.Compare(rename(x), rename(y)) })
 	for _, id := range ids {
 		p := n.progress[id]
@@ -126,7 +126,7 @@
 	return appendIDs(b, ids, func(id uint64) uint64 { return id })
 }
 
-// appendIDs appends a set of identities.
+// appendIDs appends a set of identities in ascending order to b. It modifies ids.
 func appendIDs(b []byte, ids []uint64, rename func(uint64) uint64) []byte {
 	for i := range ids {
 		ids[i] = rename(ids[i])
--- a/internal/controlplane/raft/leadership_transfer.go
+++ b/internal/controlplane/raft/leadership_transfer.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	leadTransferTimeout = electionMin            // a transfer that takes longer is abandoned
-	slowSync            = 8 * time.Millisecond   // a leader whose synced writes take less keeps the leadership ...
-	slowSyncFactor      = 4                      // ... and so does one whose writes take less than this times another's
-	maxSyncTime         = 10 * time.Second       // a longer write counts as one of this
-	syncTimeWeight      = 0.25                   // of the newest write in the moving average
-	recentContact       = 200 * time.Millisecond // a transferee has answered within this time
+	transferTimeout = minElectionTimeout     // a transfer is abandoned after this time
+	slowSync        = 8 * time.Millisecond   // a leader with a lower sync time keeps the leadership
+	slowSyncFactor  = 4                      // a leader keeps the leadership unless its sync time exceeds the candidate's by this factor
+	maxSyncTime     = 10 * time.Second       // longer samples are clamped to this value
+	syncTimeWeight  = 0.25                   // weight of the newest sample in the moving average
+	recentContact   = 200 * time.Millisecond // a transferee must have responded within this time
 )
 
-// ObserveSync takes the duration of a synced write on this member's disk. Members report the average to the leader, which
-// transfers leadership to one with a far faster disk: every change waits for the leader's own.
-func (n *Node) ObserveSync(took time.Duration) {
-	took = max(time.Microsecond, min(took, maxSyncTime))
+// ObserveSync records the duration of a synced write on this member's disk. Members report the moving average to the
+// leader. As every change waits for the leader's disk, the leader transfers leadership to a voter with a much faster one.
+func (n *Node) ObserveSync(duration time.Duration) {
+	duration = max(time.Microsecond, min(duration, maxSyncTime))
 	if n.syncTime == 0 {
-		n.syncTime = took
+		n.syncTime = duration
 	}
-	n.syncTime += time.Duration(syncTimeWeight * float64(took-n.syncTime))
+	n.syncTime += time.Duration(syncTimeWeight * float64(duration-n.syncTime))
 }
 
-// ShouldTransferLeadership reports whether the leader's disk is far slower than that of another voter that could lead.
+// ShouldTransferLeadership reports whether this member leads and its disk is much slower than the transfer candidate's.
 func (n *Node) ShouldTransferLeadership() bool {
 	if n.state != stateLeader || n.syncTime < slowSync {
 		return false
@@ -34,43 +34,44 @@
 	return p != nil && p.syncTime > 0 && n.syncTime > slowSyncFactor*p.syncTime
 }
 
-// transferCandidate is the voter that could best take over: the one with the longest log, and of these the one with the
-// fastest disk; noID: no other voter is in contact.
+// transferCandidate returns the voter with the longest log, and among equals the one with the fastest disk. It returns
+// noID if no other voter is in contact.
 func (n *Node) transferCandidate() (best uint64) {
 	for _, p := range n.Peers() {
-		o := n.progress[p.Id]
-		if !p.Voter || o == nil || n.now-o.lastContact > recentContact || o.match == 0 {
+		candidate := n.progress[p.Id]
+		if !p.Voter || candidate == nil || n.now-candidate.lastContact > recentContact || candidate.match == 0 {
 			continue
 		}
-		if b := n.progress[best]; b == nil || o.match > b.match || o.match == b.match && o.syncTime < b.syncTime {
+		if current := n.progress[best]; current == nil || candidate.match > current.match ||
+			candidate.match == current.match && candidate.syncTime < current.syncTime {
 			best = p.Id
 		}
 	}
 	return best
 }
 
-// TransferLeadership begins a leadership transfer (thesis, 3.10): once another voter has the complete log, it is asked to
-// start an election. Proposals are dropped meanwhile. It reports false if this member does not lead or no other could. A
-// transfer that takes longer than leadTransferTimeout is abandoned.
+// TransferLeadership begins a leadership transfer (thesis, 3.10). Once the transferee has the complete log, the leader
+// sends it a TIMEOUT_NOW message. Proposals are dropped until the transfer has ended or transferTimeout has passed. It
+// returns false if this member is not the leader or there is no candidate.
 func (n *Node) TransferLeadership(now time.Duration) bool {
 	n.now = now
 	if n.state != stateLeader {
 		return false
 	}
-	if n.leadTransferee != noID {
+	if n.transferee != noID {
 		return true
 	}
-	if n.leadTransferee = n.transferCandidate(); n.leadTransferee == noID {
+	if n.transferee = n.transferCandidate(); n.transferee == noID {
 		return false
 	}
-	n.leadTransferDeadline = now + leadTransferTimeout
-	n.sendTimeoutNow(n.leadTransferee)
+	n.transferDeadline = now + transferTimeout
+	n.sendTimeoutNow(n.transferee)
 	return true
 }
 
-// sendTimeoutNow asks the transferee to start an election, once it has the complete log.
+// sendTimeoutNow requests an election from a member if it is the transferee and has the complete log.
 func (n *Node) sendTimeoutNow(id uint64) {
-	if p := n.progress[id]; id != noID && id == n.leadTransferee && p != nil && p.match == n.last() {
+	if p := n.progress[id]; id != noID && id == n.transferee && p != nil && p.match == n.last() {
 		n.send(&wire.RaftMessage{Kind: wire.RaftMessage_TIMEOUT_NOW, To: id})
 	}
 }
--- a/internal/controlplane/raft/leave.go
+++ b/internal/controlplane/raft/leave.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Graceful shutdown of a member: its process transfers leadership (TransferLeadership), then asks the leader until its
-// log is on a majority of the remaining voters. MembershipManager.Leave is the side of the process that shuts down, and
-// this file the leader's.
+// A member shuts down gracefully in two steps: it transfers leadership (TransferLeadership), and then repeats leave
+// requests to the leader until LeaveStatus.Done. This file implements the leader's side, and MembershipManager.Leave the
+// side of the member that shuts down.
 
-// LeaveStatus is the leader's answer to a member that is about to shut down.
+// LeaveStatus is the leader's response to a member that is shutting down.
 type LeaveStatus struct {
 	Replicated bool // a majority of the remaining voters has the member's last entry on disk
-	Removed    bool // it is no longer a member, and that is committed
-	KeepsVote  bool // there are no more voters than wanted and no learner to replace it: it remains a voter and may come back
+	Removed    bool // the member's removal is committed
+	KeepsVote  bool // the member remains a voter: there are no more voters than wanted, and no learner is ready to replace it
 }
 
-// Done reports whether the member may end its process.
-func (d LeaveStatus) Done() bool { return d.Replicated && (d.Removed || d.KeepsVote) }
+// Done reports whether the member's process may exit.
+func (s LeaveStatus) Done() bool { return s.Replicated && (s.Removed || s.KeepsVote) }
 
-// Leave notes that a member, whose newest entry has lastIndex and lastTerm, is about to shut down, and returns how far
-// that has come; ok is false if this member does not lead. If there are more voters than wanted, or a learner is ready
-// to replace the member, Reconcile removes it.
+// Leave handles the leave request of a member whose newest entry has lastIndex and lastTerm. Once a majority of the other
+// voters has this entry, Reconcile removes the member if there are more voters than wanted or a learner is ready to replace
+// it. ok is false if this member is not the leader, or is the one that leaves.
 func (n *Node) Leave(now time.Duration, id, lastIndex, lastTerm uint64, wanted int) (status LeaveStatus, ok bool) {
 	n.now = now
 	if n.state != stateLeader || id == n.id {
@@ -37,30 +37,30 @@
 	return status, true
 }
 
-// isLeaving reports whether a member has announced its shutdown and was not started again since: one that answers long
-// after its last announcement was.
+// isLeaving reports whether a member has announced its shutdown and has not been restarted since. A response more than
+// unresponsiveAfter after the last announcement shows a restart.
 func (n *Node) isLeaving(id uint64) bool {
-	leftAt, known := n.leaving[id]
+	announcedAt, known := n.leaving[id]
 	p := n.progress[id]
-	return known && p != nil && p.lastContact-leftAt < unresponsiveAfter
+	return known && p != nil && p.lastContact-announcedAt < unresponsiveAfter
 }
 
-// replicatedWithout reports whether a majority of all voters but one has an entry on disk. An entry that is not in this
-// leader's log was never committed; the member truncates it with the next message, and asks again. Up to the snapshot
-// there is nothing to compare, since all of that is committed.
+// replicatedWithout reports whether a majority of the voters other than id has the entry on disk. It returns false if the
+// entry is not in this leader's log: it was never committed, and the member truncates it when it receives the leader's
+// entries. Entries up to the snapshot are committed, so their terms are not compared.
 func (n *Node) replicatedWithout(id, index, term uint64) bool {
 	if t, ok := n.term(index); index > n.snapshot.Index && (!ok || t != term) {
 		return false
 	}
-	voters, holders := 0, 0
+	voters, replicas := 0, 0
 	for _, p := range n.Peers() {
 		if !p.Voter || p.Id == id {
 			continue
 		}
 		voters++
 		if p.Id == n.id && n.stable >= index || n.progress[p.Id] != nil && n.progress[p.Id].match >= index {
-			holders++
+			replicas++
 		}
 	}
-	return holders > voters/2
+	return replicas > voters/2
 }
--- a/internal/controlplane/raft/log.go
+++ b/internal/controlplane/raft/log.go
@@ -8,8 +8,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// raftLog is a member's log in memory: a snapshot, a tail of entries before it that is kept for members that lag behind
-// (see compaction.go), and all entries after it.
+// raftLog is a member's log in memory: a snapshot, the tail of entries before it that is kept for lagging members (see
+// compaction.go), and all entries after it.
 //
 //	base ....... snapshot.Index ....... applied <= committed ....... last()
 //	     tail                   backlog
@@ -18,35 +18,35 @@
 // stable <= last().
 type raftLog struct {
 	snapshot        *wire.RaftSnapshot
-	pendingSnapshot *wire.RaftSnapshot // to be returned by the next Ready; nil: none
-	base            position           // of the entry before entries[0]
+	pendingSnapshot *wire.RaftSnapshot // to be returned by the next Ready; nil if there is none
+	base            position           // position of the entry before entries[0]
 	entries         []*wire.Entry
-	backlogBytes    int    // of the entries after the snapshot
-	stable          uint64 // last index that is on disk
-	firstUnsaved    uint64 // first index that has to be written; 0: none
+	backlogBytes    int    // size of the entries after the snapshot
+	stable          uint64 // last index on disk
+	firstUnsaved    uint64 // first index that has not been returned by Ready; zero if there is none
 	committed       uint64
 	applied         uint64
-	memberships     []membership // ascending by index; the first is the snapshot's
+	memberships     []membership // in ascending order of index; the first is the snapshot's
 
-	tailEntries    int // max. entries kept before the snapshot
-	catchUpEntries int // the same, while a member catches up
+	tailEntries    int // maximum number of entries kept before the snapshot
+	catchUpEntries int // the same maximum while a member catches up
 }
 
-// membership is the set of members from an index of the log on. A member uses the newest one as soon as it is in its
-// log, committed or not (thesis, 4.1).
+// membership is the set of members from a log index on. A member uses the newest membership in its log, committed or not
+// (thesis, 4.1).
 type membership struct {
 	index uint64
 	peers []*wire.Peer
 }
 
-// position identifies an entry: the log matching property says that two logs with an entry of the same index and term
-// are alike up to it (thesis, 3.5).
+// position identifies a log entry. By the log matching property, two logs that both have the entry are identical up to it
+// (thesis, 3.5).
 type position struct {
 	index, term uint64
 }
 
-// newLog returns the log as the disk has it. Entries up to the snapshot's index are its tail; of the first of those only
-// the position is of use.
+// newLog returns the log that is stored on disk. The entries up to the snapshot's index are the tail, and the first of
+// them only provides the base position.
 func newLog(snapshot *wire.RaftSnapshot, entries []*wire.Entry) raftLog {
 	l := raftLog{
 		snapshot:       snapshot,
@@ -72,19 +72,19 @@
 	return l
 }
 
-// first is the index of the oldest entry in memory.
+// first returns the index of the oldest entry in memory.
 func (l *raftLog) first() uint64 { return l.base.index + 1 }
 
-// last is the index of the newest entry.
+// last returns the index of the newest entry, or the base index if there are no entries.
 func (l *raftLog) last() uint64 { return l.base.index + uint64(len(l.entries)) }
 
-// lastTerm is the term of the newest entry.
+// lastTerm returns the term at the last index.
 func (l *raftLog) lastTerm() uint64 {
 	t, _ := l.term(l.last())
 	return t
 }
 
-// term returns the term of an index; ok is false where it is not in the log.
+// term returns the term at index. ok is false if index is not in the log.
 func (l *raftLog) term(index uint64) (term uint64, ok bool) {
 	switch {
 	case index == l.base.index:
@@ -95,7 +95,7 @@
 	return l.entries[index-l.first()].Term, true
 }
 
-// append adds entries at the end of the log.
+// append adds entries to the end of the log. Ready returns them to be saved.
 func (l *raftLog) append(entries ...*wire.Entry) {
 	for _, e := range entries {
 		l.entries = append(l.entries, e)
@@ -107,18 +107,18 @@
 	}
 }
 
-// trackMembership notes the membership that an entry brings, if it does.
+// trackMembership adds the membership of a membership entry to memberships. It ignores other entries.
 func (l *raftLog) trackMembership(e *wire.Entry) {
 	if e.Kind != wire.Entry_MEMBERSHIP {
 		return
 	}
 	var peers wire.Peers
-	if proto.Unmarshal(e.Data, &peers) == nil { // it was marshalled by a leader, and its checksum was verified
+	if proto.Unmarshal(e.Data, &peers) == nil { // cannot fail: a leader marshalled the data, and its checksum was verified
 		l.memberships = append(l.memberships, membership{e.Index, peers.Peers})
 	}
 }
 
-// truncate drops all entries from an index on, which conflict with the leader's.
+// truncate drops all entries from an index on, because they conflict with the leader's.
 func (l *raftLog) truncate(from uint64) {
 	for _, e := range l.entries[from-l.first():] {
 		l.backlogBytes -= len(e.Data)
@@ -133,8 +133,9 @@
 	}
 }
 
-// restore replaces the log by a snapshot that is ahead of it, and returns up to which index the log is the leader's. A
-// log that contains the snapshot's position leads on from it: what follows there may have been acknowledged, and stays.
+// restore replaces the log by a snapshot that is ahead of the commit index. A log that contains the snapshot's position is
+// kept, since the entries after it may have been acknowledged. restore returns the index up to which the log matches the
+// leader's.
 func (l *raftLog) restore(s *wire.RaftSnapshot) (matched uint64) {
 	if t, ok := l.term(s.GetIndex()); ok && t == s.GetTerm() {
 		l.committed = max(l.committed, s.GetIndex())
@@ -150,14 +151,14 @@
 	return l.committed
 }
 
-// takeSnapshot returns a snapshot that has replaced the log since the last call; nil: none.
+// takeSnapshot returns the snapshot that has replaced the log since the last call. It returns nil if there is none.
 func (l *raftLog) takeSnapshot() *wire.RaftSnapshot {
 	s := l.pendingSnapshot
 	l.pendingSnapshot = nil
 	return s
 }
 
-// takeUnsaved returns the entries that have to be written since the last call.
+// takeUnsaved returns the entries that have been appended since the last call and must be saved.
 func (l *raftLog) takeUnsaved() []*wire.Entry {
 	if l.firstUnsaved == 0 {
 		return nil
@@ -167,7 +168,7 @@
 	return unsaved
 }
 
-// takeCommitted returns the entries that were committed since the last call, which counts them as applied.
+// takeCommitted returns the entries that have been committed since the last call, and marks them as applied.
 func (l *raftLog) takeCommitted() []*wire.Entry {
 	if l.committed <= l.applied {
 		return nil
@@ -177,7 +178,7 @@
 	return committed
 }
 
-// Committed returns the last index that is known to be committed.
+// Committed returns the last index known to be committed.
 func (l *raftLog) Committed() uint64 { return l.committed }
 
 // LastEntry returns the index and the term of the newest entry.
--- a/internal/controlplane/raft/membership.go
+++ b/internal/controlplane/raft/membership.go
@@ -9,66 +9,65 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Timing and sizes of the membership. No voter is removed because a time has passed: a timeout alone is no evidence, see
-// nextRemoval.
+// Timing and limits of membership changes. A timeout alone never removes a voter: see nextRemoval.
 const (
-	unresponsiveAfter         = time.Second            // without an answer for so long, a voter may be replaced by a ready learner ...
-	unresponsiveAfterElection = 400 * time.Millisecond // ... and without any answer to a new leader, for so long
-	contactTimeout            = recentContact          // a member that has answered within this time is in contact
-	undecidedWait             = 2 * unresponsiveAfter  // max. wait of a ready learner for voters that are neither in contact nor unresponsive
-	learnerTimeout            = 30 * time.Second       // an unresponsive learner, which has no vote to lose, is removed
+	unresponsiveAfter         = time.Second            // a voter without a response for this time may be replaced by a ready learner
+	unresponsiveAfterElection = 400 * time.Millisecond // the same, for a member that has never responded to this leader
+	contactTimeout            = recentContact          // a member that has responded within this time is in contact
+	maxPromotionDelay         = 2 * unresponsiveAfter  // longest wait of a ready learner for suspect voters: see nextPromotion
+	learnerTimeout            = 30 * time.Second       // a learner without a response for this time is removed
 	maxVoters                 = 7
-	maxCatchUpLag             = Heartbeat // a learner that has what the log had so long ago has caught up
+	maxCatchUpLag             = Heartbeat // a learner has caught up if it has the entries that the leader had this long ago
 )
 
-// MembershipEvent names a membership change in the event log: see docs/operations.md.
+// MembershipEvent is the name of a membership change in the event log: see docs/operations.md.
 type MembershipEvent string
 
 // The membership changes.
 const (
-	MemberAdded    MembershipEvent = "member.added"    // as a learner
-	MemberMoved    MembershipEvent = "member.moved"    // to another address
-	MemberPromoted MembershipEvent = "member.promoted" // from learner to voter
+	MemberAdded    MembershipEvent = "member.added"    // added as a learner
+	MemberMoved    MembershipEvent = "member.moved"    // its address has changed
+	MemberPromoted MembershipEvent = "member.promoted" // promoted from learner to voter
 	MemberRemoved  MembershipEvent = "member.removed"
 	LearnerRemoved MembershipEvent = "member.learner_removed"
 )
 
-// RemovalReason is the evidence on which a member is removed.
+// RemovalReason is the reason for a member's removal, as it appears in the event log.
 type RemovalReason string
 
-// The evidence. A timeout is none for a voter: a member that is partitioned may come back with its disk.
+// The reasons for a removal. A timeout alone is no reason to remove a voter: a partitioned member may return with its disk.
 const (
 	ReasonNone         RemovalReason = ""
-	ReasonSuperseded   RemovalReason = "superseded" // its address has joined with another identity: its disk is lost
-	ReasonReplaced     RemovalReason = "replaced"   // it is unresponsive, and a learner is ready to replace it
-	ReasonLeft         RemovalReason = "left"       // graceful shutdown
-	ReasonOperator     RemovalReason = "operator"
-	ReasonUnresponsive RemovalReason = "silent" // of a learner
+	ReasonSuperseded   RemovalReason = "superseded" // another identity has joined from its address, so its disk is lost
+	ReasonReplaced     RemovalReason = "replaced"   // it is unresponsive and a learner is ready to replace it
+	ReasonLeft         RemovalReason = "left"       // it shuts down gracefully
+	ReasonOperator     RemovalReason = "operator"   // an operator has requested the removal
+	ReasonUnresponsive RemovalReason = "silent"     // learners only: it has been unresponsive for learnerTimeout
 )
 
-// MembershipChange is a change that a leader should propose.
+// MembershipChange is a membership change for the leader to propose.
 type MembershipChange struct {
-	Next   []*wire.Peer // the membership after it; nil: no change
-	Peer   *wire.Peer   // the member that it adds, changes or removes
+	Next   []*wire.Peer // the membership after the change; nil if there is no change
+	Peer   *wire.Peer   // the member that is added, changed or removed
 	Event  MembershipEvent
-	Reason RemovalReason // of a removal
+	Reason RemovalReason // empty unless Peer is removed
 }
 
-// peerIndex returns the index of a member; -1: it is none.
+// peerIndex returns the index in peers of the member with an identity, or -1 if there is none.
 func peerIndex(peers []*wire.Peer, id uint64) int {
 	return slices.IndexFunc(peers, func(p *wire.Peer) bool { return p.Id == id })
 }
 
-// isMember reports whether a process is in the newest membership, committed or not.
+// isMember reports whether id is in the newest membership, committed or not.
 func (n *Node) isMember(id uint64) bool { return peerIndex(n.Peers(), id) >= 0 }
 
-// without returns a membership less the member with an index.
-func without(peers []*wire.Peer, i int) []*wire.Peer {
+// removePeerAt returns a copy of peers without the member at index i.
+func removePeerAt(peers []*wire.Peer, i int) []*wire.Peer {
 	return slices.Delete(slices.Clone(peers), i, i+1)
 }
 
-// inContact reports whether a member has answered this leader within contactTimeout and has the newest membership, so
-// that the next change can count on it.
+// inContact reports whether a member has responded to this leader within contactTimeout and has the newest membership on
+// disk. The next membership change can rely on such a member.
 func (n *Node) inContact(id uint64) bool {
 	if id == n.id {
 		return true
@@ -77,26 +76,26 @@
 	return p != nil && p.heartbeatRound > 0 && n.now-p.lastContact < contactTimeout && p.match >= n.newestMembership().index
 }
 
-// unresponsiveFor returns for how long a member has not answered, counted from the begin of this leadership at the
-// earliest; 0: it is responsive.
+// unresponsiveFor returns the time since the last response of an unresponsive member. If there was none, it counts from
+// the start of this leadership or the member's addition. It returns zero if the member is not unresponsive.
 func (n *Node) unresponsiveFor(id uint64) time.Duration {
 	p := n.progress[id]
 	if id == n.id || p == nil {
 		return 0
 	}
-	enough := unresponsiveAfter
+	threshold := unresponsiveAfter
 	if p.heartbeatRound == 0 {
-		enough = unresponsiveAfterElection
+		threshold = unresponsiveAfterElection
 	}
-	if n.now-p.lastContact < enough {
+	if n.now-p.lastContact < threshold {
 		return 0
 	}
 	return n.now - p.lastContact
 }
 
-// JoinChange is the change by which a process becomes a member, as a learner: it has no vote before it has the log
-// (thesis, 4.2.1). A member that has another address now moves to it. member reports that there is nothing to change.
-// The newest member with an address is the last one in the list, by which superseded knows whose disk is lost.
+// JoinChange returns the change that adds a process as a learner, which has no vote until it has the log (thesis, 4.2.1),
+// or that updates the addresses of a member. member is true if there is nothing to change. An updated member moves to the
+// end of the list, because superseded compares the order of members with the same address.
 func (n *Node) JoinChange(p *wire.Peer) (m MembershipChange, member bool) {
 	peers := n.Peers()
 	i := peerIndex(peers, p.Id)
@@ -109,11 +108,11 @@
 	}
 	moved := proto.CloneOf(peers[i])
 	moved.Address, moved.ControlAddress = p.Address, p.ControlAddress
-	return MembershipChange{Next: append(without(peers, i), moved), Peer: p, Event: MemberMoved}, false
+	return MembershipChange{Next: append(removePeerAt(peers, i), moved), Peer: p, Event: MemberMoved}, false
 }
 
-// RemovalChange is the change by which an operator removes a member: an unresponsive one, and only if the other voters
-// can spare it. The error is ErrNotLeader, ErrNotMember, ErrMemberAlive or ErrTooFewVoters.
+// RemovalChange returns the change by which an operator removes a member. The member must be unresponsive, and removing a
+// voter must be allowed by mayRemove. The error is ErrNotLeader, ErrNotMember, ErrMemberAlive or ErrTooFewVoters.
 func (n *Node) RemovalChange(now time.Duration, id uint64, wanted int) (MembershipChange, error) {
 	n.now = now
 	if n.state != stateLeader {
@@ -126,8 +125,8 @@
 		return MembershipChange{}, ErrNotMember
 	case id == n.id || n.unresponsiveFor(id) == 0:
 		return MembershipChange{}, ErrMemberAlive
-	case peers[i].Voter && !n.mayRemove(without(peers, i), wanted, false):
+	case peers[i].Voter && !n.mayRemove(removePeerAt(peers, i), wanted, false):
 		return MembershipChange{}, ErrTooFewVoters
 	}
-	return MembershipChange{Next: without(peers, i), Peer: peers[i], Event: MemberRemoved, Reason: ReasonOperator}, nil
+	return MembershipChange{Next: removePeerAt(peers, i), Peer: peers[i], Event: MemberRemoved, Reason: ReasonOperator}, nil
 }
--- a/internal/controlplane/raft/membership_manager.go
+++ b/internal/controlplane/raft/membership_manager.go
@@ -9,43 +9,42 @@
 
 // Timing of join requests and of the leader's reconciliation.
 const (
-	noLeaderTimeout   = 2 * electionMax        // without contact to a leader for so long, a process asks to join
+	noLeaderTimeout   = 2 * maxElectionTimeout // a process sends join requests after this time without contact to a leader
 	joinInterval      = 250 * time.Millisecond // between two rounds of join requests
-	joinFanout        = 4                      // join requests in a round
-	reconcileInterval = 100 * time.Millisecond // between two reconciliations of a leader, if nothing has changed
+	joinFanout        = 4                      // join requests per round
+	reconcileInterval = 100 * time.Millisecond // between two calls of Node.Reconcile if nothing has changed
 )
 
-// MembershipManager maintains a process's own membership and, on the leader, that of all others. It is a pure state
-// machine beside Node: the driver calls Tick after every event of the node, carries out the actions, and passes their
-// outcome in. A process is sure of its membership by contact with a leader and not by its own log, which may end before
-// its removal.
+// MembershipManager maintains a process's own membership and, on the leader, the memberships of all others. It is a pure
+// state machine like Node: the driver calls Tick after every event of the node, carries out the actions, and passes in the
+// results. Only contact with a leader confirms that a process is a member, since its own log may end before its removal.
 type MembershipManager struct {
 	node    *Node
-	leaving bool // this process is about to shut down
+	leaving bool // this process is shutting down
 
 	lastJoinAt  time.Duration
-	joinTargets []string // of this round
-	nextTarget  int      // where the next round begins, in the list of known addresses
-	leaderHint  string   // the leader's address, as another process has named it
+	joinTargets []string // addresses of the current round
+	nextTarget  int      // index of the next round's first target, in the list of addresses after the hint
+	leaderHint  string   // the leader's address from a join response; empty if there is none
 
 	reconciledAt   time.Duration
-	committedIndex uint64 // of the newest membership that was found committed
-	wasLeader      bool   // at the last Tick
+	committedIndex uint64 // log index of the newest membership that was committed at a reconciliation
+	wasLeader      bool   // whether this member was the leader at the last Tick
 }
 
-// MembershipActions are what the driver has to do after a Tick.
+// MembershipActions are the actions that the driver must carry out after a Tick.
 type MembershipActions struct {
-	Propose MembershipChange // for Node.ProposeMembership; no Next: nothing
-	JoinAt  []string         // addresses for join requests of this process
+	Propose MembershipChange // for Node.ProposeMembership, unless Next is nil
+	JoinAt  []string         // addresses to send this process's join request to
 }
 
-// NewMembershipManager returns the manager beside a node.
+// NewMembershipManager returns the manager for node.
 func NewMembershipManager(node *Node) *MembershipManager {
 	return &MembershipManager{node: node, lastJoinAt: -joinInterval}
 }
 
-// Tick takes the time. self is this process with its present addresses, wanted the number of voters by WantedVoters, and
-// known returns the addresses of processes that may be members.
+// Tick advances the time and returns the actions that are due. self has this process's current addresses, wanted is the
+// result of WantedVoters, and known returns the addresses of processes that may be members.
 func (m *MembershipManager) Tick(now time.Duration, self *wire.Peer, wanted int, known func() []string) MembershipActions {
 	if m.node.IsLeader() {
 		return MembershipActions{Propose: m.reconcile(now, wanted)}
@@ -59,8 +58,8 @@
 	return MembershipActions{JoinAt: m.joinTargets}
 }
 
-// reconcile returns the leader's next change: at once at the begin of its leadership and when the last change is
-// committed, else every reconcileInterval.
+// reconcile returns the leader's next change. It calls Node.Reconcile at once when the leadership begins or a membership
+// is committed, and otherwise every reconcileInterval.
 func (m *MembershipManager) reconcile(now time.Duration, wanted int) MembershipChange {
 	newest := m.node.newestMembership().index
 	due := !m.wasLeader || m.node.MembershipCommitted() && newest != m.committedIndex
@@ -75,11 +74,12 @@
 	return m.node.Reconcile(wanted)
 }
 
-// mustJoin reports whether this process cannot be sure to be a member with its present addresses.
+// mustJoin reports whether this process must send join requests, because its membership with its current addresses is not
+// confirmed.
 func (m *MembershipManager) mustJoin(now time.Duration, self *wire.Peer) bool {
 	node := m.node
 	index := peerIndex(node.Peers(), self.Id)
-	if index < 0 || node.removedElsewhere {
+	if index < 0 || node.rejectedAsNonMember {
 		return true
 	}
 	own := node.Peers()[index]
@@ -89,8 +89,8 @@
 	return now-max(node.startedAt, node.leaderContactAt, node.quorumContactAt) > noLeaderTimeout
 }
 
-// chooseJoinTargets returns the addresses for this round: the leader that another process has named, the members of the
-// own log, and addresses that are known otherwise, some at a time.
+// chooseJoinTargets returns at most joinFanout addresses for this round: the leader hint, and then in rotation the members
+// in this process's log and the known addresses.
 func (m *MembershipManager) chooseJoinTargets(self *wire.Peer, known []string) []string {
 	var all []string
 	add := func(address string) {
@@ -100,7 +100,7 @@
 	}
 	add(m.leaderHint)
 	m.leaderHint = ""
-	hinted := len(all)
+	hintCount := len(all)
 	for _, p := range m.node.Peers() {
 		add(p.Address)
 	}
@@ -110,45 +110,46 @@
 	if len(all) <= joinFanout {
 		return all
 	}
-	chosen := all[:hinted:hinted]
-	rest := all[hinted:]
+	chosen := all[:hintCount:hintCount]
+	rest := all[hintCount:]
 	for i := 0; len(chosen) < joinFanout; i++ {
 		chosen = append(chosen, rest[(m.nextTarget+i)%len(rest)])
 	}
-	m.nextTarget = (m.nextTarget + joinFanout - hinted) % len(rest)
+	m.nextTarget = (m.nextTarget + joinFanout - hintCount) % len(rest)
 	return chosen
 }
 
-// HandleJoinResponse takes the answer to a join request. It returns the leader's address if the next request should go
-// there at once, else nothing.
-func (m *MembershipManager) HandleJoinResponse(answer *wire.JoinResponse) string {
-	if answer.Member || answer.Leader == "" || m.leaving {
+// HandleJoinResponse handles the response to a join request. It returns the leader's address if the driver should send a
+// join request there at once, and otherwise an empty string.
+func (m *MembershipManager) HandleJoinResponse(response *wire.JoinResponse) string {
+	if response.Member || response.Leader == "" || m.leaving {
 		return ""
 	}
-	m.leaderHint = answer.Leader
-	if slices.Contains(m.joinTargets, answer.Leader) {
+	m.leaderHint = response.Leader
+	if slices.Contains(m.joinTargets, response.Leader) {
 		return ""
 	}
-	m.joinTargets = append(m.joinTargets, answer.Leader)
-	return answer.Leader
+	m.joinTargets = append(m.joinTargets, response.Leader)
+	return response.Leader
 }
 
-// HandleJoin answers a process that asks to become a member, and returns the change that a leader has to propose, if any.
+// HandleJoin handles a join request. It returns the response and, on the leader, the change to propose, if any.
 func (m *MembershipManager) HandleJoin(now time.Duration, peer *wire.Peer) (MembershipChange, *wire.JoinResponse) {
 	node := m.node
 	if !node.IsLeader() {
 		return MembershipChange{}, &wire.JoinResponse{Leader: node.leaderAddress()}
 	}
 	node.now = now
-	delete(node.leaving, peer.Id) // it has come back
+	delete(node.leaving, peer.Id) // the process has been restarted
 	change, member := node.JoinChange(peer)
 	return change, &wire.JoinResponse{Member: member}
 }
 
-// Leave begins the graceful shutdown of this process: it sends no more join requests.
+// Leave begins the graceful shutdown of this process: Tick returns no more join requests.
 func (m *MembershipManager) Leave() { m.leaving = true }
 
-// HandleLeave answers a member that is about to shut down.
+// HandleLeave handles the leave request of a member that is shutting down. A process that is not the leader returns the
+// leader's address.
 func (m *MembershipManager) HandleLeave(now time.Duration, request *wire.LeaveRequest, wanted int) *wire.LeaveResponse {
 	status, ok := m.node.Leave(now, request.Id, request.Index, request.LogTerm, wanted)
 	if !ok {
@@ -157,7 +158,7 @@
 	return &wire.LeaveResponse{Replicated: status.Replicated, Removed: status.Removed, KeepsVote: status.KeepsVote}
 }
 
-// leaderAddress is the leader's address; empty: not known.
+// leaderAddress returns the leader's address, or an empty string if it is unknown.
 func (n *Node) leaderAddress() string {
 	if i := peerIndex(n.Peers(), n.leaderID); i >= 0 {
 		return n.Peers()[i].Address
--- a/internal/controlplane/raft/membership_test.go
+++ b/internal/controlplane/raft/membership_test.go
@@ -88,7 +88,7 @@
 		{5, []uint64{2, 3}, 3, false, false},
 	} {
 		node := leadingOf(t, c.voters, c.inContact...)
-		next := without(node.Peers(), peerIndex(node.Peers(), c.removed))
+		next := removePeerAt(node.Peers(), peerIndex(node.Peers(), c.removed))
 		if got := node.mayRemove(next, 3, c.successor); got != c.want {
 			t.Errorf("%+v: permitted: %v", c, got)
 		}
@@ -96,7 +96,7 @@
 	// One that is about to end has no less to spare without it, but is needed until another is back.
 	node := leadingOf(t, 5, 2, 3)
 	node.leaving[3] = node.now
-	if node.mayRemove(without(node.Peers(), peerIndex(node.Peers(), 3)), 3, false) {
+	if node.mayRemove(removePeerAt(node.Peers(), peerIndex(node.Peers(), 3)), 3, false) {
 		t.Error("a departing voter goes without whom the rest is no majority")
 	}
 }
--- a/internal/controlplane/raft/partition_sim_test.go
+++ b/internal/controlplane/raft/partition_sim_test.go
@@ -277,7 +277,7 @@
 	if leader == 0 || leader == m.node.ID() {
 		return
 	}
-	if heard, ok := m.heard[leader]; !ok || w.now-heard > electionMax+leaseStep {
+	if heard, ok := m.heard[leader]; !ok || w.now-heard > maxElectionTimeout+leaseStep {
 		w.fault("member %d names %d as the leader, which it has not heard for %v", m.number, leader, w.now-heard)
 	}
 }
@@ -364,7 +364,7 @@
 	for w.now < cutAt+lasts {
 		w.disturb(restarts)
 		w.turn()
-		if cutMember := w.members[which[0]]; !hear && w.now > cutAt+electionMax+leaseStep && w.now > cutMember.frozen &&
+		if cutMember := w.members[which[0]]; !hear && w.now > cutAt+maxElectionTimeout+leaseStep && w.now > cutMember.frozen &&
 			cutMember.node != nil && cutMember.node.IsLeader() {
 			w.fault("member %d leads %v after it was cut off", which[0], w.now-cutAt)
 		}
--- a/internal/controlplane/raft/progress.go
+++ b/internal/controlplane/raft/progress.go
@@ -8,23 +8,23 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// progress is a leader's view of the replication to another member.
+// progress is the state of replication from the leader to another member.
 type progress struct {
-	match          uint64        // newest index that is known to be on its disk
-	next           uint64        // first index that has not been sent to it
-	heartbeatRound uint64        // newest round that it has answered
-	lastContact    time.Duration // last answer, or the begin of the leadership
-	readySince     time.Duration // of a learner that has caught up; 0: it has not
-	syncTime       time.Duration // of a synced write there; 0: not known
-	stamp          *wire.Stamp   // the newest one of its clock
-	stampAt        time.Duration // receipt of stamp
+	match          uint64        // last index known to be on the member's disk
+	next           uint64        // first index that has not been sent
+	heartbeatRound uint64        // last heartbeat round that the member has responded to
+	lastContact    time.Duration // time of the last response, initially of the progress's creation
+	readySince     time.Duration // time at which a learner was first found caught up and in contact; zero if it is not
+	syncTime       time.Duration // moving average of the member's synced writes; zero if unknown
+	stamp          *wire.Stamp   // newest stamp received from the member
+	stampAt        time.Duration // time at which stamp was received
 
-	snapshot        *wire.RaftSnapshot // being sent to it; nil: none
-	snapshotRetryAt time.Duration      // no transfer begins before
+	snapshot        *wire.RaftSnapshot // snapshot in transfer; nil if there is none
+	snapshotRetryAt time.Duration      // time before which no INSTALL_SNAPSHOT message is sent
 }
 
-// Lag returns how many entries a member lacks (math.MaxUint64: not known yet) and the time since it last answered; ok
-// is false unless this member leads and the other is a member.
+// Lag returns the number of entries that a member lacks, or math.MaxUint64 if it is unknown, and the time since its last
+// response. ok is false unless this node is the leader and id is another member.
 func (n *Node) Lag(id uint64) (lag uint64, sinceContact time.Duration, ok bool) {
 	p := n.progress[id]
 	if n.state != stateLeader || p == nil {
@@ -36,8 +36,8 @@
 	return lag, n.now - p.lastContact, true
 }
 
-// resetProgress keeps a progress for each other member of the newest membership.
-func (n *Node) resetProgress() {
+// updateProgress adds and removes progress so that there is one for each other member of the newest membership.
+func (n *Node) updateProgress() {
 	for _, p := range n.Peers() {
 		if p.Id != n.id && n.progress[p.Id] == nil {
 			n.progress[p.Id] = &progress{next: n.last(), lastContact: n.now}
--- a/internal/controlplane/raft/propose.go
+++ b/internal/controlplane/raft/propose.go
@@ -8,14 +8,14 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Propose appends a command to the log. It is committed once an entry with this index and term is; another leader may
-// replace it before. The error is ErrNotLeader or ErrProposalDropped.
+// Propose appends a command to the log. The command is committed once the entry with this index and term is; until then,
+// another leader may replace the entry. The error is ErrNotLeader or ErrProposalDropped.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.now = now
 	if n.state != stateLeader {
 		return 0, 0, ErrNotLeader
 	}
-	if n.leadTransferee != noID { // the transferee has to catch up with the log
+	if n.transferee != noID { // appending more entries would delay the transfer
 		return 0, 0, ErrProposalDropped
 	}
 	if n.last()-n.committed > maxUncommitted {
@@ -23,39 +23,39 @@
 	}
 	e := &wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_COMMAND, Data: data}
 	n.append(e)
-	n.proposed = true // the next Ready sends it, with all others that are proposed until then
+	n.hasUnsentProposals = true // the next Ready sends all proposals since the last one
 	return e.Index, e.Term, nil
 }
 
-// ProposeMembership proposes another membership, which may differ by one voter (thesis, 4.1). The error is ErrNotLeader
-// or ErrMembershipChanging; any other means that the membership itself is invalid.
+// ProposeMembership proposes a membership that may differ from the newest one by at most one voter (thesis, 4.1). The
+// error is ErrNotLeader or ErrMembershipChanging; any other error means that the membership is invalid.
 func (n *Node) ProposeMembership(now time.Duration, peers []*wire.Peer) error {
 	n.now = now
 	if n.state != stateLeader {
 		return ErrNotLeader
 	}
-	if n.leadTransferee != noID {
+	if n.transferee != noID {
 		return ErrMembershipChanging
 	}
-	// Before it has committed an entry of its own term, a leader may not know of a change that its predecessor has
-	// committed, and two changes of the same membership may have majorities without a common member.
+	// Until the leader has committed an entry of its own term, a predecessor's change that is not in its log may be
+	// committed. Two changes of the same membership could then have disjoint majorities.
 	if !n.MembershipCommitted() || !n.committedInTerm() {
 		return ErrMembershipChanging
 	}
 	if voterDistance(n.Peers(), peers) > 1 || len(peers) == 0 {
-		return errMoreThanOneVoter
+		return errInvalidMembership
 	}
 	data, err := proto.Marshal(&wire.Peers{Peers: peers})
 	if err != nil {
 		return err
 	}
 	n.append(&wire.Entry{Term: n.hardState.Term, Index: n.last() + 1, Kind: wire.Entry_MEMBERSHIP, Data: data})
-	n.resetProgress()
+	n.updateProgress()
 	n.replicateAll()
 	return nil
 }
 
-// voterDistance counts the voters that are in one of two memberships only.
+// voterDistance returns the number of voters that are in only one of two memberships.
 func voterDistance(a, b []*wire.Peer) int {
 	diff := map[uint64]int{}
 	for _, p := range a {
--- a/internal/controlplane/raft/quorum.go
+++ b/internal/controlplane/raft/quorum.go
@@ -7,9 +7,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// electable reports whether this member is a voter of the newest membership or of one that may yet turn out to be in
-// force. A member whose removal is not committed may have entries that all others lack, and has to lead until it is
-// (thesis, 4.2.2); its own vote does not count then.
+// electable reports whether this member is a voter in the last committed membership or in a newer one. A member whose
+// removal is not committed may have entries that all others lack, so it must be able to lead until the removal is
+// committed (thesis, 4.2.2). Its own vote does not count then.
 func (n *Node) electable() bool {
 	for i := len(n.memberships) - 1; i >= 0; i-- {
 		if slices.ContainsFunc(n.memberships[i].peers, func(p *wire.Peer) bool { return p.Id == n.id && p.Voter }) {
@@ -22,17 +22,17 @@
 	return false
 }
 
-// quorumValue returns the largest value that a majority of the voters has reached, by their progress; own is this
-// member's.
-func (n *Node) quorumValue(own uint64, of func(*progress) uint64) uint64 {
+// quorumValue returns the largest value that a majority of the voters has reached. ownValue is this member's value, and
+// valueOf returns the value of another member.
+func (n *Node) quorumValue(ownValue uint64, valueOf func(*progress) uint64) uint64 {
 	var values []uint64
 	for _, p := range n.Peers() {
 		switch {
 		case !p.Voter:
 		case p.Id == n.id:
-			values = append(values, own)
+			values = append(values, ownValue)
 		case n.progress[p.Id] != nil:
-			values = append(values, of(n.progress[p.Id]))
+			values = append(values, valueOf(n.progress[p.Id]))
 		default:
 			values = append(values, 0)
 		}
@@ -44,7 +44,7 @@
 	return values[len(values)/2]
 }
 
-// Voters counts the voters of a membership.
+// Voters returns the number of voters in a membership.
 func Voters(peers []*wire.Peer) (n int) {
 	for _, p := range peers {
 		if p.Voter {
@@ -54,10 +54,11 @@
 	return n
 }
 
-// WantedVoters is the number of voters that elect and commit in spite of so many tolerated losses, or the number of
-// seeds where there are fewer.
+// WantedVoters returns the number of voters that can elect a leader and commit entries despite the given number of lost
+// voters, limited to the number of seeds.
 func WantedVoters(tolerated, seeds int) int { return min(2*tolerated+1, seeds) }
 
-// MinAckVoters is the number of voters below which a leader must not acknowledge: a majority of them is one more than
-// the tolerated losses. It is one below WantedVoters, for the moment between the two steps of a replacement.
+// MinAckVoters returns the number of voters below which a leader must not acknowledge changes. A majority of that number
+// is one more than the tolerated losses. It is one less than WantedVoters, since a replacement removes the old voter
+// before it promotes the new one. It is limited to the number of seeds.
 func MinAckVoters(tolerated, seeds int) int { return min(max(1, 2*tolerated), seeds) }
--- a/internal/controlplane/raft/quorum_contact.go
+++ b/internal/controlplane/raft/quorum_contact.go
@@ -6,20 +6,22 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// MaxContactAge is the age of the state of a member that has just started: it has had no contact with a quorum.
+// MaxContactAge is the contact age of a member that has had no contact with a quorum since its start.
 const MaxContactAge = 50 * 365 * 24 * time.Hour
 
-// QuorumContactAge returns an upper bound of the time since a quorum confirmed the leader of the state that this member
-// has: all that was acknowledged before then is in it. The driver calls it after it has carried out Ready, so that what
-// is committed is also applied.
+// QuorumContactAge returns an upper bound on the time since a quorum confirmed the leader whose state this member has. The
+// state contains all changes acknowledged before that contact. The driver calls it after it has processed Ready, so that
+// all committed entries are applied.
 //
-// A leader measures from the rounds of heartbeats that a quorum has answered. A follower or a learner measures by its
-// own clock alone, from a stamp that it has sent itself: see stampMessage. So the delay of a message counts in full.
+// A leader measures from the start of the last heartbeat round that a quorum has answered. Followers and learners measure
+// by their own clocks only, from a stamp that they sent themselves (see stampMessage), so that message delays are included
+// in full.
 func (n *Node) QuorumContactAge(now time.Duration) time.Duration {
 	return now - n.knownContactAt()
 }
 
-// knownContactAt is the newest moment of this member's clock before which nothing was acknowledged that it lacks.
+// knownContactAt returns the latest time on this member's clock before which all acknowledged changes are known to be in
+// its state.
 func (n *Node) knownContactAt() time.Duration {
 	if n.state == stateLeader && n.committedInTerm() {
 		return max(n.contactAt, n.quorumContactAt)
@@ -27,27 +29,27 @@
 	return n.contactAt
 }
 
-// committedInTerm reports whether an entry of the current term is committed. Before that, a leader's commit index may be
-// behind what its predecessors have acknowledged (thesis, 6.4).
+// committedInTerm reports whether an entry of the current term is committed. Until then, a leader's commit index may be
+// behind the entries that its predecessors have acknowledged (thesis, 6.4).
 func (n *Node) committedInTerm() bool {
 	term, _ := n.term(n.committed)
 	return term == n.hardState.Term
 }
 
-// isolated reports whether a leader has been without contact to a quorum for so long that another may have been elected
-// (thesis, 6.2).
+// isolated reports whether this leader has had no contact with a quorum for maxElectionTimeout, so that another one may
+// have been elected (thesis, 6.2).
 func (n *Node) isolated() bool {
-	return n.now-max(n.quorumContactAt, n.leaderSince) > electionMax
+	return n.now-max(n.quorumContactAt, n.leaderSince) > maxElectionTimeout
 }
 
-// stampMessage adds that by which receivers measure the age of their state. An answer to the leader carries a stamp of
-// the sender's clock. The leader returns the newest stamp that it has of the receiver, with the time from the quorum's
-// contact to the receipt of that stamp. Both moments are of the leader's clock and in the past, so no delay of the
-// message changes what it says.
+// stampMessage adds the stamp by which receivers measure the age of their state. A response to the leader carries a stamp
+// of the sender's clock. The leader returns the newest stamp of the receiver, with the time from the quorum contact to the
+// receipt of that stamp. Both times are past times on the leader's clock, so a delay of the message does not affect the
+// measurement.
 func (n *Node) stampMessage(m *wire.RaftMessage) {
 	switch m.Kind {
 	case wire.RaftMessage_APPEND_ENTRIES_RESPONSE:
-		m.Stamp = &wire.Stamp{Process: n.process, AtNs: uint64(max(0, n.now))}
+		m.Stamp = &wire.Stamp{Process: n.processID, AtNs: uint64(max(0, n.now))}
 	case wire.RaftMessage_APPEND_ENTRIES, wire.RaftMessage_INSTALL_SNAPSHOT:
 		p := n.progress[m.To]
 		if p == nil || p.stamp == nil || !n.committedInTerm() {
@@ -58,20 +60,20 @@
 	}
 }
 
-// keepStamp stores the newest stamp of a member, to be returned.
-func (n *Node) keepStamp(p *progress, s *wire.Stamp) {
+// storeStamp stores a member's stamp, to be returned to it, unless a stamp of the same process is newer.
+func (n *Node) storeStamp(p *progress, s *wire.Stamp) {
 	if s == nil || p.stamp.GetProcess() == s.Process && p.stamp.GetAtNs() >= s.AtNs {
 		return
 	}
 	p.stamp, p.stampAt = s, n.now
 }
 
-// learnContact takes the quorum's contact from a leader's message that has been handled. The stamp was sent before the
-// leader received it, so the contact was at the stamp's time less the given age, or later. It is about the state that
-// the leader had committed, and counts only once all of that is committed here.
-func (n *Node) learnContact(m *wire.RaftMessage) {
+// updateContactAt updates contactAt from a leader's message that has been handled. The leader received the stamp after it
+// was sent, so the quorum contact was not earlier than the stamp's time minus the message's contact age. The contact
+// confirms the state up to the leader's commit index, so it is ignored until this member has committed up to there.
+func (n *Node) updateContactAt(m *wire.RaftMessage) {
 	s := m.Stamp
-	if s == nil || s.Process != n.process || time.Duration(s.AtNs) > n.now || n.committed < m.Commit {
+	if s == nil || s.Process != n.processID || time.Duration(s.AtNs) > n.now || n.committed < m.Commit {
 		return
 	}
 	n.contactAt = max(n.contactAt, time.Duration(s.AtNs)-time.Duration(m.ContactAgeNs))
--- a/internal/controlplane/raft/raft.go
+++ b/internal/controlplane/raft/raft.go
@@ -11,45 +11,46 @@
 
 // Timing and sizes of the protocol.
 const (
-	// Heartbeat is the time between two rounds of heartbeats of a leader: a quarter of the shortest election timeout, so
-	// that three may be lost.
+	// Heartbeat is the interval between a leader's heartbeat rounds. It is a quarter of minElectionTimeout, so that three
+	// successive heartbeats may be lost.
 	Heartbeat = 75 * time.Millisecond
 
-	// An election timeout is drawn between these bounds (thesis, 3.4).
-	electionMin = 300 * time.Millisecond
-	electionMax = 600 * time.Millisecond
+	// Election timeouts are drawn at random between these bounds (thesis, 3.4).
+	minElectionTimeout = 300 * time.Millisecond
+	maxElectionTimeout = 600 * time.Millisecond
 
-	// During startPhase, a process without a known leader draws a shorter timeout: it has no leadership to disturb, and
-	// members that are in contact with a leader reject its pre-vote.
-	startElectionMin = 100 * time.Millisecond
-	startElectionMax = 300 * time.Millisecond
-	startPhase       = 1500 * time.Millisecond
+	// During startupPhase, a process that knows no leader uses these shorter election timeouts. They do not disrupt a
+	// leader, because members in contact with it reject pre-votes.
+	minStartupElectionTimeout = 100 * time.Millisecond
+	maxStartupElectionTimeout = 300 * time.Millisecond
+	startupPhase              = 1500 * time.Millisecond
 
-	maxEntries      = 256            // entries in one message
-	maxBytes        = 1 << 20        // bytes of entries in one message
-	maxUncommitted  = 4 * maxEntries // proposals beyond are dropped
-	maxPendingReads = 1024           // reads beyond are rejected
+	maxMessageEntries = 256                   // maximum number of entries per message
+	maxMessageBytes   = 1 << 20               // a message that has this many bytes of entries gets no more
+	maxUncommitted    = 4 * maxMessageEntries // uncommitted entries above which proposals are dropped
+	maxPendingReads   = 1024                  // further reads are rejected
 
-	// noID is the identity of no member.
+	// noID is a value that is not the identity of any member.
 	noID uint64 = 0
 )
 
-// The errors of proposals and membership changes. None of them was appended to the log.
+// The errors of proposals and membership changes. The log is unchanged if one of them is returned.
 var (
-	// ErrNotLeader says that this member does not lead: see Node.Leader.
+	// ErrNotLeader reports that this member is not the leader: see Node.Leader.
 	ErrNotLeader = errors.New("raft: not the leader")
-	// ErrProposalDropped says that too many proposals are uncommitted, or that leadership is being transferred.
+	// ErrProposalDropped reports that too many entries are uncommitted, or that a leadership transfer is in progress.
 	ErrProposalDropped = errors.New("raft: proposal dropped")
-	// ErrMembershipChanging says that the last membership change is not committed yet.
+	// ErrMembershipChanging reports that a membership change or a leadership transfer is in progress, or that the leader
+	// has not committed an entry of its term yet.
 	ErrMembershipChanging = errors.New("raft: another membership change is in progress")
-	// ErrNotMember says that the identity belongs to no member.
+	// ErrNotMember reports that no member has the identity.
 	ErrNotMember = errors.New("raft: no such member")
-	// ErrMemberAlive says that the member to be removed answers; it would join again.
+	// ErrMemberAlive reports that the member to be removed still responds. It would join again after a removal.
 	ErrMemberAlive = errors.New("raft: the member is alive: end its process first, it would join again")
-	// ErrTooFewVoters says that a removal would leave fewer voters than wanted, or tolerate fewer losses than now.
+	// ErrTooFewVoters reports that a removal would leave fewer voters than wanted, or would reduce the tolerated losses.
 	ErrTooFewVoters = errors.New("raft: too few voters would be left, or they would tolerate fewer losses than now")
 
-	errMoreThanOneVoter = errors.New("raft: more than one voter changes")
+	errInvalidMembership = errors.New("raft: a membership must have a member and differ from the last one by at most one voter")
 )
 
 // stateType is the role of a member in its term.
@@ -57,80 +58,81 @@
 
 const (
 	stateFollower     stateType = iota
-	statePreCandidate           // asks whether an election could be won, in the present term
+	statePreCandidate           // requests pre-votes, without a change of its term
 	stateCandidate
 	stateLeader
 )
 
-// Ready is what the driver must do next, in the order of the fields, and with a sync and a call of StableTo before any
-// message is sent: see the package comment. The driver must not change what it contains.
+// Ready contains the work for the driver, to be done in the order of the fields. Before it sends any message, the driver
+// must sync the saved data and call StableTo: see the package comment. The driver must not modify the contents.
 type Ready struct {
-	Snapshot         *wire.RaftSnapshot  // replaces the state and the log; nil: none
-	HardState        *wire.HardState     // to be saved; nil: unchanged
-	Entries          []*wire.Entry       // to be saved, in place of all saved entries from the first of them on
-	Messages         []*wire.RaftMessage // to be sent, after the sync
-	CommittedEntries []*wire.Entry       // to be applied, each once
-	ReadStates       []ReadState         // to be answered, once the committed entries are applied
+	Snapshot         *wire.RaftSnapshot  // to be saved in place of the state and the log; nil if there is none
+	HardState        *wire.HardState     // to be saved; nil if unchanged
+	Entries          []*wire.Entry       // to be saved in place of all saved entries from the first one's index on
+	Messages         []*wire.RaftMessage // to be sent after the sync
+	CommittedEntries []*wire.Entry       // to be applied in order, each exactly once
+	ReadStates       []ReadState         // to be answered after CommittedEntries are applied
 }
 
-// Empty reports whether there is nothing to do.
-func (o *Ready) Empty() bool {
-	return o.Snapshot == nil && o.HardState == nil && len(o.Entries) == 0 && len(o.Messages) == 0 &&
-		len(o.CommittedEntries) == 0 && len(o.ReadStates) == 0
+// Empty reports whether there is no work for the driver.
+func (r *Ready) Empty() bool {
+	return r.Snapshot == nil && r.HardState == nil && len(r.Entries) == 0 && len(r.Messages) == 0 &&
+		len(r.CommittedEntries) == 0 && len(r.ReadStates) == 0
 }
 
-// Node is one member of the quorum: a pure state machine that belongs to one goroutine.
+// Node is a quorum member, as a pure state machine. It is not safe for concurrent use.
 type Node struct {
 	raftLog
 
-	id             uint64
-	rng            *rand.Rand
-	now            time.Duration // of the last event
-	startedAt      time.Duration // of the process
-	state          stateType
-	leaderID       uint64         // noID: not known
-	hardState      wire.HardState // term and vote
-	savedHardState wire.HardState // as last returned by Ready
-	proposed       bool           // something was, since the last Ready
+	id                 uint64
+	rng                *rand.Rand
+	now                time.Duration // time of the last event
+	startedAt          time.Duration // time at which the process started
+	state              stateType
+	leaderID           uint64         // noID if unknown
+	hardState          wire.HardState // term and vote
+	savedHardState     wire.HardState // as last returned by Ready
+	hasUnsentProposals bool           // entries have been proposed since the last Ready
 
 	// Election.
-	electionDeadline time.Duration
-	leaderContactAt  time.Duration // last message of a leader
-	campaignAt       time.Duration // when votes of the current term were requested
-	votes            map[uint64]bool
+	electionDeadline  time.Duration
+	leaderContactAt   time.Duration // time of the last message from a leader
+	campaignStartedAt time.Duration // time at which this member last requested votes in an election
+	votes             map[uint64]bool
 
-	// Contact with the quorum, see quorum_contact.go.
-	process   uint64        // distinguishes the stamps of this process from those of earlier ones
+	// Quorum contact: see quorum_contact.go.
+	processID uint64        // distinguishes this process's stamps from those of earlier processes
 	contactAt time.Duration // see knownContactAt
 
-	// Of a leader.
-	progress        map[uint64]*progress // of the other members
-	heartbeatAt     time.Duration        // of the next round
+	// Leader only.
+	progress        map[uint64]*progress // of the other members, by identity
+	heartbeatAt     time.Duration        // time of the next heartbeat round
 	heartbeatRound  uint64
-	heartbeatUnsent bool                     // the newest round's messages have not been taken by the driver
-	roundStartedAt  map[uint64]time.Duration // of the last rounds
-	quorumContactAt time.Duration            // begin of the newest round, or of the campaign, that a majority answered
-	leaderSince     time.Duration            // when it was elected
+	heartbeatUnsent bool                     // Ready has not returned the messages of the newest round yet
+	roundStartedAt  map[uint64]time.Duration // start times of the most recent rounds
+	quorumContactAt time.Duration            // start of the newest heartbeat round, or of the campaign, that a majority responded to
+	leaderSince     time.Duration            // time of this leader's election
 	pendingReads    []pendingRead
-	catchUp         catchUp                  // of learners
-	leaving         map[uint64]time.Duration // when members that are about to shut down have last said so
+	catchUp         catchUpTracker           // index that a learner must reach to be promoted
+	leaving         map[uint64]time.Duration // time of each leaving member's last leave request
 
-	// Leadership transfer, see leadership_transfer.go.
-	syncTime             time.Duration // moving average of a synced write; 0: not known
-	leadTransferee       uint64        // noID: no transfer is in progress
-	leadTransferDeadline time.Duration
+	// Leadership transfer: see leadership_transfer.go.
+	syncTime         time.Duration // moving average of this member's synced writes; zero if unknown
+	transferee       uint64        // noID if no transfer is in progress
+	transferDeadline time.Duration
 
-	// removedElsewhere says that another process does not know this one as a member, and no leader was in contact since.
-	removedElsewhere bool
+	// rejectedAsNonMember is true if a member has rejected a message because this process is not in its membership, and no
+	// leader has been in contact since.
+	rejectedAsNonMember bool
 
-	maxBatchEntries int // entries in one message
+	maxBatchEntries int // maximum number of entries per message
 
-	output Ready
+	output Ready // collected for the next call of Ready
 }
 
-// New returns a member as its disk has it. hard and snap may be nil, for a disk without them. entries may begin before
-// the snapshot's index, with the tail that was kept. seed has to differ between the processes that have the same disk
-// one after another.
+// New returns a member with the state that is stored on its disk. hard and snap are nil if the disk has none. entries may
+// begin before the snapshot's index, with the retained tail. Successive processes with the same disk must use different
+// seeds.
 func New(id uint64, hard *wire.HardState, snap *wire.RaftSnapshot, entries []*wire.Entry, seed uint64, now time.Duration) *Node {
 	if snap == nil {
 		snap = &wire.RaftSnapshot{}
@@ -141,13 +143,13 @@
 		rng:             rand.New(rand.NewPCG(seed, id)),
 		now:             now,
 		startedAt:       now,
-		leaderContactAt: -electionMax,
-		process:         seed,
+		leaderContactAt: -maxElectionTimeout,
+		processID:       seed,
 		contactAt:       now - MaxContactAge,
 		progress:        map[uint64]*progress{},
 		roundStartedAt:  map[uint64]time.Duration{},
 		leaving:         map[uint64]time.Duration{},
-		maxBatchEntries: maxEntries,
+		maxBatchEntries: maxMessageEntries,
 	}
 	if hard != nil {
 		n.hardState.Term, n.hardState.Vote = hard.Term, hard.Vote
@@ -160,11 +162,11 @@
 // ID returns the member's identity.
 func (n *Node) ID() uint64 { return n.id }
 
-// Leader returns the identity of the term's leader; 0: not known.
+// Leader returns the identity of the current term's leader, or zero if it is unknown.
 func (n *Node) Leader() uint64 { return n.leaderID }
 
-// LeaderContactedSince returns the leader's identity if this member leads, or has received a message of the leader at
-// that time or later; else 0.
+// LeaderContactedSince returns the leader's identity if this member is the leader or has received a message from it at
+// the given time or later, and otherwise zero.
 func (n *Node) LeaderContactedSince(at time.Duration) uint64 {
 	if n.state == stateLeader || n.leaderContactAt >= at {
 		return n.leaderID
@@ -185,12 +187,12 @@
 	n.output.Messages = append(n.output.Messages, m)
 }
 
-// Ready returns what has to be done since the last call.
+// Ready returns the work that has accumulated since the last call.
 func (n *Node) Ready() Ready {
-	if n.proposed && n.state == stateLeader {
+	if n.hasUnsentProposals && n.state == stateLeader {
 		n.replicateAll()
 	}
-	n.proposed = false
+	n.hasUnsentProposals = false
 	ready := n.output
 	n.output, n.heartbeatUnsent = Ready{}, false
 	if n.hardState.Term != n.savedHardState.Term || n.hardState.Vote != n.savedHardState.Vote {
--- a/internal/controlplane/raft/raft_test.go
+++ b/internal/controlplane/raft/raft_test.go
@@ -90,7 +90,7 @@
 	for _, c := range []struct {
 		entries, bytes int
 		heavy          bool
-	}{{snapshotEntries - 1, 10, false}, {snapshotEntries, 10, true}, {3, 8 << 20, true}, {1, 8 << 20, false}} {
+	}{{minBacklogEntries - 1, 10, false}, {minBacklogEntries, 10, true}, {3, 8 << 20, true}, {1, 8 << 20, false}} {
 		var list []*wire.Entry
 		for i := range c.entries {
 			list = append(list, &wire.Entry{Term: 1, Index: uint64(i + 2), Data: make([]byte, c.bytes)})
--- a/internal/controlplane/raft/read_only.go
+++ b/internal/controlplane/raft/read_only.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// ReadState is the outcome of a ReadIndex.
+// ReadState is the result of a call of ReadIndex.
 type ReadState struct {
-	Token uint64 // as it was given to ReadIndex
-	Index uint64 // to be applied before the read is answered
-	OK    bool   // false: this member does not lead, or can't be sure of it; the read may be tried again
+	Token uint64 // the argument of ReadIndex
+	Index uint64 // index that must be applied before the read is answered
+	OK    bool   // false if the leadership could not be confirmed or too many reads are pending; the read can be retried
 }
 
-// pendingRead waits for a majority to answer a round of heartbeats that began after it.
+// pendingRead is a read that waits until a majority has responded to heartbeatRound or a later round.
 type pendingRead struct {
 	token, index, heartbeatRound uint64
 }
 
-// rejectPendingReads answers all reads that wait, at the end of the leadership.
+// rejectPendingReads rejects all pending reads when the leadership ends.
 func (n *Node) rejectPendingReads() {
 	for _, r := range n.pendingReads {
 		n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: r.token})
@@ -22,8 +22,8 @@
 	n.pendingReads = nil
 }
 
-// ReadIndex asks for the index that a linearizable read has to see (thesis, 6.4). The answer is a ReadState of a Ready,
-// once a majority has confirmed the leadership after this call.
+// ReadIndex requests the index that must be applied before a linearizable read (thesis, 6.4). Ready returns it as a
+// ReadState with the same token, once a majority has confirmed the leadership after this call.
 func (n *Node) ReadIndex(now time.Duration, token uint64) {
 	n.now = now
 	t, _ := n.term(n.committed)
@@ -31,17 +31,18 @@
 		n.output.ReadStates = append(n.output.ReadStates, ReadState{Token: token})
 		return
 	}
-	if n.heartbeatUnsent { // the round's messages are sent after this call, so it counts for the read
+	if n.heartbeatUnsent { // the round's messages are sent after this call, so its responses confirm this read
 		n.pendingReads = append(n.pendingReads, pendingRead{token, n.committed, n.heartbeatRound})
-		n.confirmContact()
+		n.updateQuorumContact()
 		return
 	}
 	n.pendingReads = append(n.pendingReads, pendingRead{token, n.committed, n.heartbeatRound + 1})
 	n.broadcastHeartbeat()
 }
 
-// confirmContact notes the newest round that a majority has answered, and answers the reads that it confirms.
-func (n *Node) confirmContact() {
+// updateQuorumContact updates quorumContactAt from the newest heartbeat round that a majority has answered, and completes
+// the reads that this round confirms.
+func (n *Node) updateQuorumContact() {
 	round := n.quorumValue(n.heartbeatRound, func(p *progress) uint64 { return p.heartbeatRound })
 	if at, ok := n.roundStartedAt[round]; ok {
 		n.quorumContactAt = max(n.quorumContactAt, at)
--- a/internal/controlplane/raft/reconcile.go
+++ b/internal/controlplane/raft/reconcile.go
@@ -7,12 +7,12 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Reconcile returns the next change by which a leader brings the membership towards one of responsive voters, so many as
-// WantedVoters asks for. Voters are removed on evidence alone, and learners that have caught up are promoted.
+// Reconcile returns the next change towards a membership with the wanted number of responsive voters (see WantedVoters). It
+// removes voters only for a RemovalReason, and promotes learners that have caught up.
 //
-// An unresponsive voter is removed first and its replacement promoted by the very next change: without the unresponsive
-// one, the same voters make a majority as before, while a replacement that came first would be needed for it at once.
-// The membership alone shows what is half done, so a new leader goes on with it without a wait. See
+// An unresponsive voter is removed first, and its replacement is promoted by the next change. The removal alone does not
+// increase the number of responsive voters needed for a majority, whereas a promotion first could make the new voter
+// necessary at once. All state of a replacement is in the membership, so a new leader can complete it immediately. See
 // docs/decisions/0001-membership-changes.md.
 func (n *Node) Reconcile(wanted int) MembershipChange {
 	if n.state != stateLeader || !n.MembershipCommitted() {
@@ -27,45 +27,46 @@
 	return MembershipChange{}
 }
 
-// nextRemoval removes a voter against which there is evidence, as soon as the others can spare it.
+// nextRemoval returns the removal of a voter that has a removal reason and that mayRemove allows to be removed.
 func (n *Node) nextRemoval(wanted int) MembershipChange {
 	peers := n.Peers()
-	successor := n.readyLearner() >= 0
+	hasReplacement := n.readyLearner() >= 0
 	for i, p := range peers {
 		if !p.Voter || p.Id == n.id {
 			continue
 		}
-		reason := n.removalReason(i, successor)
-		next := without(peers, i)
-		if reason != ReasonNone && n.mayRemove(next, wanted, successor) {
+		reason := n.removalReason(i, hasReplacement)
+		next := removePeerAt(peers, i)
+		if reason != ReasonNone && n.mayRemove(next, wanted, hasReplacement) {
 			return MembershipChange{Next: next, Peer: p, Event: MemberRemoved, Reason: reason}
 		}
 	}
 	return MembershipChange{}
 }
 
-// removalReason returns the evidence against a voter; successor says that a learner is ready to replace it.
-func (n *Node) removalReason(index int, successor bool) RemovalReason {
+// removalReason returns the reason to remove the voter at index. hasReplacement reports whether a learner is ready to
+// replace it.
+func (n *Node) removalReason(index int, hasReplacement bool) RemovalReason {
 	p := n.Peers()[index]
 	switch {
 	case superseded(p, n.Peers()):
 		return ReasonSuperseded
 	case n.isLeaving(p.Id):
 		return ReasonLeft
-	case successor && index == n.longestUnresponsive():
+	case hasReplacement && index == n.longestUnresponsive():
 		return ReasonReplaced
 	}
 	return ReasonNone
 }
 
-// superseded reports whether a later member has a member's address: the disk with the member's identity is lost.
+// superseded reports whether a member after p in peers has the same address, which means that p's disk is lost.
 func superseded(p *wire.Peer, peers []*wire.Peer) bool {
 	later := peers[peerIndex(peers, p.Id)+1:]
 	return p.Address != "" && slices.ContainsFunc(later, func(q *wire.Peer) bool { return q.Address == p.Address })
 }
 
-// nextPromotion promotes a learner that has caught up. If there are enough voters and one of them is neither in contact
-// nor unresponsive, it waits: the learner may have to replace that one.
+// nextPromotion returns the promotion of a learner that has caught up. If there are enough voters and one of them is
+// suspect, the promotion waits for up to maxPromotionDelay, since the learner may have to replace that voter.
 func (n *Node) nextPromotion(wanted int) MembershipChange {
 	peers := n.Peers()
 	i := n.readyLearner()
@@ -73,7 +74,7 @@
 		return MembershipChange{}
 	}
 	p := peers[i]
-	if Voters(peers) >= wanted && n.anyUndecided() && n.now-n.progress[p.Id].readySince < undecidedWait {
+	if Voters(peers) >= wanted && n.anySuspectVoter() && n.now-n.progress[p.Id].readySince < maxPromotionDelay {
 		return MembershipChange{}
 	}
 	next := slices.Clone(peers)
@@ -81,21 +82,21 @@
 	return MembershipChange{Next: next, Peer: p, Event: MemberPromoted}
 }
 
-// readyLearner returns the index of a learner that may be promoted; -1: there is none.
+// readyLearner returns the index of a learner that may be promoted, or -1 if there is none.
 func (n *Node) readyLearner() int {
 	peers := n.Peers()
 	return slices.IndexFunc(peers, func(p *wire.Peer) bool {
-		return !p.Voter && !superseded(p, peers) && !n.isLeaving(p.Id) && n.ready(p.Id)
+		return !p.Voter && !superseded(p, peers) && !n.isLeaving(p.Id) && n.learnerReady(p.Id)
 	})
 }
 
-// ready reports whether a learner is in contact and has caught up, and notes since when.
-func (n *Node) ready(id uint64) bool {
+// learnerReady reports whether a learner is in contact and has caught up. It updates the learner's readySince.
+func (n *Node) learnerReady(id uint64) bool {
 	p := n.progress[id]
 	if p == nil {
 		return false
 	}
-	caughtUp := p.match >= n.committed || n.catchUp.target > 0 && p.match >= n.catchUp.target
+	caughtUp := p.match >= n.committed || n.catchUp.targetIndex > 0 && p.match >= n.catchUp.targetIndex
 	if !n.inContact(id) || !caughtUp {
 		p.readySince = 0
 		return false
@@ -106,7 +107,7 @@
 	return true
 }
 
-// longestUnresponsive returns the index of the voter that has been unresponsive for longest; -1: none is.
+// longestUnresponsive returns the index of the voter that has been unresponsive for longest, or -1 if there is none.
 func (n *Node) longestUnresponsive() int {
 	longestIndex, longest := -1, time.Duration(0)
 	for i, p := range n.Peers() {
@@ -117,15 +118,15 @@
 	return longestIndex
 }
 
-// anyUndecided reports whether a voter is neither in contact nor unresponsive: which of the two shows in a moment.
-func (n *Node) anyUndecided() bool {
+// anySuspectVoter reports whether any voter is suspect, that is neither in contact nor unresponsive yet.
+func (n *Node) anySuspectVoter() bool {
 	return slices.ContainsFunc(n.Peers(), func(p *wire.Peer) bool {
 		return p.Voter && !n.inContact(p.Id) && n.unresponsiveFor(p.Id) == 0
 	})
 }
 
-// nextLearnerRemoval removes a learner that has left, whose disk is lost or that has been unresponsive for long. If it
-// comes back, it joins again.
+// nextLearnerRemoval returns the removal of a learner that is leaving, whose disk is lost, or that has been unresponsive
+// for learnerTimeout. A removed learner that returns joins again.
 func (n *Node) nextLearnerRemoval(int) MembershipChange {
 	peers := n.Peers()
 	for i, p := range peers {
@@ -140,47 +141,48 @@
 			reason = ReasonUnresponsive
 		}
 		if reason != ReasonNone {
-			return MembershipChange{Next: without(peers, i), Peer: p, Event: LearnerRemoved, Reason: reason}
+			return MembershipChange{Next: removePeerAt(peers, i), Peer: p, Event: LearnerRemoved, Reason: reason}
 		}
 	}
 	return MembershipChange{}
 }
 
-// mayRemove is the rule for every removal of a voter: never below the wanted number, unless a learner is ready to be
-// promoted by the very next change; never without a majority in contact; and never with fewer voters to spare than
-// before.
-func (n *Node) mayRemove(next []*wire.Peer, wanted int, successor bool) bool {
-	if successor {
+// mayRemove reports whether a voter may be removed, which leaves the membership next. The number of voters must not fall
+// below wanted, or below wanted-1 if a learner is ready to replace the voter. A majority must be in contact, and the
+// number of tolerated failures must not decrease.
+func (n *Node) mayRemove(next []*wire.Peer, wanted int, hasReplacement bool) bool {
+	if hasReplacement {
 		wanted--
 	}
-	commits := n.sparedVoters(next, true) >= 0 // members that are leaving still take part
-	return Voters(next) >= wanted && commits && n.sparedVoters(next, false) >= n.sparedVoters(n.Peers(), false)
+	commits := n.toleratedFailures(next, true) >= 0 // leaving members still vote and acknowledge
+	return Voters(next) >= wanted && commits && n.toleratedFailures(next, false) >= n.toleratedFailures(n.Peers(), false)
 }
 
-// sparedVoters is the number of voters in contact beyond a majority: how many of them may be lost while elections and
-// commits go on. It is negative without a majority in contact. Members that are leaving count only if asked for.
-func (n *Node) sparedVoters(peers []*wire.Peer, departing bool) int {
-	live := 0
+// toleratedFailures returns how many of the voters in contact may fail without loss of the majority that elections and
+// commits need. It is negative if no majority is in contact. Leaving members count as in contact only if includeLeaving
+// is set.
+func (n *Node) toleratedFailures(peers []*wire.Peer, includeLeaving bool) int {
+	available := 0
 	for _, p := range peers {
-		if p.Voter && n.inContact(p.Id) && (departing || !n.isLeaving(p.Id)) {
-			live++
+		if p.Voter && n.inContact(p.Id) && (includeLeaving || !n.isLeaving(p.Id)) {
+			available++
 		}
 	}
-	return live - (Voters(peers)/2 + 1)
+	return available - (Voters(peers)/2 + 1)
 }
 
-// catchUp has two samples of the leader's last index, by which Reconcile sees that a learner lags by no more than some
-// heartbeats, although new entries are proposed all the time (thesis, 4.2.1: rounds of replication).
-type catchUp struct {
-	sampledAt time.Duration
-	sampled   uint64 // last index at sampledAt
-	target    uint64 // last index at the sample before
+// catchUpTracker samples the leader's last index at intervals of at least maxCatchUpLag. A learner that has reached the
+// previous sample has caught up, even if new entries are proposed continuously (thesis, 4.2.1: rounds of replication).
+type catchUpTracker struct {
+	sampledAt    time.Duration
+	sampledIndex uint64 // last index at sampledAt
+	targetIndex  uint64 // last index at the previous sample
 }
 
-func (u *catchUp) sample(now time.Duration, last uint64) {
-	if now-u.sampledAt < maxCatchUpLag {
+func (t *catchUpTracker) sample(now time.Duration, last uint64) {
+	if now-t.sampledAt < maxCatchUpLag {
 		return
 	}
-	u.target = u.sampled
-	u.sampled, u.sampledAt = last, now
+	t.targetIndex = t.sampledIndex
+	t.sampledIndex, t.sampledAt = last, now
 }
--- a/internal/controlplane/raft/replication.go
+++ b/internal/controlplane/raft/replication.go
@@ -2,27 +2,28 @@
 
 import "ivydeck/internal/transport/wire"
 
-// maxRoundsTracked is how many rounds of heartbeats may be unanswered by a majority and still count when they are.
+// maxRoundsTracked is the number of most recent heartbeat rounds whose start times are kept. Responses to older rounds do
+// not update quorumContactAt.
 const maxRoundsTracked = 64
 
-// broadcastHeartbeat begins a round of heartbeats to all other members.
+// broadcastHeartbeat starts a heartbeat round to all other members.
 func (n *Node) broadcastHeartbeat() {
 	n.heartbeatRound++
 	n.heartbeatUnsent = true
 	n.roundStartedAt[n.heartbeatRound] = n.now
 	delete(n.roundStartedAt, n.heartbeatRound-maxRoundsTracked)
 	n.heartbeatAt = n.now + Heartbeat
-	for _, p := range n.Peers() { // in the order of the log, so that simulations repeat
+	for _, p := range n.Peers() { // in a fixed order, so that simulations are reproducible
 		if p.Id != n.id {
 			n.maybeEndSnapshot(n.progress[p.Id])
 			n.replicate(p.Id, true)
 		}
 	}
-	n.confirmContact() // a single voter is its own majority
+	n.updateQuorumContact() // a single voter is its own majority
 }
 
-// replicate sends a member the entries that follow the last ones sent, or nothing; with heartbeat, an empty message at
-// least.
+// replicate sends a member the next unsent entries, or a snapshot if the log no longer has them. If there are no unsent
+// entries, it sends an empty message if heartbeat is set, and otherwise nothing.
 func (n *Node) replicate(id uint64, heartbeat bool) {
 	p := n.progress[id]
 	if p == nil {
@@ -38,7 +39,7 @@
 		Commit: n.committed, HeartbeatRound: n.heartbeatRound,
 	}
 	bytes := 0
-	for i := p.next; i <= n.last() && len(m.Entries) < n.maxBatchEntries && bytes < maxBytes; i++ {
+	for i := p.next; i <= n.last() && len(m.Entries) < n.maxBatchEntries && bytes < maxMessageBytes; i++ {
 		e := n.entries[i-n.first()]
 		m.Entries = append(m.Entries, e)
 		bytes += len(e.Data)
@@ -46,28 +47,28 @@
 	if len(m.Entries) == 0 && !heartbeat {
 		return
 	}
-	p.next += uint64(len(m.Entries)) // optimistic: a lost message shows by the rejection of the next one
+	p.next += uint64(len(m.Entries)) // optimistic: after a lost message, the member rejects the next one
 	n.send(m)
 }
 
-// handleRejection goes back to where a member's log may match, over whole terms that only one of the two has. Entry by
-// entry, a log with more conflicts than round trips fit between two heartbeats would never match, since each heartbeat
-// begins at the end again.
+// handleRejection moves next back to where the member's log may match, and skips whole terms that only one of the two logs
+// has. If it moved back one entry per round trip, a log with more conflicts than round trips per heartbeat interval would
+// never match, since each heartbeat starts at the end of the log again.
 func (n *Node) handleRejection(p *progress, m *wire.RaftMessage) {
 	hint := m.Index
 	for t, ok := n.term(hint); ok && 0 < m.LogTerm && m.LogTerm < t; t, ok = n.term(hint) {
 		hint--
 	}
-	// By a snapshot, the member may be at a position from which the log leads on.
-	joins := p.next <= n.base.index && hint == m.Index && m.LogTerm > 0 && hint >= n.base.index
-	if hint >= p.next-1 && !joins {
-		return // a rejection of an earlier message
+	// After installing a snapshot, the member may be at a position that is in this log.
+	canResume := p.next <= n.base.index && hint == m.Index && m.LogTerm > 0 && hint >= n.base.index
+	if hint >= p.next-1 && !canResume {
+		return // rejection of an earlier message
 	}
 	p.next = max(hint, p.match) + 1
 	n.replicate(m.From, false)
 }
 
-// replicateAll sends all members the entries that have not been sent to them.
+// replicateAll sends every other member all entries that have not been sent to it.
 func (n *Node) replicateAll() {
 	for _, p := range n.Peers() {
 		if p.Id != n.id {
@@ -76,7 +77,7 @@
 	}
 }
 
-// replicateRest sends a member all entries that have not been sent to it, in as many messages as that takes.
+// replicateRest sends a member all unsent entries, in as many messages as needed.
 func (n *Node) replicateRest(id uint64) {
 	p := n.progress[id]
 	for p != nil && p.next <= n.last() {
@@ -87,7 +88,7 @@
 	}
 }
 
-// StableTo says that all entries up to an index are on disk.
+// StableTo records that all entries up to index are on disk.
 func (n *Node) StableTo(index uint64) {
 	n.stable = max(n.stable, min(index, n.last()))
 	if n.state == stateLeader {
@@ -95,20 +96,20 @@
 	}
 }
 
-// maybeCommit commits what a majority has on disk. Entries of earlier terms are committed by one of the leader's own
-// term alone (thesis, 3.6.2).
+// maybeCommit commits the entries that a majority has on disk. Entries of earlier terms are only committed together with
+// an entry of the leader's own term (thesis, 3.6.2).
 func (n *Node) maybeCommit() {
 	index := n.quorumValue(n.stable, func(p *progress) uint64 { return p.match })
 	if t, _ := n.term(index); index <= n.committed || t != n.hardState.Term {
 		return
 	}
 	n.committed = index
-	for _, p := range n.Peers() { // the followers apply it as well, and clients wait for that
+	for _, p := range n.Peers() { // clients also wait until followers apply the entries
 		if p.Id != n.id {
 			n.replicate(p.Id, true)
 		}
 	}
 	if n.MembershipCommitted() && !n.isMember(n.id) {
-		n.becomeFollower(n.hardState.Term, noID) // it has removed itself (thesis, 4.2.2)
+		n.becomeFollower(n.hardState.Term, noID) // this leader's removal is committed (thesis, 4.2.2)
 	}
 }
--- a/internal/controlplane/raft/sim_run_test.go
+++ b/internal/controlplane/raft/sim_run_test.go
@@ -63,7 +63,7 @@
 }
 
 func drawProfile(rng *rand.Rand) profile {
-	p := profile{batch: []int{maxEntries, 1, 2}[rng.IntN(3)], churn: rng.IntN(3) == 0, members: 3 + rng.IntN(2)}
+	p := profile{batch: []int{maxMessageEntries, 1, 2}[rng.IntN(3)], churn: rng.IntN(3) == 0, members: 3 + rng.IntN(2)}
 	if p.hasty = !p.churn && rng.IntN(2) == 0; p.hasty {
 		p.batch = 1
 	}
@@ -90,7 +90,7 @@
 }
 
 func newSimulation(rng *rand.Rand) *simulation {
-	return &simulation{rng: rng, profile: profile{batch: maxEntries, backlog: 40}, cut: map[[2]int]bool{}, clients: newClients(), checks: newChecks()}
+	return &simulation{rng: rng, profile: profile{batch: maxMessageEntries, backlog: 40}, cut: map[[2]int]bool{}, clients: newClients(), checks: newChecks()}
 }
 
 // simulate plays one seed: faults from the fourth second on, and calm for the last twelve.
--- a/internal/controlplane/raft/snapshot.go
+++ b/internal/controlplane/raft/snapshot.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	snapshotTimeout    = time.Second            // a transfer without progress for so long is begun again
-	snapshotRetryPause = 250 * time.Millisecond // after a failed transfer
-	catchUpTimeout     = 10 * time.Second       // no entries are kept for a member without contact for so long
+	snapshotTimeout    = time.Second            // a transfer without progress for this time is restarted
+	snapshotRetryPause = 250 * time.Millisecond // delay before a failed transfer is resumed
+	catchUpTimeout     = 10 * time.Second       // no entries are kept for a member without contact for this time
 )
 
-// SnapshotEvent is what the driver reports of a snapshot's transfer.
+// SnapshotEvent is an event of a snapshot transfer that the driver reports.
 type SnapshotEvent int
 
-// The events of a transfer. A failed one is resumed later, with the same snapshot as long as the log leads on from it.
+// The events of a snapshot transfer. A failed transfer is resumed later, with the same snapshot if the log still has all
+// entries after it.
 const (
 	SnapshotProgress SnapshotEvent = iota + 1
 	SnapshotFinished
 	SnapshotFailed
 )
 
-// ReportSnapshot takes an event of the transfer of the snapshot with an index to a member. A transfer begins with an
-// INSTALL_SNAPSHOT message in a Ready; a driver that reports nothing gets the message again after a second.
+// ReportSnapshot handles an event of the transfer of the snapshot at index to a member. A transfer begins with an
+// INSTALL_SNAPSHOT message in a Ready. If the driver reports no event, the message is repeated after snapshotTimeout.
 func (n *Node) ReportSnapshot(now time.Duration, to, index uint64, event SnapshotEvent) {
 	n.now = now
 	p := n.progress[to]
@@ -37,22 +38,22 @@
 		p.snapshotRetryAt = now + snapshotRetryPause
 	case SnapshotFinished:
 		p.snapshotRetryAt = now + snapshotTimeout
-		if index >= n.base.index { // match follows with the member's own answer
+		if index >= n.base.index { // match is updated by the member's own response
 			p.next = max(p.next, index+1)
 			n.replicate(to, true)
 		}
 	}
 }
 
-// InstallSnapshot takes a snapshot that the driver has received completely. Its state was committed, whoever leads by
-// now, so no term comes with it.
+// InstallSnapshot restores a snapshot that the driver has received completely. It needs no term, since the snapshot's
+// state is committed regardless of the current leader.
 func (n *Node) InstallSnapshot(now time.Duration, s *wire.RaftSnapshot) {
 	n.now = now
 	n.restore(s)
 }
 
-// SnapshotInTransfer returns the index of the snapshot that is being sent to a member, or that the member has not yet
-// confirmed; 0: none.
+// SnapshotInTransfer returns the index of the snapshot that is being sent to a member or that the member has not confirmed
+// yet. It returns zero if there is none.
 func (n *Node) SnapshotInTransfer(id uint64) (index uint64) {
 	if p := n.progress[id]; p != nil {
 		return p.snapshot.GetIndex()
@@ -60,10 +61,10 @@
 	return 0
 }
 
-// sendSnapshot begins or resumes the transfer of a snapshot to a member whose next entry the log no longer has. While
-// one is in progress, or the member is unresponsive, it sends a heartbeat alone. A newer snapshot replaces the one in
-// progress only if the log does not lead on from that: a member that is slower than the changes would else never
-// receive a complete one.
+// sendSnapshot starts or resumes a snapshot transfer to a member whose next entry is no longer in the log. While a transfer
+// is in progress, or if the member is unresponsive, it only sends an empty message if heartbeat is set. A newer snapshot
+// replaces the one in progress only if the log no longer has all entries after that one. Otherwise a member that receives
+// snapshots more slowly than they are created would never receive a complete one.
 func (n *Node) sendSnapshot(id uint64, p *progress, heartbeat bool) {
 	if n.now < p.snapshotRetryAt || n.now-p.lastContact >= snapshotTimeout {
 		if heartbeat {
@@ -84,14 +85,15 @@
 	})
 }
 
-// maybeEndSnapshot forgets a transfer that its member has confirmed, or whose member has been without contact for long.
+// maybeEndSnapshot ends a transfer that the member has confirmed, or whose member has been without contact for
+// catchUpTimeout.
 func (n *Node) maybeEndSnapshot(p *progress) {
 	if p != nil && p.snapshot != nil && (p.match >= p.snapshot.Index || n.now-p.lastContact > catchUpTimeout) {
 		p.snapshot = nil
 	}
 }
 
-// handleInstallSnapshot takes a leader's snapshot whose data is in the message itself.
+// handleInstallSnapshot restores a snapshot whose data is in the leader's message.
 func (n *Node) handleInstallSnapshot(m *wire.RaftMessage) {
 	n.send(&wire.RaftMessage{
 		Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, To: m.From, HeartbeatRound: m.HeartbeatRound,
--- a/internal/controlplane/raft/step.go
+++ b/internal/controlplane/raft/step.go
@@ -6,14 +6,14 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Step takes a message from another member.
+// Step processes a message from another member.
 func (n *Node) Step(now time.Duration, m *wire.RaftMessage) {
 	n.now = now
-	if m.To != n.id { // for the member that had this address before
+	if m.To != n.id { // addressed to a former member with the same address
 		return
 	}
 	if m.Refusal == wire.RaftMessage_NOT_MEMBER {
-		n.removedElsewhere = true // MembershipManager asks to join
+		n.rejectedAsNonMember = true // makes MembershipManager send join requests
 	}
 	switch {
 	case m.Kind == wire.RaftMessage_REQUEST_VOTE:
@@ -30,7 +30,7 @@
 	}
 }
 
-// stepInTerm takes a message of the present term.
+// stepInTerm processes a message of the current term.
 func (n *Node) stepInTerm(m *wire.RaftMessage) {
 	switch m.Kind {
 	case wire.RaftMessage_REQUEST_VOTE_RESPONSE:
@@ -41,11 +41,11 @@
 	case wire.RaftMessage_APPEND_ENTRIES:
 		n.observeLeader(m.From)
 		n.handleAppendEntries(m)
-		n.learnContact(m)
+		n.updateContactAt(m)
 	case wire.RaftMessage_INSTALL_SNAPSHOT:
 		n.observeLeader(m.From)
 		n.handleInstallSnapshot(m)
-		n.learnContact(m)
+		n.updateContactAt(m)
 	case wire.RaftMessage_APPEND_ENTRIES_RESPONSE:
 		n.handleAppendEntriesResponse(m)
 	case wire.RaftMessage_TIMEOUT_NOW:
@@ -55,12 +55,12 @@
 	}
 }
 
-// fromLeader reports whether only the leader of a message's term sends such a message.
+// fromLeader reports whether a message is of a kind that only the leader of its term sends.
 func fromLeader(m *wire.RaftMessage) bool {
 	return m.Kind == wire.RaftMessage_APPEND_ENTRIES || m.Kind == wire.RaftMessage_INSTALL_SNAPSHOT
 }
 
-// leaderOf returns the leader of a message's term, as far as the message shows it; noID: it does not.
+// leaderOf returns the leader of a message's term, or noID if the message does not identify it.
 func leaderOf(m *wire.RaftMessage) uint64 {
 	if fromLeader(m) {
 		return m.From
@@ -68,31 +68,31 @@
 	return noID
 }
 
-// rejectStaleTerm answers a leader of an earlier term, which steps down by the answer's term.
+// rejectStaleTerm rejects the message of a leader of an earlier term, which steps down when it receives the newer term.
 func (n *Node) rejectStaleTerm(m *wire.RaftMessage) {
 	if !fromLeader(m) {
 		return
 	}
 	reason := wire.RaftMessage_STALE_TERM
-	if n.isStranger(m.From) {
+	if n.isNonMember(m.From) {
 		reason = wire.RaftMessage_NOT_MEMBER
 	}
 	n.send(&wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, To: m.From, Reject: true, Refusal: reason})
 }
 
-// isStranger reports whether a process is not a member, as far as this member, which knows some membership, can tell.
-func (n *Node) isStranger(id uint64) bool { return !n.isMember(id) && len(n.Peers()) > 0 }
+// isNonMember reports whether id is not in the newest membership. It returns false if there is no membership yet.
+func (n *Node) isNonMember(id uint64) bool { return !n.isMember(id) && len(n.Peers()) > 0 }
 
-// observeLeader notes contact with the term's leader.
+// observeLeader records contact with the leader of the current term.
 func (n *Node) observeLeader(leaderID uint64) {
 	if n.state != stateFollower {
 		n.becomeFollower(n.hardState.Term, leaderID)
 	}
-	n.leaderID, n.leaderContactAt, n.removedElsewhere = leaderID, n.now, false
-	n.resetElectionTimer() // after leaderID is set, on which the timeout depends
+	n.leaderID, n.leaderContactAt, n.rejectedAsNonMember = leaderID, n.now, false
+	n.resetElectionTimer() // after leaderID is set, which affects the timeout
 }
 
-// NextTick is the time at which the node wants a Tick.
+// NextTick returns the time of the next heartbeat or election, at which the driver must call Tick.
 func (n *Node) NextTick() time.Duration {
 	if n.state == stateLeader {
 		return n.heartbeatAt
@@ -100,7 +100,7 @@
 	return n.electionDeadline
 }
 
-// Tick advances the time.
+// Tick advances the time, and sends the heartbeats or starts the campaign that is due.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	if n.state == stateLeader {
@@ -111,7 +111,7 @@
 		return
 	}
 	n.resetElectionTimer()
-	n.leaderID = noID // no contact for an election timeout: clients are not to be redirected there
+	n.leaderID = noID // no contact for an election timeout: clients must not be redirected to this leader
 	if n.electable() {
 		n.campaign(campaignPreElection)
 	}
@@ -122,8 +122,8 @@
 		n.becomeFollower(n.hardState.Term, noID)
 		return
 	}
-	if n.leadTransferee != noID && n.now >= n.leadTransferDeadline { // the transferee has not taken over
-		n.leadTransferee = noID
+	if n.transferee != noID && n.now >= n.transferDeadline { // abandon the transfer
+		n.transferee = noID
 	}
 	if n.now >= n.heartbeatAt {
 		n.broadcastHeartbeat()
