--- a/internal/controlplane/raft/quorum.go
+++ b/internal/controlplane/raft/quorum.go
@@ -59,6 +59,6 @@
 func WantedVoters(tolerated, seeds int) int { return min(2*tolerated+1, seeds) }
 
 // MinAckVoters returns the number of voters below which a leader must not acknowledge changes. A majority of that number
-// is one more than the tolerated losses. It is one less than WantedVoters, since a replacement removes the old voter
+// is one more than the tolerated losses. It is at most one less than WantedVoters, since a replacement removes the old voter
 // before it promotes the new one. It is limited to the number of seeds.
 func MinAckVoters(tolerated, seeds int) int { return min(max(1, 2*tolerated), seeds) }
--- a/internal/controlplane/raft/replication.go
+++ b/internal/controlplane/raft/replication.go
@@ -104,7 +104,7 @@
 		return
 	}
 	n.committed = index
-	for _, p := range n.Peers() { // clients also wait until followers apply the entries
+	for _, p := range n.Peers() { // at once, since clients wait until the followers apply the entries
 		if p.Id != n.id {
 			n.replicate(p.Id, true)
 		}
