--- a/internal/controlplane/server/ack_gate.go
+++ b/internal/controlplane/server/ack_gate.go
@@ -5,21 +5,22 @@
 	"ivydeck/internal/controlplane/raft"
 )
 
-// ackGate decides below how many voters nothing is acknowledged. At the first start of a system, the quorum has to grow to
-// the wanted number: a loss before then would leave a change on members that can't elect a leader. Later one voter may be
-// missing, between the removal of a replaced voter and the promotion of its replacement.
+// ackGate determines the minimum number of voters for an acknowledgement. When a system is bootstrapped, the quorum
+// first has to reach the wanted size: after an earlier loss, the remaining members with an acknowledged change might be
+// unable to elect a leader. Later one voter may be missing, between the removal of a replaced voter and the promotion
+// of its replacement.
 type ackGate struct {
-	grown bool // the quorum had the wanted number of voters
+	bootstrapped bool // the quorum has reached the wanted number of voters
 }
 
-// minVoters is that number, with so many voters in the newest membership.
-func (g *ackGate) minVoters(set *nodefile.Settings, voters int) int {
-	wanted := raft.WantedVoters(set.ToleratedLosses, len(set.Seeds))
-	if !set.Bootstrap || voters >= wanted {
-		g.grown = true
+// minVoters returns the minimum number of voters for an acknowledgement. voters is the number in the newest membership.
+func (g *ackGate) minVoters(settings *nodefile.Settings, voters int) int {
+	wanted := raft.WantedVoters(settings.ToleratedLosses, len(settings.Seeds))
+	if !settings.Bootstrap || voters >= wanted {
+		g.bootstrapped = true
 	}
-	if !g.grown {
+	if !g.bootstrapped {
 		return wanted
 	}
-	return raft.MinAckVoters(set.ToleratedLosses, len(set.Seeds))
+	return raft.MinAckVoters(settings.ToleratedLosses, len(settings.Seeds))
 }
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -7,7 +7,8 @@
 	"ivydeck/internal/transport/identity"
 )
 
-// routes are the paths of the operators' interface. The paths are frozen: operators' programs call them.
+// routes returns the handler of the operators' HTTP interface. Its paths must not change, because operators' programs
+// use them.
 func (srv *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+replacePath, srv.requireOperator(srv.serveReplace))
@@ -27,8 +28,8 @@
 	return mux
 }
 
-// requireOperator rejects calls of others than operators, if the interface asks for identities. The routes without it are
-// open to every role: they show only which processes exist and what state they are in.
+// requireOperator rejects TLS calls from peers without the operator role. Routes without it are open to every role, as
+// they show only which processes exist and what state they are in.
 func (srv *Server) requireOperator(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// reply writes a line of text, with a Retry-After where another member may do better.
+// reply writes a plain-text response, with a Retry-After header for status 503.
 func reply(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain")
 	if status == http.StatusServiceUnavailable {
--- a/internal/controlplane/server/http_config.go
+++ b/internal/controlplane/server/http_config.go
@@ -12,21 +12,21 @@
 	"ivydeck/internal/config/meshconfig"
 )
 
-// retryAfter is the Retry-After, in seconds, where another member may do better.
+// retryAfter is the value of the Retry-After header, in seconds.
 const retryAfter = "0.1"
 
-// The paths of the operators' requests, see routes.
+// Paths of operators' requests, used by routes and in redirects.
 const (
 	replacePath = "/config/replace"
 	readPath    = "/config/read"
 	backupPath  = "/backup"
 )
 
-// maxReplacing is how many changes are read and parsed at a time, each of which may take some times meshconfig.MaxBytes.
-// Operators have up to eight in flight, and some that they have cancelled may still be here.
-const maxReplacing = 12
+// maxConcurrentReplaces bounds the configurations read and parsed at once, each of which can use several times
+// meshconfig.MaxBytes of memory. Operators have up to eight calls in flight, and cancelled calls may still hold a slot.
+const maxConcurrentReplaces = 12
 
-// serveReplace replaces the configuration by the body's, on top of the revision in Base-Revision.
+// serveReplace replaces the configuration by that in the body, based on the revision in the Base-Revision header.
 func (srv *Server) serveReplace(w http.ResponseWriter, r *http.Request) {
 	select {
 	case srv.replaceSlots <- struct{}{}:
@@ -38,12 +38,12 @@
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, meshconfig.MaxBytes))
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		reply(w, http.StatusRequestEntityTooLarge, "the configuration is too large")
 		return
-	case errors.Is(err, os.ErrDeadlineExceeded): // slow is not invalid
+	case errors.Is(err, os.ErrDeadlineExceeded): // a slow upload may be retried, so it must not return 400
 		reply(w, http.StatusRequestTimeout, "the configuration did not come in time")
 		return
 	case err != nil:
@@ -55,28 +55,28 @@
 		reply(w, http.StatusBadRequest, "Base-Revision is no number")
 		return
 	}
-	replacement, err := parseReplacement(*srv.config.Load(), base, body) // not in the loop, which it would block
+	replacement, err := parseReplacement(*srv.config.Load(), base, body) // outside the loop, as parsing would block it
 	if err != nil {
 		reply(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	began := srv.now()
+	start := srv.now()
 	answer := srv.awaitAnswer(r.Context(), func(deadline time.Duration, done func(OperatorAnswer)) {
 		srv.operator.replace(srv.now(), deadline, replacement, done)
 	})
 	srv.log.Info("operator.config_replace", "base_revision", base, "revision", replacement.revision, "result", answer.Result.String(), "reason", answer.Reason,
-		"duration_ms", (srv.now() - began).Milliseconds())
+		"duration_ms", (srv.now() - start).Milliseconds())
 	srv.writeAnswer(w, replacePath, answer)
 }
 
-// serveRead returns the newest configuration as it was sent.
+// serveRead returns the body of the current configuration as it was sent.
 func (srv *Server) serveRead(w http.ResponseWriter, r *http.Request) {
 	answer := srv.awaitAnswer(r.Context(), func(deadline time.Duration, done func(OperatorAnswer)) { srv.operator.read(srv.now(), deadline, done) })
 	w.Header().Set("Content-Type", "application/msgpack")
 	srv.writeAnswer(w, readPath, answer)
 }
 
-// serveBackup returns the replicated state, for package backup.
+// serveBackup returns the replicated state in the format of package backup.
 func (srv *Server) serveBackup(w http.ResponseWriter, r *http.Request) {
 	answer := srv.awaitAnswer(r.Context(), func(deadline time.Duration, done func(OperatorAnswer)) {
 		srv.operator.backup(srv.now(), deadline, done)
@@ -85,13 +85,14 @@
 	srv.writeAnswer(w, backupPath, answer)
 }
 
-// awaitAnswer runs a request in the loop, and waits no longer than an operator does: a disk may block the loop.
-func (srv *Server) awaitAnswer(ctx context.Context, begin func(deadline time.Duration, done func(OperatorAnswer))) OperatorAnswer {
+// awaitAnswer calls submit in the loop and waits up to operatorTimeout for the answer, as a blocked disk blocks the
+// loop.
+func (srv *Server) awaitAnswer(ctx context.Context, submit func(deadline time.Duration, done func(OperatorAnswer))) OperatorAnswer {
 	answers := make(chan OperatorAnswer, 1)
 	deadline := srv.now() + operatorTimeout
 	timeout := time.NewTimer(operatorTimeout)
 	defer timeout.Stop()
-	if !srv.runInLoopUntil(ctx, timeout.C, func() { begin(deadline, func(a OperatorAnswer) { answers <- a }) }) {
+	if !srv.runInLoopUntil(ctx, timeout.C, func() { submit(deadline, func(a OperatorAnswer) { answers <- a }) }) {
 		return OperatorAnswer{Result: Unavailable, Reason: errQueueTimeout}
 	}
 	select {
@@ -106,8 +107,8 @@
 	}
 }
 
-// statusOf is the HTTP status of each result.
-var statusOf = map[OperatorResult]int{
+// httpStatus maps results to HTTP status codes.
+var httpStatus = map[OperatorResult]int{
 	Unavailable:     http.StatusServiceUnavailable,
 	Redirected:      http.StatusTemporaryRedirect,
 	Accepted:        http.StatusOK,
@@ -118,23 +119,24 @@
 	NotFound:        http.StatusNotFound,
 }
 
-// writeAnswer writes an answer as HTTP. path is the request's, which is the same at the leader.
-func (srv *Server) writeAnswer(w http.ResponseWriter, path string, a OperatorAnswer) {
-	switch a.Result {
+// writeAnswer writes an answer as an HTTP response. path is the path of the request, to which a redirect points at the
+// leader.
+func (srv *Server) writeAnswer(w http.ResponseWriter, path string, answer OperatorAnswer) {
+	switch answer.Result {
 	case Found:
-		w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
-		w.Write(a.Body)
+		w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
+		w.Write(answer.Body)
 		return
 	case Redirected:
 		scheme := "http://"
 		if srv.settings.Load().SecureOperator {
 			scheme = "https://"
 		}
-		w.Header().Set("Location", scheme+a.Leader.ControlAddress+path)
+		w.Header().Set("Location", scheme+answer.Leader.ControlAddress+path)
 	}
-	text := a.Result.String()
-	if a.Reason != nil {
-		text = a.Reason.Error()
+	text := answer.Result.String()
+	if answer.Reason != nil {
+		text = answer.Reason.Error()
 	}
-	reply(w, statusOf[a.Result], text)
+	reply(w, httpStatus[answer.Result], text)
 }
--- a/internal/controlplane/server/http_config_test.go
+++ b/internal/controlplane/server/http_config_test.go
@@ -21,30 +21,31 @@
 	"ivydeck/internal/transport/rpc"
 )
 
-// aloneNode is the one member of a quorum, on a disk in a folder of the test.
-func aloneNode(t *testing.T) *Server {
+// newSingleMember starts the only member of a quorum, with its store in a temporary directory.
+func newSingleMember(t *testing.T) *Server {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	disk, err := store.Open(t.TempDir(), rand.New(rand.NewPCG(1, 2)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Server{
-		log: slog.New(slog.DiscardHandler), startedAt: time.Now(), events: make(chan func(), 64), replaceSlots: make(chan struct{}, maxReplacing), ctx: ctx,
+	srv := &Server{
+		log: slog.New(slog.DiscardHandler), startedAt: time.Now(), events: make(chan func(), 64), replaceSlots: make(chan struct{}, maxConcurrentReplaces), ctx: ctx,
 		replica: newReplica(disk, rpc.NewPool(ctx, rpc.PoolOptions{})), pool: rpc.NewPool(ctx, rpc.PoolOptions{}), hub: relay.NewHub(func() time.Duration { return 0 }),
 	}
 	const address = "127.0.0.1:1"
-	n.settings.Store(&nodefile.Settings{Node: "n", Control: address, Seeds: []string{address}, Bootstrap: true, IP: "127.0.0.1", Ports: [2]int{2, 3}})
-	if err := n.restore(1); err != nil {
+	srv.settings.Store(&nodefile.Settings{Node: "n", Control: address, Seeds: []string{address}, Bootstrap: true, IP: "127.0.0.1", Ports: [2]int{2, 3}})
+	if err := srv.restore(1); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
-	go func() { defer close(ended); n.loop(ctx.Done()) }()
-	t.Cleanup(func() { cancel(); <-ended; disk.Close() })
-	return n
+	done := make(chan struct{})
+	go func() { defer close(done); srv.loop(ctx.Done()) }()
+	t.Cleanup(func() { cancel(); <-done; disk.Close() })
+	return srv
 }
 
-func encoded(t *testing.T, revision uint64, service string) string {
+// encodeConfig returns the encoded configuration with a revision and one backend.
+func encodeConfig(t *testing.T, revision uint64, service string) string {
 	t.Helper()
 	body, err := msgpack.Marshal(&meshconfig.Config{Revision: revision, Backends: []meshconfig.Backend{{Name: service}}})
 	if err != nil {
@@ -53,29 +54,29 @@
 	return string(body)
 }
 
-// TestOperatorHTTPStatuses: the statuses that the results have, over a real connection.
+// TestOperatorHTTPStatuses checks the HTTP status of each result over a TCP connection.
 func TestOperatorHTTPStatuses(t *testing.T) {
-	server := httptest.NewServer(aloneNode(t).routes())
+	server := httptest.NewServer(newSingleMember(t).routes())
 	defer server.Close()
-	first, second := encoded(t, 3, "a"), encoded(t, 5, "a")
+	first, second := encodeConfig(t, 3, "a"), encodeConfig(t, 5, "a")
 	for _, c := range []struct {
 		name, method, path, base, body string
 		status                         int
-		want                           string // in the answer
+		want                           string // substring of the body
 	}{
-		{"nothing yet", "GET", readPath, "", "", http.StatusNotFound, ""},
-		{"no base", "POST", replacePath, "", first, http.StatusBadRequest, "Base-Revision"},
-		{"cut short", "POST", replacePath, "0", first[:7], http.StatusBadRequest, "not readable"},
+		{"no configuration", "GET", readPath, "", "", http.StatusNotFound, ""},
+		{"missing base revision", "POST", replacePath, "", first, http.StatusBadRequest, "Base-Revision"},
+		{"truncated body", "POST", replacePath, "0", first[:7], http.StatusBadRequest, "not readable"},
 		{"too large", "POST", replacePath, "0", strings.Repeat("x", meshconfig.MaxBytes+1), http.StatusRequestEntityTooLarge, ""},
-		{"the first", "POST", replacePath, "0", first, http.StatusOK, ""},
-		{"read back", "GET", readPath, "", "", http.StatusOK, first},
-		{"sent again", "POST", replacePath, "0", first, http.StatusOK, "already"},
-		{"a stale base", "POST", replacePath, "0", second, http.StatusPreconditionFailed, ""},
-		{"the same number", "POST", replacePath, "3", encoded(t, 3, "b"), http.StatusBadRequest, "not above"},
-		{"the second", "POST", replacePath, "3", second, http.StatusOK, ""},
-		{"the first once more", "POST", replacePath, "0", first, http.StatusOK, "already"},
-		{"read back again", "GET", readPath, "", "", http.StatusOK, second},
-		{"a backup", "GET", backupPath, "", "", http.StatusOK, "ivydeck backup"},
+		{"first change", "POST", replacePath, "0", first, http.StatusOK, ""},
+		{"read first change", "GET", readPath, "", "", http.StatusOK, first},
+		{"first change resent", "POST", replacePath, "0", first, http.StatusOK, "already"},
+		{"stale base revision", "POST", replacePath, "0", second, http.StatusPreconditionFailed, ""},
+		{"revision not increased", "POST", replacePath, "3", encodeConfig(t, 3, "b"), http.StatusBadRequest, "not above"},
+		{"second change", "POST", replacePath, "3", second, http.StatusOK, ""},
+		{"first change resent after the second", "POST", replacePath, "0", first, http.StatusOK, "already"},
+		{"read second change", "GET", readPath, "", "", http.StatusOK, second},
+		{"backup", "GET", backupPath, "", "", http.StatusOK, "ivydeck backup"},
 	} {
 		request, err := http.NewRequest(c.method, server.URL+c.path, strings.NewReader(c.body))
 		if err != nil {
@@ -91,14 +92,15 @@
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if err != nil || response.StatusCode != c.status || !strings.Contains(string(body), c.want) {
-			t.Errorf("%s: %d, %.80q, %v; want %d with %.40q", c.name, response.StatusCode, body, err, c.status, c.want)
+			t.Errorf("%s: status %d, body %.80q, error %v; want status %d, body containing %.40q", c.name, response.StatusCode, body, err, c.status, c.want)
 		}
 	}
 }
 
-// TestSlowBodyIsNotInvalid: an operator's call ends for good on 400. One whose body does not come in time may be sent again.
+// TestSlowBodyIsNotInvalid checks that a body that arrives too slowly returns 408, which operators retry, and not 400,
+// which they don't.
 func TestSlowBodyIsNotInvalid(t *testing.T) {
-	server := httptest.NewUnstartedServer(aloneNode(t).routes())
+	server := httptest.NewUnstartedServer(newSingleMember(t).routes())
 	server.Config.ReadTimeout = 50 * time.Millisecond
 	server.Start()
 	defer server.Close()
@@ -110,28 +112,29 @@
 	io.WriteString(connection, "POST "+replacePath+" HTTP/1.1\r\nHost: h\r\nBase-Revision: 0\r\nContent-Length: 9\r\n\r\nhalf")
 	answer, err := io.ReadAll(io.LimitReader(connection, 12))
 	if err != nil || string(answer) != "HTTP/1.1 408" {
-		t.Errorf("%q, %v", answer, err)
+		t.Errorf("status line = %q, error %v; want HTTP/1.1 408", answer, err)
 	}
 }
 
-// TestChangeSizeIsBounded: what operators send is held so many times at most; who comes then is told to come again.
+// TestChangeSizeIsBounded checks that a call beyond maxConcurrentReplaces returns 503, and that calls release their
+// slot.
 func TestChangeSizeIsBounded(t *testing.T) {
-	n := aloneNode(t)
+	srv := newSingleMember(t)
 	post := func() int {
 		w := httptest.NewRecorder()
-		r := httptest.NewRequest(http.MethodPost, replacePath, strings.NewReader(encoded(t, 3, "a")))
+		r := httptest.NewRequest(http.MethodPost, replacePath, strings.NewReader(encodeConfig(t, 3, "a")))
 		r.Header.Set("Base-Revision", "0")
-		n.routes().ServeHTTP(w, r)
+		srv.routes().ServeHTTP(w, r)
 		return w.Code
 	}
-	for range maxReplacing {
-		n.replaceSlots <- struct{}{}
+	for range maxConcurrentReplaces {
+		srv.replaceSlots <- struct{}{}
 	}
 	if status := post(); status != http.StatusServiceUnavailable {
-		t.Errorf("%d with all places taken", status)
+		t.Errorf("status %d with all slots in use, want 503", status)
 	}
-	<-n.replaceSlots
-	if status := post(); status != http.StatusOK || len(n.replaceSlots) != maxReplacing-1 {
-		t.Errorf("%d with one place left, and %d are taken behind it", status, len(n.replaceSlots))
+	<-srv.replaceSlots
+	if status := post(); status != http.StatusOK || len(srv.replaceSlots) != maxConcurrentReplaces-1 {
+		t.Errorf("status %d with one free slot, want 200; %d slots in use afterwards", status, len(srv.replaceSlots))
 	}
 }
--- a/internal/controlplane/server/http_members.go
+++ b/internal/controlplane/server/http_members.go
@@ -8,8 +8,8 @@
 	"ivydeck/internal/controlplane/raft"
 )
 
-// serveRemoveMember removes a member that is lost for good and has no replacement. 409 says that the quorum would tolerate
-// fewer losses than now, or that the member is alive.
+// serveRemoveMember removes a member that is permanently lost and has no replacement. It returns 409 if the member is
+// alive or if the remaining voters would tolerate fewer losses.
 func (srv *Server) serveRemoveMember(w http.ResponseWriter, r *http.Request) {
 	identity := r.PathValue("identity")
 	id, err := strconv.ParseUint(identity, 16, 64)
--- a/internal/controlplane/server/http_status.go
+++ b/internal/controlplane/server/http_status.go
@@ -6,21 +6,21 @@
 	"net/http"
 )
 
-// Status is a quorum member's view of itself and the quorum. Only the leader's view of members and servers is sure to be
-// the newest. The JSON names are frozen: operators' programs read them.
+// Status is a quorum member's view of itself and the quorum. Followers may lag behind the leader's members and servers.
+// The JSON names must not change, because operators' programs read them.
 type Status struct {
 	Node     string             `json:"node"`
 	IsLeader bool               `json:"leads"`
-	Leader   string             `json:"leader"` // its internal address; empty: not known
+	Leader   string             `json:"leader"` // internal address; empty if unknown
 	Term     uint64             `json:"term"`
 	Commit   uint64             `json:"commit"`
 	Revision uint64             `json:"revision"`
-	AgeMs    int64              `json:"age_ms"` // since a quorum confirmed the state here, at most
+	AgeMs    int64              `json:"age_ms"` // upper bound of the time since a quorum confirmed this member's state
 	Members  []Member           `json:"members"`
 	Servers  []RegisteredServer `json:"servers"`
 }
 
-// Member is a quorum member.
+// Member describes a quorum member, which is a learner unless it is a voter.
 type Member struct {
 	Identity string `json:"identity"`
 	Address  string `json:"address"`
@@ -37,16 +37,17 @@
 	Draining bool   `json:"draining"`
 }
 
-// currentStatus returns the status, for other goroutines than the loop's; an error says that the loop is blocked.
+// currentStatus returns the status to a goroutine other than the loop's. It fails after operatorTimeout, for example
+// while the disk blocks the loop.
 func (srv *Server) currentStatus(ctx context.Context) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	return callInLoop(ctx, srv, srv.status)
 }
 
-// status is for the loop.
+// status returns the status. Only the loop may call it.
 func (srv *Server) status() Status {
-	s := Status{
+	status := Status{
 		Node:     srv.settings.Load().Node,
 		IsLeader: srv.consensus.IsLeader(),
 		Leader:   srv.leader().GetAddress(),
@@ -56,14 +57,14 @@
 		AgeMs:    srv.contactAge().Milliseconds(),
 	}
 	for _, p := range srv.consensus.Peers() {
-		s.Members = append(s.Members, Member{Identity: identityText(p.Id), Address: p.Address, Voter: p.Voter})
+		status.Members = append(status.Members, Member{Identity: formatIdentity(p.Id), Address: p.Address, Voter: p.Voter})
 	}
 	for _, r := range srv.catalog.Servers() {
-		s.Servers = append(s.Servers, RegisteredServer{
+		status.Servers = append(status.Servers, RegisteredServer{
 			Member: r.Member, Service: r.Service, Node: r.Node, Zone: r.Zone, Slots: r.Slots, Draining: r.Draining,
 		})
 	}
-	return s
+	return status
 }
 
 func (srv *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -19,7 +19,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// eventLog hands a process's log events on by name.
+// eventLog is a slog.Handler that passes log records to the test.
 type eventLog struct {
 	slog.Handler
 	events chan slog.Record
@@ -32,38 +32,38 @@
 func (l eventLog) Handle(_ context.Context, r slog.Record) error {
 	select {
 	case l.events <- r.Clone():
-	default: // nobody waits for so many
+	default: // drop the record if the buffer is full
 	}
 	return nil
 }
 
-// until waits for an event that a condition holds of.
-func (l eventLog) until(t *testing.T, name string, holds func(attrs map[string]slog.Value) bool) {
+// waitFor waits for an event whose attributes match.
+func (l eventLog) waitFor(t *testing.T, name string, matches func(attrs map[string]slog.Value) bool) {
 	t.Helper()
-	limit := time.After(time.Minute)
+	timeout := time.After(time.Minute)
 	for {
 		select {
 		case r := <-l.events:
 			attrs := map[string]slog.Value{}
 			r.Attrs(func(a slog.Attr) bool { attrs[a.Key] = a.Value; return true })
-			if r.Message == name && holds(attrs) {
+			if r.Message == name && matches(attrs) {
 				return
 			}
-		case <-limit:
-			t.Fatalf("%s is not logged", name)
+		case <-timeout:
+			t.Fatalf("event %s was not logged within a minute", name)
 		}
 	}
 }
 
-// quorum is a few members in this process.
-type quorum struct {
+// testQuorum runs several members in the test process.
+type testQuorum struct {
 	t        *testing.T
 	settings []*nodefile.Settings
 }
 
-// newQuorum has as many members as there are numbers, none of which runs.
-func newQuorum(t *testing.T, members int) *quorum {
-	q := &quorum{t: t}
+// newTestQuorum returns a quorum with the settings of its members, none of which is started.
+func newTestQuorum(t *testing.T, members int) *testQuorum {
+	q := &testQuorum{t: t}
 	subnet := fmt.Sprintf("127.%d.%d", 20+rand.IntN(200), 1+rand.IntN(250))
 	var ports [2]int
 	for i := range ports {
@@ -85,8 +85,8 @@
 	return q
 }
 
-// start runs a member until the returned function is called.
-func (q *quorum) start(i int) (eventLog, func()) {
+// start runs member i until the returned function is called.
+func (q *testQuorum) start(i int) (eventLog, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	log := eventLog{slog.DiscardHandler, make(chan slog.Record, 4096)}
 	done := make(chan struct{})
@@ -101,8 +101,9 @@
 	return log, stop
 }
 
-// register has the first member, or whom it knows to lead, take servers by their numbers.
-func (q *quorum) register(from, to int) {
+// register registers the servers numbered from up to but excluding to. It sends proposals to the first member, and then
+// to the leader named in responses.
+func (q *testQuorum) register(from, to int) {
 	ctx, cancel := context.WithTimeout(q.t.Context(), time.Minute)
 	defer cancel()
 	pool := rpc.NewPool(ctx, rpc.PoolOptions{})
@@ -132,39 +133,39 @@
 	close(next)
 	workers.Wait()
 	if ctx.Err() != nil {
-		q.t.Fatal("the servers are not all registered in time")
+		q.t.Fatal("the servers were not registered within a minute")
 	}
 }
 
-// TestEmptyMemberCatchesUp: a member that joins after thousands of changes gets the state over a stream of its own, in
-// pieces, has it on disk with the entries behind it, and starts again from there.
+// TestEmptyMemberCatchesUp checks that a member joining after thousands of changes installs a snapshot sent in chunks,
+// is promoted, compacts its log, and restarts from its disk.
 func TestEmptyMemberCatchesUp(t *testing.T) {
-	q := newQuorum(t, 2)
+	q := newTestQuorum(t, 2)
 	leader, _ := q.start(0)
-	leader.until(t, "leadership.acquired", func(map[string]slog.Value) bool { return true })
+	leader.waitFor(t, "leadership.acquired", func(map[string]slog.Value) bool { return true })
 	q.register(0, 6000)
 	joining, stopJoining := q.start(1)
 	var index uint64
-	joining.until(t, "snapshot.installed", func(attrs map[string]slog.Value) bool {
+	joining.waitFor(t, "snapshot.installed", func(attrs map[string]slog.Value) bool {
 		index = attrs["index"].Uint64()
 		return index > 1 && attrs["bytes"].Uint64() > 2*chunkBytes
 	})
-	leader.until(t, string(raft.MemberPromoted), func(map[string]slog.Value) bool { return true })
+	leader.waitFor(t, string(raft.MemberPromoted), func(map[string]slog.Value) bool { return true })
 	q.register(6000, 12000)
-	joining.until(t, "snapshot.created", func(attrs map[string]slog.Value) bool { // of the state that it was given, and what came since
+	joining.waitFor(t, "snapshot.created", func(attrs map[string]slog.Value) bool { // contains the installed state and later changes
 		return attrs["bytes"].Int64() > 8*chunkBytes
 	})
 	stopJoining()
-	held, err := store.Inspect(q.settings[1].DataDir)
+	stored, err := store.Inspect(q.settings[1].DataDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held.Snapshot.GetIndex() < index || len(held.Snapshot.Data) < 2*chunkBytes {
-		t.Errorf("the snapshot on disk is at %d, with %d bytes; at %d it was installed", held.Snapshot.GetIndex(), len(held.Snapshot.Data), index)
+	if stored.Snapshot.GetIndex() < index || len(stored.Snapshot.Data) < 2*chunkBytes {
+		t.Errorf("snapshot on disk has index %d and %d bytes; the installed one had index %d", stored.Snapshot.GetIndex(), len(stored.Snapshot.Data), index)
 	}
-	if names, err := filepath.Glob(filepath.Join(q.settings[1].DataDir, "log", "incoming-*")); err != nil || len(names) > 0 {
-		t.Errorf("pieces are left: %v", names)
+	if leftovers, err := filepath.Glob(filepath.Join(q.settings[1].DataDir, "log", "incoming-*")); err != nil || len(leftovers) > 0 {
+		t.Errorf("incoming chunks were not removed: %v", leftovers)
 	}
-	again, _ := q.start(1)
-	again.until(t, "control.started", func(attrs map[string]slog.Value) bool { return !attrs["empty"].Bool() })
+	restarted, _ := q.start(1)
+	restarted.waitFor(t, "control.started", func(attrs map[string]slog.Value) bool { return !attrs["empty"].Bool() })
 }
--- a/internal/controlplane/server/leader.go
+++ b/internal/controlplane/server/leader.go
@@ -7,8 +7,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// manageLeadership notes and logs changes of the leadership, and carries out a leader's duties but for the membership,
-// which is the membershipDriver's.
+// manageLeadership logs the gain and loss of leadership. On the leader, it transfers leadership away from a slow disk
+// and removes lost servers. The leader's membership changes are in membershipDriver.
 func (srv *Server) manageLeadership() {
 	if !srv.consensus.IsLeader() {
 		if srv.wasLeader {
@@ -28,7 +28,8 @@
 	srv.removeLostServers()
 }
 
-// removeLostServers deregisters the servers on machines that the cluster membership has lost.
+// removeLostServers proposes to deregister the servers on nodes that gossip reports as lost. It skips the round while
+// commands of the request queue are in progress.
 func (srv *Server) removeLostServers() {
 	lost := srv.catalog.MembersOn(func(node string) bool { return srv.gossip.Lost(node, srv.now()-srv.leaderSince) })
 	if len(lost) == 0 || len(srv.requests.proposed) > 0 {
@@ -36,21 +37,21 @@
 	}
 	data, err := proto.Marshal(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: lost}}})
 	if err != nil {
-		return // no message that this program builds fails to marshal
+		return // unreachable: this command always marshals
 	}
 	if _, _, err := srv.consensus.Propose(srv.now(), data); err != nil {
-		return // it is proposed again at the next round
+		return // the next call proposes it again
 	}
 	srv.log.Info("registry.servers_removed", "members", lost)
 }
 
-// wantedVoters is the number of voters for the tolerated losses.
+// wantedVoters returns the target number of voters: enough for the tolerated losses, but at most one per seed.
 func (srv *Server) wantedVoters() int {
 	settings := srv.settings.Load()
 	return raft.WantedVoters(settings.ToleratedLosses, len(settings.Seeds))
 }
 
-// minAckVoters is the number of voters below which nothing is acknowledged now.
+// minAckVoters returns the current minimum number of voters for an acknowledgement.
 func (srv *Server) minAckVoters() int {
 	return srv.ackGate.minVoters(srv.settings.Load(), raft.Voters(srv.consensus.Peers()))
 }
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// manageInterval is the longest time between two rounds of a leader's duties.
+	// manageInterval is the longest time between two calls of manageLeadership.
 	manageInterval = 250 * time.Millisecond
-	// shutdownFlush is the time for the last messages of a member, such as its vote, to be sent.
+	// shutdownFlush is the time allowed for sending a member's last messages, such as its vote.
 	shutdownFlush = 50 * time.Millisecond
-	// minTimer keeps the loop from spinning where a deadline has just passed.
+	// minTimer keeps the loop from spinning when a deadline has just passed.
 	minTimer = time.Millisecond
 )
 
-// runInLoop passes a function to the loop, which runs it soon. It blocks while too many wait, and reports false if the
-// server has ended.
+// runInLoop queues a function for the loop. It blocks while the queue is full, and returns false if the server has
+// stopped.
 func (srv *Server) runInLoop(f func()) bool {
 	select {
 	case srv.events <- f:
@@ -28,7 +28,7 @@
 	}
 }
 
-// runInLoopUntil is runInLoop for a caller that waits no longer than its context or a timer.
+// runInLoopUntil is like runInLoop, and also returns false once ctx is done or timeout fires.
 func (srv *Server) runInLoopUntil(ctx context.Context, timeout <-chan time.Time, f func()) bool {
 	select {
 	case srv.events <- f:
@@ -40,31 +40,31 @@
 	return false
 }
 
-// loop runs the consensus until the server ends: events in; disk, messages, state and answers out. Once stop is closed
-// it begins a graceful shutdown, and returns when another member leads and a majority of the remaining voters has all
-// of this log, or after a part of the grace time.
+// loop runs the consensus until the server stops. Once stop is closed, it begins a graceful shutdown: it returns when
+// another member leads and a majority of the remaining voters has all of this log, or after the grace time divided by
+// leaveGraceDivisor.
 func (srv *Server) loop(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var left <-chan struct{}       // closed once this process may end
-	var graceOver <-chan time.Time // it ends anyway
+	var leaveDone <-chan struct{}     // closed once this process may exit
+	var leaveTimeout <-chan time.Time // ends the wait for leaveDone
 	for {
 		select {
 		case <-stop:
 			stop = nil
-			left = srv.membership.beginLeave()
-			graceOver = time.After(srv.settings.Load().Bounds.Grace / leaveGraceDivisor)
+			leaveDone = srv.membership.beginLeave()
+			leaveTimeout = time.After(srv.settings.Load().Bounds.Grace / leaveGraceDivisor)
 			srv.log.Info("member.leaving", "term", srv.consensus.Term(), "is_leader", srv.consensus.IsLeader())
-		case <-left:
+		case <-leaveDone:
 			srv.log.Info("member.left", "term", srv.consensus.Term())
 			srv.sleep(shutdownFlush)
 			return
-		case <-graceOver:
+		case <-leaveTimeout:
 			index, _ := srv.consensus.LastEntry()
 			srv.log.Warn("member.leave_timeout", "index", index, "committed", srv.consensus.Committed(), "is_leader", srv.consensus.IsLeader())
 			return
 		case f := <-srv.events:
-			srv.consensus.Tick(srv.now()) // after a pause of the process, the leadership may be out of date
+			srv.consensus.Tick(srv.now()) // the leadership may have expired while the process was paused
 			f()
 			srv.runPending()
 		case <-timer.C:
@@ -73,7 +73,7 @@
 	}
 }
 
-// runPending runs the events that have come meanwhile, so that one sync serves all of them.
+// runPending runs all queued events, so that a single sync covers their writes.
 func (srv *Server) runPending() {
 	for {
 		select {
@@ -85,25 +85,25 @@
 	}
 }
 
-// advance carries out all that is due, and returns when the loop has to run again at the latest.
+// advance performs all work that is due, and returns the longest time to wait until the next call.
 func (srv *Server) advance() time.Duration {
 	srv.consensus.Tick(srv.now())
 	srv.requests.tick(srv.now())
-	if now := srv.now(); now-srv.managedAt >= manageInterval || srv.consensus.IsLeader() != srv.wasLeader {
-		srv.managedAt = now
+	if now := srv.now(); now-srv.lastManagedAt >= manageInterval || srv.consensus.IsLeader() != srv.wasLeader {
+		srv.lastManagedAt = now
 		srv.manageLeadership()
 	}
 	srv.membership.tick()
 	srv.flush()
 	srv.observeContact(srv.now())
 	wait := min(srv.consensus.NextTick()-srv.now(), manageInterval)
-	if at, ok := srv.requests.next(); ok {
+	if at, ok := srv.requests.nextTick(); ok {
 		wait = min(wait, at-srv.now())
 	}
 	return max(minTimer, wait)
 }
 
-// flush carries out what the consensus asks for, until it asks for nothing more.
+// flush processes the output of the consensus until there is none.
 func (srv *Server) flush() {
 	for {
 		ready := srv.consensus.Ready()
@@ -118,13 +118,13 @@
 			srv.apply(e)
 		}
 		for _, r := range ready.ReadStates {
-			srv.requests.confirmed(r)
+			srv.requests.completeRead(r)
 		}
 		srv.compact()
 	}
 }
 
-// sleep reports false if the server has ended before the time was over.
+// sleep waits for a duration. It returns false if the server has stopped before.
 func (srv *Server) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -134,28 +134,28 @@
 	}
 }
 
-// leadership is a member's view of its leader.
-type leadership struct {
-	leader *wire.Peer // nil: not known
+// leaderView is a member's view of the current leader.
+type leaderView struct {
+	leader *wire.Peer // nil if unknown
 	isSelf bool
 }
 
-// currentLeader returns the leader, for other goroutines than the loop's. It returns nothing when ctx ends
-// or after operatorTimeout, since a disk may block the loop.
-func (srv *Server) currentLeader(ctx context.Context) leadership {
+// currentLeader returns the loop's view of the leader to another goroutine. It returns a zero leaderView once ctx is
+// done or after operatorTimeout, as a blocked disk blocks the loop.
+func (srv *Server) currentLeader(ctx context.Context) leaderView {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	l, err := callInLoop(ctx, srv, func() leadership {
-		return leadership{leader: srv.leader(), isSelf: srv.consensus.IsLeader()}
+	l, err := callInLoop(ctx, srv, func() leaderView {
+		return leaderView{leader: srv.leader(), isSelf: srv.consensus.IsLeader()}
 	})
 	if err != nil {
-		return leadership{}
+		return leaderView{}
 	}
 	return l
 }
 
-// errorInLoop is callInLoop for a function that can fail.
-func errorInLoop(ctx context.Context, srv *Server, f func() error) error {
+// callErrInLoop is like callInLoop for a function that returns only an error.
+func callErrInLoop(ctx context.Context, srv *Server, f func() error) error {
 	failure, err := callInLoop(ctx, srv, f)
 	if err != nil {
 		return err
@@ -163,7 +163,8 @@
 	return failure
 }
 
-// callInLoop runs f in the server's loop and returns its result, or an error once ctx or the server has ended.
+// callInLoop runs f in the server's loop and returns its result, or an error once ctx is done or the server has
+// stopped.
 func callInLoop[T any](ctx context.Context, srv *Server, f func() T) (result T, err error) {
 	results := make(chan T, 1)
 	if !srv.runInLoopUntil(ctx, nil, func() { results <- f() }) {
--- a/internal/controlplane/server/membership_driver.go
+++ b/internal/controlplane/server/membership_driver.go
@@ -11,25 +11,25 @@
 
 const (
 	joinCallTimeout   = 600 * time.Millisecond
-	joinCalls         = 8 // join requests in flight
+	maxJoinCalls      = 8 // join requests in flight
 	leaveCallTimeout  = 300 * time.Millisecond
-	leaveInterval     = 50 * time.Millisecond // between two leave requests
-	leaveGraceDivisor = 2                     // a graceful shutdown may wait for the log during a half of grace_s
+	leaveInterval     = 50 * time.Millisecond // pause between two leave requests
+	leaveGraceDivisor = 2                     // a graceful shutdown may take grace_s divided by this
 )
 
 var errNoIdentity = errors.New("a join request without identity or address")
 
-// membershipDriver does the input and output of raft.MembershipManager: it sends join requests, proposes the leader's
-// changes, answers the processes that join and leave, and carries out the graceful shutdown of this one. It belongs to
-// the loop, but for joinQueue.
+// membershipDriver performs the I/O of raft.MembershipManager: it sends join requests, proposes the leader's membership
+// changes, handles join and leave requests, and runs the graceful shutdown of this process. Only the loop may access
+// its fields, except joinQueue.
 type membershipDriver struct {
 	server    *Server
 	manager   *raft.MembershipManager
-	learners  map[uint64]learnerWait // on the leader
-	joinQueue chan string            // addresses for join requests; read by the goroutines of run
+	learners  map[uint64]learnerWait // by identity; empty unless this member leads
+	joinQueue chan string            // addresses for join requests, consumed by the goroutines of run
 }
 
-// learnerWait is how long a leader has waited for a learner to become a voter.
+// learnerWait records when the leader first observed a learner, and whether its late promotion was logged.
 type learnerWait struct {
 	since    time.Duration
 	reported bool
@@ -37,11 +37,11 @@
 
 func newMembershipDriver(srv *Server) *membershipDriver {
 	return &membershipDriver{
-		server: srv, manager: raft.NewMembershipManager(srv.consensus), learners: map[uint64]learnerWait{}, joinQueue: make(chan string, joinCalls),
+		server: srv, manager: raft.NewMembershipManager(srv.consensus), learners: map[uint64]learnerWait{}, joinQueue: make(chan string, maxJoinCalls),
 	}
 }
 
-// tick is called by the loop after every event.
+// tick proposes the leader's next membership change and queues due join requests. The loop calls it after every event.
 func (m *membershipDriver) tick() {
 	srv := m.server
 	actions := m.manager.Tick(srv.now(), srv.self(false), srv.wantedVoters(), m.knownAddresses)
@@ -52,8 +52,7 @@
 	m.reportLateLearners()
 }
 
-// knownAddresses are the addresses of processes that may be members: the seeds, and the quorum members that the cluster
-// membership knows.
+// knownAddresses returns the addresses of possible quorum members: the seeds and the quorum members known to gossip.
 func (m *membershipDriver) knownAddresses() []string {
 	known := m.server.settings.Load().SeedNodes()
 	for _, member := range m.server.gossip.Members() {
@@ -64,7 +63,8 @@
 	return known
 }
 
-// propose proposes a change. If another one is in progress, the manager asks for it again.
+// propose proposes a membership change, if there is one. If another change is in progress, the proposal fails, and the
+// manager returns it again at a later tick.
 func (m *membershipDriver) propose(change raft.MembershipChange) error {
 	if change.Next == nil {
 		return nil
@@ -73,13 +73,13 @@
 	if err := srv.consensus.ProposeMembership(srv.now(), change.Next); err != nil {
 		return err
 	}
-	srv.log.Info(string(change.Event), "address", change.Peer.Address, "identity", identityText(change.Peer.Id),
+	srv.log.Info(string(change.Event), "address", change.Peer.Address, "identity", formatIdentity(change.Peer.Id),
 		"voters", raft.Voters(change.Next), "reason", string(change.Reason))
 	return nil
 }
 
-// reportLateLearners logs each learner that was not promoted within sync_time_s, after which the quorum has to tolerate
-// the next loss.
+// reportLateLearners logs each learner that was not promoted within sync_time_s. After that time, the quorum has to
+// tolerate the next loss.
 func (m *membershipDriver) reportLateLearners() {
 	srv := m.server
 	if !srv.consensus.IsLeader() {
@@ -87,20 +87,20 @@
 		return
 	}
 	for _, p := range srv.consensus.Peers() {
-		learner, known := m.learners[p.Id]
+		learner, tracked := m.learners[p.Id]
 		switch {
 		case p.Voter:
 			delete(m.learners, p.Id)
-		case !known:
+		case !tracked:
 			m.learners[p.Id] = learnerWait{since: srv.now()}
 		case !learner.reported && srv.now()-learner.since > srv.settings.Load().Bounds.SyncTime:
 			m.learners[p.Id] = learnerWait{since: learner.since, reported: true}
-			srv.log.Warn("member.promotion_late", "address", p.Address, "identity", identityText(p.Id), "duration_ms", (srv.now() - learner.since).Milliseconds())
+			srv.log.Warn("member.promotion_late", "address", p.Address, "identity", formatIdentity(p.Id), "duration_ms", (srv.now() - learner.since).Milliseconds())
 		}
 	}
 }
 
-// enqueueJoin passes an address to run; if too many wait, a later round has it again.
+// enqueueJoin queues an address for a join request. It drops the address if the queue is full; a later round retries.
 func (m *membershipDriver) enqueueJoin(address string) {
 	select {
 	case m.joinQueue <- address:
@@ -108,9 +108,9 @@
 	}
 }
 
-// run starts the goroutines that send join requests, until ctx ends.
+// run starts the goroutines that send join requests. They stop when ctx is done.
 func (m *membershipDriver) run(ctx context.Context) {
-	for range joinCalls {
+	for range maxJoinCalls {
 		m.server.workers.Go(func() {
 			for {
 				select {
@@ -125,45 +125,45 @@
 }
 
 func (m *membershipDriver) sendJoin(ctx context.Context, address string) {
-	call, cancel := context.WithTimeout(ctx, joinCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, joinCallTimeout)
 	defer cancel()
-	answer := new(wire.JoinResponse)
-	if err := m.server.pool.Call(call, address, "join", &wire.JoinRequest{Peer: m.server.self(false)}, answer); err != nil {
+	response := new(wire.JoinResponse)
+	if err := m.server.pool.Call(callCtx, address, "join", &wire.JoinRequest{Peer: m.server.self(false)}, response); err != nil {
 		return
 	}
 	m.server.runInLoop(func() {
-		if leader := m.manager.HandleJoinResponse(answer); leader != "" {
+		if leader := m.manager.HandleJoinResponse(response); leader != "" {
 			m.enqueueJoin(leader)
 		}
 	})
 }
 
-// handleJoin makes a process a learner: it has no vote before it has the log.
-func (m *membershipDriver) handleJoin(ctx context.Context, j *wire.JoinRequest) (*wire.JoinResponse, error) {
-	p := j.GetPeer()
-	if p.GetId() == 0 || p.GetAddress() == "" {
+// handleJoin adds a process as a learner, which has no vote until it has caught up with the log.
+func (m *membershipDriver) handleJoin(ctx context.Context, request *wire.JoinRequest) (*wire.JoinResponse, error) {
+	peer := request.GetPeer()
+	if peer.GetId() == 0 || peer.GetAddress() == "" {
 		return nil, errNoIdentity
 	}
 	return callInLoop(ctx, m.server, func() *wire.JoinResponse {
-		change, answer := m.manager.HandleJoin(m.server.now(), p)
+		change, response := m.manager.HandleJoin(m.server.now(), peer)
 		m.propose(change)
-		return answer
+		return response
 	})
 }
 
-// handleLeave answers a member that is about to shut down.
-func (m *membershipDriver) handleLeave(ctx context.Context, q *wire.LeaveRequest) (*wire.LeaveResponse, error) {
+// handleLeave handles the request of a member that is shutting down.
+func (m *membershipDriver) handleLeave(ctx context.Context, request *wire.LeaveRequest) (*wire.LeaveResponse, error) {
 	return callInLoop(ctx, m.server, func() *wire.LeaveResponse {
-		return m.manager.HandleLeave(m.server.now(), q, m.server.wantedVoters())
+		return m.manager.HandleLeave(m.server.now(), request, m.server.wantedVoters())
 	})
 }
 
-// remove proposes an operator's removal of a member: see raft.Node.RemovalChange for the errors.
+// remove proposes the removal of a member for an operator. See raft.Node.RemovalChange for the errors.
 func (m *membershipDriver) remove(ctx context.Context, id uint64) error {
 	srv := m.server
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	return errorInLoop(ctx, srv, func() error {
+	return callErrInLoop(ctx, srv, func() error {
 		change, err := srv.consensus.RemovalChange(srv.now(), id, srv.wantedVoters())
 		if err != nil {
 			return err
@@ -172,9 +172,9 @@
 	})
 }
 
-// beginLeave starts the graceful shutdown of this process: left is closed once another member leads and a majority of the
-// remaining voters has all of the log.
-func (m *membershipDriver) beginLeave() (left <-chan struct{}) {
+// beginLeave starts the graceful shutdown of this process. finished is closed once another member leads and a majority
+// of the remaining voters has all of the log.
+func (m *membershipDriver) beginLeave() (finished <-chan struct{}) {
 	m.manager.Leave()
 	done := make(chan struct{})
 	m.server.workers.Go(func() {
@@ -185,7 +185,8 @@
 	return done
 }
 
-// awaitLeave transfers leadership and sends leave requests until this process may end, or reports false once ctx ends.
+// awaitLeave transfers leadership and sends leave requests until this process may exit. It returns false once ctx is
+// done.
 func (m *membershipDriver) awaitLeave(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		action, err := callInLoop(ctx, m.server, m.nextLeaveAction)
@@ -202,8 +203,8 @@
 
 // leaveAction is the next step of a graceful shutdown.
 type leaveAction struct {
-	done    bool   // this process may end: it is no voter, or the only one
-	leader  string // receiver of request; empty: not known, or this process
+	done    bool   // this process may exit: it is not a voter, or is the only one
+	leader  string // destination of request; empty if this process leads or no leader is known
 	request *wire.LeaveRequest
 }
 
@@ -230,16 +231,16 @@
 }
 
 func (m *membershipDriver) sendLeave(ctx context.Context, action leaveAction) (done bool) {
-	call, cancel := context.WithTimeout(ctx, leaveCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, leaveCallTimeout)
 	defer cancel()
-	answer := new(wire.LeaveResponse)
-	if err := m.server.pool.Call(call, action.leader, "leave", action.request, answer); err != nil {
+	response := new(wire.LeaveResponse)
+	if err := m.server.pool.Call(callCtx, action.leader, "leave", action.request, response); err != nil {
 		return false
 	}
-	return raft.LeaveStatus{Replicated: answer.Replicated, Removed: answer.Removed, KeepsVote: answer.KeepsVote}.Done()
+	return raft.LeaveStatus{Replicated: response.Replicated, Removed: response.Removed, KeepsVote: response.KeepsVote}.Done()
 }
 
-// self is this process as a member, with its present addresses.
+// self returns this process as a peer with its current addresses.
 func (srv *Server) self(voter bool) *wire.Peer {
 	settings := srv.settings.Load()
 	return &wire.Peer{Id: srv.store.ID, Address: settings.Internal(), ControlAddress: settings.Control, Voter: voter}
--- a/internal/controlplane/server/node_queries.go
+++ b/internal/controlplane/server/node_queries.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	nodeQueryTimeout = 2 * time.Second // for all nodes together
+	nodeQueryTimeout = 2 * time.Second // for the queries of all nodes together
 	maxNodeQueries   = 32              // in flight
 )
 
-// queryNodes makes a call to each living node, some at a time, and passes the answers to collect one by one. Any quorum
-// member can, since each has the cluster membership.
+// queryNodes calls a method on each node that gossip reports as alive, with at most maxNodeQueries calls in flight. It
+// never calls collect concurrently. It works on any quorum member, since each takes part in gossip.
 func queryNodes[T any, P interface {
 	*T
 	proto.Message
@@ -26,23 +26,23 @@
 	var mu sync.Mutex
 	slots := make(chan struct{}, maxNodeQueries)
 	var queries sync.WaitGroup
-	for _, m := range srv.gossip.Members() {
-		if m.QuorumMember || m.State != wire.Member_ALIVE {
+	for _, member := range srv.gossip.Members() {
+		if member.QuorumMember || member.State != wire.Member_ALIVE {
 			continue
 		}
 		queried++
 		slots <- struct{}{}
 		queries.Go(func() {
 			defer func() { <-slots }()
-			answer := P(new(T))
-			err := srv.pool.Call(ctx, m.Address, method, request, answer)
+			response := P(new(T))
+			err := srv.pool.Call(ctx, member.Address, method, request, response)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				unresponsive++
 				return
 			}
-			collect(answer)
+			collect(response)
 		})
 	}
 	queries.Wait()
--- a/internal/controlplane/server/operator_history_test.go
+++ b/internal/controlplane/server/operator_history_test.go
@@ -8,139 +8,138 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// runOperators runs operators on a quorum with faults. The last seconds have none, so that everything that was
-// acknowledged is read.
-func runOperators(seed uint64, length time.Duration) *operatorSim {
+// runOperators simulates operators of a quorum with faults. The last six seconds have no faults, so that operations
+// complete and reads check the acknowledged changes.
+func runOperators(seed uint64, duration time.Duration) *operatorSim {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	w := newOperatorSim(seed, 3+2*rng.IntN(2), 2+rng.IntN(3))
-	w.ackLoss = []float64{0, 0.2, 0.7}[rng.IntN(3)]
-	if w.memory = []int{0, 4}[rng.IntN(2)]; w.memory > 0 {
-		for _, m := range w.members {
-			m.state.SetAcceptedLimit(w.memory)
+	sim := newOperatorSim(seed, 3+2*rng.IntN(2), 2+rng.IntN(3))
+	sim.answerLoss = []float64{0, 0.2, 0.7}[rng.IntN(3)]
+	if sim.acceptedLimit = []int{0, 4}[rng.IntN(2)]; sim.acceptedLimit > 0 {
+		for _, member := range sim.members {
+			member.state.SetAcceptedLimit(sim.acceptedLimit)
 		}
 	}
-	restoreAt := length * time.Duration(1+rng.IntN(4)) / 4 // a quarter of the runs have none
-	for w.now < length {
-		w.calm = w.now > length-6*time.Second
-		if w.calm {
-			clear(w.cut)
-			w.ackLoss, w.quiet = 0, false
+	restoreAt := duration * time.Duration(1+rng.IntN(4)) / 4 // a quarter of the runs have no restore
+	for sim.now < duration {
+		sim.faultless = sim.now > duration-6*time.Second
+		if sim.faultless {
+			clear(sim.cutLinks)
+			sim.answerLoss, sim.paused = 0, false
 		} else {
-			w.trouble()
+			sim.injectFault()
 		}
-		if w.restored == 0 && w.now >= restoreAt && !w.calm {
-			w.quiet = true
-			if len(w.open) == 0 && w.rng.IntN(20) == 0 {
-				w.restore()
+		if sim.restores == 0 && sim.now >= restoreAt && !sim.faultless {
+			sim.paused = true
+			if len(sim.pending) == 0 && sim.rng.IntN(20) == 0 {
+				sim.restore()
 			}
 		}
-		for operator := range w.known {
-			underWay := 0
-			for _, o := range w.open {
-				if o.operator == operator {
-					underWay++
+		for operator := range sim.seenRevisions {
+			inProgress := 0
+			for _, op := range sim.pending {
+				if op.operator == operator {
+					inProgress++
 				}
 			}
-			if underWay < w.perOperator && w.rng.IntN(60) == 0 && !w.quiet {
-				w.begin(operator)
+			if inProgress < sim.maxPerOperator && sim.rng.IntN(60) == 0 && !sim.paused {
+				sim.startOperation(operator)
 			}
 		}
-		w.step()
+		sim.step()
 	}
-	return w
+	return sim
 }
 
-// held is the state of the history's model: what is in force.
-type held struct {
+// configState is the state of configModel: the current configuration.
+type configState struct {
 	identity string
 	revision uint64
 }
 
-// orders is the model: a configuration with compare and set. All sends of a change are one operation, so none has its
-// effect more than once.
-var orders = porcupine.Model{
-	Init: func() any { return held{} },
+// configModel models the configuration as a register with compare-and-set. All attempts of a change are one operation,
+// so a change takes effect at most once.
+var configModel = porcupine.Model{
+	Init: func() any { return configState{} },
 	Step: func(state, input, output any) (bool, any) {
-		h, o, result := state.(held), input.(*operation), output.(OperatorResult)
-		fits := o.base == h.revision && o.revision > h.revision
-		after := held{o.identity, o.revision}
+		current, op, result := state.(configState), input.(*operation), output.(OperatorResult)
+		valid := op.base == current.revision && op.revision > current.revision
+		next := configState{op.identity, op.revision}
 		switch {
-		case o.revision == 0:
-			return result == NotFound && h.revision == 0 || result == Found && o.read == h.identity, h
+		case op.revision == 0:
+			return result == NotFound && current.revision == 0 || result == Found && op.readIdentity == current.identity, current
 		case result == Accepted:
-			return fits, after
+			return valid, next
 		case result == Stale:
-			return o.base != h.revision, h
+			return op.base != current.revision, current
 		case result == Invalid:
-			return o.revision <= h.revision, h
-		case fits:
-			return true, after // there was no clear answer: if it never had its effect, it comes last
+			return op.revision <= current.revision, current
+		case valid:
+			return true, next // no conclusive answer; a change that never takes effect is placed last
 		}
-		return true, h
+		return true, current
 	},
 }
 
-// history is what the operators saw, for the checker. A change that was acknowledged and is sent again is no operation:
-// it has no effect, and must not be refused.
-func (w *operatorSim) history(t *testing.T) (history []porcupine.Operation) {
+// history returns the operations for the linearizability checker. It omits resends of acknowledged changes, which have
+// no effect, and fails the test if one of them was rejected.
+func (sim *operatorSim) history(t *testing.T) (history []porcupine.Operation) {
 	t.Helper()
-	for i, o := range w.operations {
+	for i, op := range sim.operations {
 		switch {
-		case o.again && o.finish >= 0 && o.result != Accepted:
-			t.Errorf("%s was acknowledged, sent again at %v, and %v", o.identity, o.call, o.result)
+		case op.acceptedBefore && op.finishedAt >= 0 && op.result != Accepted:
+			t.Errorf("acknowledged change %s was resent at %v with result %v, want accepted", op.identity, op.calledAt, op.result)
 			continue
-		case o.again, o.revision == 0 && o.finish < 0:
+		case op.acceptedBefore, op.revision == 0 && op.finishedAt < 0:
 			continue
 		}
-		last := o.finish
-		if last < 0 {
-			last = time.Hour
+		returnedAt := op.finishedAt
+		if returnedAt < 0 {
+			returnedAt = time.Hour
 		}
-		history = append(history, porcupine.Operation{ClientId: i, Input: o, Call: int64(o.call), Output: o.result, Return: int64(last)})
+		history = append(history, porcupine.Operation{ClientId: i, Input: op, Call: int64(op.calledAt), Output: op.result, Return: int64(returnedAt)})
 	}
 	return history
 }
 
-// TestOperatorsSeeOneHistory plays the operators' interface of several members with lost answers, resends that
-// overtake each other, changes of the leader, cuts, frozen and restarted members, snapshots and a restore from a backup,
-// and checks what operators were told. A resend is a part of its operation.
+// TestOperatorsSeeOneHistory checks that the operations of simulated operators are linearizable despite lost answers,
+// reordered retries, leader changes, network partitions, frozen and restarted members, snapshots and a restored backup.
 func TestOperatorsSeeOneHistory(t *testing.T) {
-	counts, resends, restored, unknown, again := map[OperatorResult]int{}, 0, 0, 0, 0
+	counts, resends, restores, unknown, reconfirmed := map[OperatorResult]int{}, 0, 0, 0, 0
 	for i := range *simSeeds {
-		seed := *simFirst + uint64(i)
-		w := runOperators(seed, 30*time.Second)
-		late := false
-		for _, o := range w.operations {
-			late = late || o.finish > 26*time.Second && o.result == Accepted
-			if o.again && o.finish >= 0 {
-				again++
+		seed := *simFirstSeed + uint64(i)
+		sim := runOperators(seed, 30*time.Second)
+		acceptedAfterFaults := false
+		for _, op := range sim.operations {
+			acceptedAfterFaults = acceptedAfterFaults || op.finishedAt > 26*time.Second && op.result == Accepted
+			if op.acceptedBefore && op.finishedAt >= 0 {
+				reconfirmed++
 			}
 		}
-		if !late {
-			t.Errorf("seed %d: nothing was accepted after the troubles had ended", seed)
+		if !acceptedAfterFaults {
+			t.Errorf("seed %d: no change was accepted after the faults ended", seed)
 		}
-		switch porcupine.CheckOperationsTimeout(orders, w.history(t), 20*time.Second) {
+		switch porcupine.CheckOperationsTimeout(configModel, sim.history(t), 20*time.Second) {
 		case porcupine.Illegal:
-			t.Errorf("seed %d: the history is not linearizable (go test ./internal/controlplane/server -run OneConfiguration -seed %d -seeds 1)", seed, seed)
+			t.Errorf("seed %d: the history is not linearizable (go test ./internal/controlplane/server -run TestOperatorsSeeOneHistory -seed %d -seeds 1)", seed, seed)
 		case porcupine.Unknown:
 			unknown++
 		}
-		for result, n := range w.counts {
+		for result, n := range sim.counts {
 			counts[result] += n
 		}
-		resends += w.resends
-		restored += w.restored
+		resends += sim.resends
+		restores += sim.restores
 	}
-	t.Logf("%v, %d changes sent again, %d that had been acknowledged, %d restores, %d not decided", counts, resends, again, restored, unknown)
+	t.Logf("results %v, %d changes retried, %d acknowledged changes resent, %d restores, %d histories undecided", counts, resends, reconfirmed, restores, unknown)
 	if *simSeeds < 10 {
 		return
 	}
 	for _, result := range []OperatorResult{Unavailable, Redirected, Accepted, AlreadyAccepted, Stale, Invalid, Found} {
 		if counts[result] < *simSeeds {
-			t.Errorf("%v: %d in %d runs: hardly a test", result, counts[result], *simSeeds)
+			t.Errorf("result %v occurred %d times in %d runs, too few to test it", result, counts[result], *simSeeds)
 		}
 	}
-	if resends < *simSeeds || again < *simSeeds || restored == 0 || unknown > *simSeeds/10 {
-		t.Errorf("%d sent again, %d again after their acknowledgement, %d restores, %d not decided: hardly a test", resends, again, restored, unknown)
+	if resends < *simSeeds || reconfirmed < *simSeeds || restores == 0 || unknown > *simSeeds/10 {
+		t.Errorf("%d changes retried, %d acknowledged changes resent, %d restores, %d histories undecided: too few cases were tested", resends, reconfirmed, restores, unknown)
 	}
 }
--- a/internal/controlplane/server/operator_requests.go
+++ b/internal/controlplane/server/operator_requests.go
@@ -14,20 +14,21 @@
 // OperatorResult is the result of an operator's request.
 type OperatorResult int
 
-// The results. Stale and Invalid are final: the change was not accepted and never will be. Redirected and Unavailable
-// promise nothing: the change may have been committed, or may yet be, and can be requested again unchanged.
+// Results of operators' requests. Stale and Invalid are final: the change was not accepted and never will be. After
+// Redirected and Unavailable, the change may have been committed or may still be; the operator can safely retry the
+// same change.
 const (
-	Unavailable     OperatorResult = iota // another member may do better, after a pause
-	Redirected                            // to the leader
+	Unavailable     OperatorResult = iota // retry after a pause, possibly at another member
+	Redirected                            // retry at the leader
 	Accepted                              // the change was committed
-	AlreadyAccepted                       // the very same change was committed before
-	Stale                                 // the change builds on another revision than the current one
-	Invalid                               // the change can't be accepted, whatever the state
-	Found                                 // a read, with its body
-	NotFound                              // there is no configuration yet
+	AlreadyAccepted                       // the same change was committed before
+	Stale                                 // the change is based on a revision that is not the current one
+	Invalid                               // the change is rejected regardless of the state
+	Found                                 // a read returned a body
+	NotFound                              // no configuration exists yet
 )
 
-// String names a result, for logs.
+// String returns the result's text for logs and HTTP response bodies.
 func (r OperatorResult) String() string {
 	switch r {
 	case Unavailable:
@@ -53,28 +54,27 @@
 // OperatorAnswer is a result with its details.
 type OperatorAnswer struct {
 	Result OperatorResult
-	Leader *wire.Peer // of Redirected
-	Reason error      // of a change that was not accepted
-	Body   []byte     // of Found
+	Leader *wire.Peer // set for Redirected
+	Reason error      // why the request failed, or nil
+	Body   []byte     // set for Found
 }
 
-// operatorRequests decides on the operators' requests. It is a pure state machine, driven by the loop. Each request gets
-// one answer, at its deadline at the latest.
+// operatorRequests processes operators' requests. It is a state machine without I/O, driven by the loop. Each request
+// gets exactly one answer, at its deadline at the latest.
 type operatorRequests struct {
 	requests *requestQueue
-	state    func() backup.Backup // what is applied
+	state    func() backup.Backup // returns the applied state
 }
 
-// replacement is a configuration that an operator sends, with the command that puts it in force.
+// replacement is an operator's new configuration and the command that replaces the current one by it.
 type replacement struct {
 	command  *wire.Command
 	change   catalog.Change
 	revision uint64
 }
 
-// parseReplacement parses a configuration that builds on a base revision. An error is about the configuration alone: any
-// member may reject it for that, as all would. What depends on the state is decided when the entry is applied, since this
-// member may be behind.
+// parseReplacement parses a configuration that is based on a revision. An error depends on the configuration alone, so
+// any member may reject it. Checks against the state happen when the entry is applied, since this member may be behind.
 func parseReplacement(current catalog.Current, base uint64, body []byte) (replacement, error) {
 	config, err := current.Parse(body)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return replacement{current.Command(base, config, body), catalog.ChangeOf(config, body), config.Revision}, nil
 }
 
-// replace proposes a configuration, unless this member knows that it was accepted before: that stays true, whoever leads
-// and however far behind this member is.
+// replace proposes a configuration, unless this member's state contains it as an accepted change. An accepted change
+// stays accepted, so that answer is correct even if this member is behind or doesn't lead.
 func (a *operatorRequests) replace(now, deadline time.Duration, r replacement, done func(OperatorAnswer)) {
 	if a.state().State.Accepted(r.change) {
 		done(OperatorAnswer{Result: AlreadyAccepted})
@@ -92,13 +92,13 @@
 	}
 	data, err := proto.Marshal(r.command)
 	if err != nil {
-		done(unanswered(err))
+		done(redirectOrUnavailable(err))
 		return
 	}
 	a.requests.submit(now, &request{command: data, deadline: deadline, retryable: true, done: func(o outcome) { done(replaceAnswer(o)) }})
 }
 
-// replaceAnswer is the answer to a change with an outcome.
+// replaceAnswer returns the answer to a change with an outcome.
 func replaceAnswer(o outcome) OperatorAnswer {
 	switch {
 	case o.err == nil && o.unchanged:
@@ -110,12 +110,12 @@
 	case errors.Is(o.err, catalog.ErrInvalid):
 		return OperatorAnswer{Result: Invalid, Reason: o.err}
 	}
-	return unanswered(o.err)
+	return redirectOrUnavailable(o.err)
 }
 
-// read answers with the configuration in force.
+// read answers with the body of the current configuration.
 func (a *operatorRequests) read(now, deadline time.Duration, done func(OperatorAnswer)) {
-	a.view(now, deadline, done, func(b backup.Backup) OperatorAnswer {
+	a.linearizableRead(now, deadline, done, func(b backup.Backup) OperatorAnswer {
 		body := b.State.Body()
 		if body == nil {
 			return OperatorAnswer{Result: NotFound}
@@ -124,30 +124,31 @@
 	})
 }
 
-// backup answers with the replicated state, in the format of package backup.
+// backup answers with the replicated state in the format of package backup.
 func (a *operatorRequests) backup(now, deadline time.Duration, done func(OperatorAnswer)) {
-	a.view(now, deadline, done, func(b backup.Backup) OperatorAnswer {
+	a.linearizableRead(now, deadline, done, func(b backup.Backup) OperatorAnswer {
 		data, err := b.Encode()
 		if err != nil {
-			return unanswered(err)
+			return redirectOrUnavailable(err)
 		}
 		return OperatorAnswer{Result: Found, Body: data}
 	})
 }
 
-// view answers with what read returns of the state, once all that was acknowledged before is applied.
-func (a *operatorRequests) view(now, deadline time.Duration, done func(OperatorAnswer), read func(backup.Backup) OperatorAnswer) {
+// linearizableRead answers with read's result once everything acknowledged before the request is applied.
+func (a *operatorRequests) linearizableRead(now, deadline time.Duration, done func(OperatorAnswer), read func(backup.Backup) OperatorAnswer) {
 	a.requests.submit(now, &request{deadline: deadline, retryable: true, done: func(o outcome) {
 		if o.err != nil {
-			done(unanswered(o.err))
+			done(redirectOrUnavailable(o.err))
 			return
 		}
 		done(read(a.state()))
 	}})
 }
 
-// unanswered is the answer to a request whose outcome is not known.
-func unanswered(err error) OperatorAnswer {
+// redirectOrUnavailable returns the answer to a request that failed with err: Redirected if another member leads,
+// otherwise Unavailable.
+func redirectOrUnavailable(err error) OperatorAnswer {
 	var notLeader *notLeaderError
 	if errors.As(err, &notLeader) && notLeader.leader.GetControlAddress() != "" {
 		return OperatorAnswer{Result: Redirected, Leader: notLeader.leader, Reason: err}
--- a/internal/controlplane/server/operator_requests_test.go
+++ b/internal/controlplane/server/operator_requests_test.go
@@ -8,14 +8,15 @@
 	"ivydeck/internal/controlplane/catalog"
 )
 
-// TestAnyMemberConfirmsAcceptedChange: one without a leader acknowledges a change that it has applied, and nothing else.
+// TestAnyMemberConfirmsAcceptedChange checks that a member without a leader acknowledges exactly the changes that it
+// has applied.
 func TestAnyMemberConfirmsAcceptedChange(t *testing.T) {
 	const now = 10 * time.Second
-	node, state := member(now), catalog.New()
+	node, state := newFollower(now), catalog.New()
 	api := operatorRequests{requests: newRequestQueue(node, threeVoters, now), state: func() backup.Backup { return backup.Backup{State: state} }}
-	order := func(base, revision uint64, service string) (answers []OperatorAnswer) {
+	replace := func(base, revision uint64, service string) (answers []OperatorAnswer) {
 		t.Helper()
-		r, err := parseReplacement(state.Current(), base, []byte(encoded(t, revision, service)))
+		r, err := parseReplacement(state.Current(), base, []byte(encodeConfig(t, revision, service)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -23,7 +24,7 @@
 		return answers
 	}
 	for i, service := range []string{"a", "b"} {
-		r, err := parseReplacement(state.Current(), uint64(i), []byte(encoded(t, uint64(i+1), service)))
+		r, err := parseReplacement(state.Current(), uint64(i), []byte(encodeConfig(t, uint64(i+1), service)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,16 +36,16 @@
 		name           string
 		base, revision uint64
 		service        string
-		known          bool
+		accepted       bool
 	}{
-		{"the newest", 1, 2, "b", true},
-		{"the one before", 0, 1, "a", true},
-		{"another one under its number", 0, 1, "b", false},
-		{"a new one", 2, 3, "a", false},
-		{"a stale one, as far as is known here", 1, 3, "a", false},
+		{"newest change", 1, 2, "b", true},
+		{"earlier change", 0, 1, "a", true},
+		{"different change with the same revision", 0, 1, "b", false},
+		{"new change", 2, 3, "a", false},
+		{"stale change by this member's state", 1, 3, "a", false},
 	} {
-		answers := order(c.base, c.revision, c.service)
-		if known := len(answers) == 1 && answers[0].Result == AlreadyAccepted; known != c.known || !known && len(answers) > 0 {
+		answers := replace(c.base, c.revision, c.service)
+		if accepted := len(answers) == 1 && answers[0].Result == AlreadyAccepted; accepted != c.accepted || !accepted && len(answers) > 0 {
 			t.Errorf("%s: %v", c.name, answers)
 		}
 	}
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -20,432 +20,436 @@
 )
 
 var (
-	simSeeds = flag.Int("seeds", 40, "simulated runs of the operators' interface")
-	simFirst = flag.Uint64("seed", 1, "the first of them")
+	simSeeds     = flag.Int("seeds", 40, "number of simulated runs of the operators' interface")
+	simFirstSeed = flag.Uint64("seed", 1, "seed of the first run")
 )
 
 const (
-	simStep     = 2 * time.Millisecond
-	simSilence  = time.Second // after which an operator goes on to another member
-	simFollows  = 2           // redirects that an operator follows
-	simSnapshot = 12          // entries after which the log is compacted
+	simStep         = 2 * time.Millisecond
+	simCallTimeout  = time.Second // timeout of an operator's call to a member
+	simMaxRedirects = 2           // redirects that an operator follows in one attempt
+	simCompactAfter = 12          // entries after which the log is compacted
 )
 
-// simFiller is what configurations have in common, so that the log holds differences.
-var simFiller = strings.Repeat("service", 60)
+// simPadding is common to all configurations, so that the log contains differences between them.
+var simPadding = strings.Repeat("service", 60)
 
-// simMember is a quorum member: its disk, and while it runs the consensus, the state, and the operator's interface as in
-// service.
+// simMember is a simulated quorum member with a simulated disk and the production consensus, state, request queue and
+// operatorRequests.
 type simMember struct {
-	number   int
-	disk     simdisk.Disk
-	node     *raft.Node // nil: down
-	state    *catalog.Catalog
-	requests *requestQueue
-	api      operatorRequests
-	applied  uint64
-	startAt  time.Duration // while it is down
-	dark     bool          // while it is down its address is silent; else connections are refused
-	frozen   time.Duration // until then
-	inbox    []simMessage
+	number       int
+	disk         simdisk.Disk
+	node         *raft.Node // nil while the member is down
+	state        *catalog.Catalog
+	requests     *requestQueue
+	api          operatorRequests
+	appliedIndex uint64
+	startAt      time.Duration // time of the restart while the member is down
+	powerLoss    bool          // while down, the address doesn't respond; otherwise it refuses connections
+	frozenUntil  time.Duration // the member doesn't run before this time
+	inbox        []simMessage
 }
 
+// simMessage is a Raft message or an operator's call in transit.
 type simMessage struct {
-	arrives time.Duration
-	from    int // a member, or operatorSide
-	raft    *wire.RaftMessage
-	deliver func() // what an operator sends
+	arrivesAt time.Duration
+	from      int // member number or operatorEndpoint
+	raft      *wire.RaftMessage
+	deliver   func() // handles an operator's call; set if raft is nil
 }
 
-// operatorSide is where operators stand, for links that are cut.
-const operatorSide = -1
+// operatorEndpoint is the number of the operators' end of a link in cutLinks.
+const operatorEndpoint = -1
 
-// operation is what an operator wants done: a read or a change, with all its sends.
+// operation is an operator's read or change, including all attempts.
 type operation struct {
-	operator int
-	base     uint64
-	revision uint64 // 0: a read
-	body     []byte
-	identity string // of the configuration: two may have one revision
-	again    bool   // it was acknowledged before
-	call     time.Duration
-	finish   time.Duration // -1: there was no clear answer
-	result   OperatorResult
-	read     string // the identity of what was read
-
-	send      int           // number of the send that is under way
-	member    int           // that it was sent to
-	silentAt  time.Duration // when that one is given up
-	nextAt    time.Duration // when the next one begins; 0: one is under way
-	pause     time.Duration
+	operator       int
+	base           uint64
+	revision       uint64 // 0 for a read
+	body           []byte
+	identity       string // unique name of the configuration, as two can have the same revision
+	acceptedBefore bool   // resends a change that was already acknowledged
+	calledAt       time.Duration
+	finishedAt     time.Duration // -1 without a conclusive answer
+	result         OperatorResult
+	readIdentity   string // identity of the configuration that a read returned
+
+	attempt   int           // number of the current attempt
+	member    int           // receiver of the current attempt
+	timeoutAt time.Duration // when the current attempt times out
+	retryAt   time.Duration // start of the next attempt; 0 while one is in progress
+	backoff   time.Duration
 	redirects int
 	resent    bool
 }
 
-// operatorSim is a quorum with its operators.
+// operatorSim simulates a quorum and its operators.
 type operatorSim struct {
-	rng         *rand.Rand
-	now         time.Duration
-	members     []*simMember
-	cut         map[[2]int]bool
-	operations  []*operation
-	open        []*operation
-	known       []uint64 // by operator: the newest revision that it has seen
-	newest      uint64   // of all that was acknowledged
-	ids         int
-	ackLoss     float64
-	perOperator int
-	memory      int // accepted changes that members remember; 0: as in service
-	calm        bool
-	quiet       bool   // no new changes, until a restore
-	backup      []byte // to be restored at the end of this turn
-	backupTerm  uint64
-	restored    int
-	counts      map[OperatorResult]int
-	resends     int
+	rng            *rand.Rand
+	now            time.Duration
+	members        []*simMember
+	cutLinks       map[[2]int]bool
+	operations     []*operation
+	pending        []*operation
+	seenRevisions  []uint64 // newest revision that each operator has seen
+	newestAccepted uint64   // newest acknowledged revision
+	lastID         int      // last number used in identities of members and configurations
+	answerLoss     float64  // probability that a conclusive answer is lost
+	maxPerOperator int      // concurrent operations
+	acceptedLimit  int      // accepted changes that members remember; 0 for the production limit
+	faultless      bool     // no faults are injected
+	paused         bool     // no new operations until the restore
+	restoreData    []byte   // snapshot data to restore at the end of this step
+	restoreTerm    uint64
+	restores       int
+	counts         map[OperatorResult]int
+	resends        int
 }
 
 func newOperatorSim(seed uint64, members, operators int) *operatorSim {
-	w := &operatorSim{rng: rand.New(rand.NewPCG(seed, 17)), cut: map[[2]int]bool{}, known: make([]uint64, operators), counts: map[OperatorResult]int{}, perOperator: 3}
+	sim := &operatorSim{rng: rand.New(rand.NewPCG(seed, 17)), cutLinks: map[[2]int]bool{}, seenRevisions: make([]uint64, operators), counts: map[OperatorResult]int{}, maxPerOperator: 3}
 	empty, err := catalog.New().Snapshot()
 	if err != nil {
 		panic(err)
 	}
 	for i := range members {
-		w.members = append(w.members, &simMember{number: i})
+		sim.members = append(sim.members, &simMember{number: i})
 	}
-	w.install(empty, 1)
-	return w
+	sim.startQuorum(empty, 1)
+	return sim
 }
 
-// install starts all members as a new quorum with one state.
-func (w *operatorSim) install(data []byte, term uint64) {
+// startQuorum starts all members as a new quorum with the same state.
+func (sim *operatorSim) startQuorum(data []byte, term uint64) {
 	peers := &wire.Peers{}
-	for i := range w.members {
-		w.ids++
-		peers.Peers = append(peers.Peers, &wire.Peer{Id: uint64(w.ids), Address: fmt.Sprint(i), ControlAddress: fmt.Sprint(i), Voter: true})
+	for i := range sim.members {
+		sim.lastID++
+		peers.Peers = append(peers.Peers, &wire.Peer{Id: uint64(sim.lastID), Address: fmt.Sprint(i), ControlAddress: fmt.Sprint(i), Voter: true})
 	}
-	for i, m := range w.members {
-		m.disk = simdisk.Disk{Tail: 6 * (i % 2), ID: peers.Peers[i].Id, Hard: &wire.HardState{Term: term}, Snap: &wire.RaftSnapshot{Term: term, Index: 1, Peers: peers, Data: data}}
-		w.start(m)
+	for i, member := range sim.members {
+		member.disk = simdisk.Disk{Tail: 6 * (i % 2), ID: peers.Peers[i].Id, Hard: &wire.HardState{Term: term}, Snap: &wire.RaftSnapshot{Term: term, Index: 1, Peers: peers, Data: data}}
+		sim.startMember(member)
 	}
 }
 
-func (w *operatorSim) start(m *simMember) {
-	m.node = raft.New(m.disk.ID, m.disk.Hard, m.disk.Snap, slices.Clone(m.disk.Entries), w.rng.Uint64(), w.now)
-	m.node.SetRetention(m.disk.Tail, 8*m.disk.Tail)
-	m.restore(m.disk.Snap, w.memory)
-	m.requests = newRequestQueue(m.node, func() int { return min(3, len(w.members)) }, w.now)
-	m.api = operatorRequests{requests: m.requests, state: func() backup.Backup {
-		return backup.Backup{Term: m.node.Term(), Index: m.applied, State: m.state}
+func (sim *operatorSim) startMember(member *simMember) {
+	member.node = raft.New(member.disk.ID, member.disk.Hard, member.disk.Snap, slices.Clone(member.disk.Entries), sim.rng.Uint64(), sim.now)
+	member.node.SetRetention(member.disk.Tail, 8*member.disk.Tail)
+	member.restoreSnapshot(member.disk.Snap, sim.acceptedLimit)
+	member.requests = newRequestQueue(member.node, func() int { return min(3, len(sim.members)) }, sim.now)
+	member.api = operatorRequests{requests: member.requests, state: func() backup.Backup {
+		return backup.Backup{Term: member.node.Term(), Index: member.appliedIndex, State: member.state}
 	}}
-	m.inbox = nil
+	member.inbox = nil
 }
 
-func (m *simMember) restore(s *wire.RaftSnapshot, memory int) {
-	m.state, m.applied = catalog.New(), s.Index
-	m.state.SetAcceptedLimit(memory)
-	if err := m.state.Restore(s.Data); err != nil {
+func (member *simMember) restoreSnapshot(s *wire.RaftSnapshot, acceptedLimit int) {
+	member.state, member.appliedIndex = catalog.New(), s.Index
+	member.state.SetAcceptedLimit(acceptedLimit)
+	if err := member.state.Restore(s.Data); err != nil {
 		panic(err)
 	}
 }
 
-func (w *operatorSim) crash(m *simMember, down time.Duration, dark bool) {
-	m.disk.Crash(w.rng)
-	m.node, m.startAt, m.dark = nil, w.now+down, dark
-	for _, o := range w.open {
-		if !dark && o.nextAt == 0 && o.member == m.number {
-			o.silentAt = min(o.silentAt, w.now+w.span(1, 12)) // its connection is reset
+func (sim *operatorSim) crash(member *simMember, down time.Duration, powerLoss bool) {
+	member.disk.Crash(sim.rng)
+	member.node, member.startAt, member.powerLoss = nil, sim.now+down, powerLoss
+	for _, op := range sim.pending {
+		if !powerLoss && op.retryAt == 0 && op.member == member.number {
+			op.timeoutAt = min(op.timeoutAt, sim.now+sim.randomDuration(1, 12)) // the connection is reset
 		}
 	}
 }
 
-func (w *operatorSim) span(low, high int) time.Duration {
-	return time.Duration(low+w.rng.IntN(high-low)) * time.Millisecond
+func (sim *operatorSim) randomDuration(low, high int) time.Duration {
+	return time.Duration(low+sim.rng.IntN(high-low)) * time.Millisecond
 }
 
-// flush carries out a member's output, as the loop in service does. It may lose power before or after a sync.
-func (w *operatorSim) flush(m *simMember) {
-	for m.node != nil {
-		out := m.node.Ready()
-		if out.Empty() {
+// processReady processes a member's output like Server.flush. The member may crash before or after a sync.
+func (sim *operatorSim) processReady(member *simMember) {
+	for member.node != nil {
+		ready := member.node.Ready()
+		if ready.Empty() {
 			return
 		}
-		m.disk.Write(out.Snapshot, out.HardState, out.Entries)
-		if !w.calm && w.rng.IntN(4000) == 0 {
-			w.crash(m, w.span(300, 3000), w.rng.IntN(2) == 0)
+		member.disk.Write(ready.Snapshot, ready.HardState, ready.Entries)
+		if !sim.faultless && sim.rng.IntN(4000) == 0 {
+			sim.crash(member, sim.randomDuration(300, 3000), sim.rng.IntN(2) == 0)
 			return
 		}
-		m.disk.Sync()
-		if !w.calm && w.rng.IntN(4000) == 0 {
-			w.crash(m, w.span(300, 3000), w.rng.IntN(2) == 0)
+		member.disk.Sync()
+		if !sim.faultless && sim.rng.IntN(4000) == 0 {
+			sim.crash(member, sim.randomDuration(300, 3000), sim.rng.IntN(2) == 0)
 			return
 		}
-		if out.Snapshot != nil {
-			m.restore(out.Snapshot, w.memory)
+		if ready.Snapshot != nil {
+			member.restoreSnapshot(ready.Snapshot, sim.acceptedLimit)
 		}
-		if len(out.Entries) > 0 {
-			m.node.StableTo(out.Entries[len(out.Entries)-1].Index)
+		if len(ready.Entries) > 0 {
+			member.node.StableTo(ready.Entries[len(ready.Entries)-1].Index)
 		}
-		for _, message := range out.Messages {
-			w.post(m, message)
+		for _, message := range ready.Messages {
+			sim.sendMessage(member, message)
 		}
-		for _, e := range out.CommittedEntries {
-			m.applied = e.Index
-			update, verdict := applyEntry(m.state, e)
-			m.requests.applied(e, update != nil, verdict)
+		for _, e := range ready.CommittedEntries {
+			member.appliedIndex = e.Index
+			update, applyErr := applyEntry(member.state, e)
+			member.requests.completeCommand(e, update != nil, applyErr)
 		}
-		for _, r := range out.ReadStates {
-			m.requests.confirmed(r)
+		for _, r := range ready.ReadStates {
+			member.requests.completeRead(r)
 		}
-		if m.node.Backlog() > simSnapshot {
-			w.compact(m)
+		if member.node.Backlog() > simCompactAfter {
+			sim.compact(member)
 		}
 	}
 }
 
-func (w *operatorSim) compact(m *simMember) {
-	data, err := m.state.Snapshot()
+func (sim *operatorSim) compact(member *simMember) {
+	data, err := member.state.Snapshot()
 	if err != nil {
 		panic(err)
 	}
-	if s := m.node.Compact(m.applied, data); s != nil {
-		m.disk.Compact(s)
+	if s := member.node.Compact(member.appliedIndex, data); s != nil {
+		member.disk.Compact(s)
 	}
 }
 
-func (w *operatorSim) post(from *simMember, message *wire.RaftMessage) {
-	for _, to := range w.members {
-		if to.disk.ID == message.To && !w.cut[[2]int{from.number, to.number}] && (w.calm || w.rng.IntN(60) > 0) {
-			to.inbox = append(to.inbox, simMessage{arrives: w.now + w.span(1, 8), from: from.number, raft: proto.CloneOf(message)})
+func (sim *operatorSim) sendMessage(from *simMember, message *wire.RaftMessage) {
+	for _, to := range sim.members {
+		if to.disk.ID == message.To && !sim.cutLinks[[2]int{from.number, to.number}] && (sim.faultless || sim.rng.IntN(60) > 0) {
+			to.inbox = append(to.inbox, simMessage{arrivesAt: sim.now + sim.randomDuration(1, 8), from: from.number, raft: proto.CloneOf(message)})
 		}
 	}
 }
 
-// run lets a member do what it has to do now.
-func (w *operatorSim) run(m *simMember) {
-	if m.node == nil {
-		if w.now >= m.startAt {
-			w.start(m)
+// runMember runs one step of a member: it restarts when due, receives messages, and processes its output.
+func (sim *operatorSim) runMember(member *simMember) {
+	if member.node == nil {
+		if sim.now >= member.startAt {
+			sim.startMember(member)
 		}
 		return
 	}
-	if m.frozen > w.now {
+	if member.frozenUntil > sim.now {
 		return
 	}
-	inbox := m.inbox
-	m.inbox = nil
+	inbox := member.inbox
+	member.inbox = nil
 	for _, message := range inbox {
 		switch {
-		case message.arrives > w.now:
-			m.inbox = append(m.inbox, message)
+		case message.arrivesAt > sim.now:
+			member.inbox = append(member.inbox, message)
 		case message.raft != nil:
-			m.node.Step(w.now, message.raft)
+			member.node.Step(sim.now, message.raft)
 		default:
 			message.deliver()
 		}
 	}
-	m.node.Tick(w.now)
-	m.requests.tick(w.now)
-	w.flush(m)
+	member.node.Tick(sim.now)
+	member.requests.tick(sim.now)
+	sim.processReady(member)
 }
 
-// step is one turn of the world.
-func (w *operatorSim) step() {
-	w.now += simStep
-	for _, m := range w.members {
-		w.run(m)
+// step advances the simulation by simStep.
+func (sim *operatorSim) step() {
+	sim.now += simStep
+	for _, member := range sim.members {
+		sim.runMember(member)
 	}
-	for _, o := range slices.Clone(w.open) {
-		w.drive(o)
+	for _, op := range slices.Clone(sim.pending) {
+		sim.advance(op)
 	}
-	if w.backup != nil {
-		w.install(w.backup, w.backupTerm)
-		w.backup = nil
+	if sim.restoreData != nil {
+		sim.startQuorum(sim.restoreData, sim.restoreTerm)
+		sim.restoreData = nil
 	}
 }
 
-// drive sends an operation, and gives a send up after a silence.
-func (w *operatorSim) drive(o *operation) {
+// advance starts an operation's next attempt when it is due, and ends an attempt that has timed out.
+func (sim *operatorSim) advance(op *operation) {
 	switch {
-	case o.nextAt > 0 && w.now >= o.nextAt:
-		o.redirects = 0
-		w.sendTo(o, w.rng.IntN(len(w.members)))
-	case o.nextAt == 0 && w.now >= o.silentAt:
-		w.retry(o)
+	case op.retryAt > 0 && sim.now >= op.retryAt:
+		op.redirects = 0
+		sim.sendTo(op, sim.rng.IntN(len(sim.members)))
+	case op.retryAt == 0 && sim.now >= op.timeoutAt:
+		sim.scheduleRetry(op)
 	}
 }
 
-// retry sends an operation again after a pause that grows.
-func (w *operatorSim) retry(o *operation) {
-	o.pause = min(2*o.pause, time.Second)
-	o.send++ // an answer to the send before is not read any more
-	o.nextAt = w.now + o.pause
-	if !o.resent && o.revision > 0 {
-		o.resent = true
-		w.resends++
+// scheduleRetry schedules the next attempt with exponential backoff.
+func (sim *operatorSim) scheduleRetry(op *operation) {
+	op.backoff = min(2*op.backoff, time.Second)
+	op.attempt++ // ignore a late answer to the previous attempt
+	op.retryAt = sim.now + op.backoff
+	if !op.resent && op.revision > 0 {
+		op.resent = true
+		sim.resends++
 	}
-	if !w.calm && w.rng.IntN(25) == 0 || o.again && o.send > 10 {
-		w.close(o) // the operator gives up; of what was acknowledged long ago, nothing may be known any more
+	if !sim.faultless && sim.rng.IntN(25) == 0 || op.acceptedBefore && op.attempt > 10 {
+		sim.removePending(op) // the operator gives up; members may have forgotten a change accepted long ago
 	}
 }
 
-func (w *operatorSim) close(o *operation) {
-	w.open = slices.DeleteFunc(w.open, func(p *operation) bool { return p == o })
+// removePending ends an operation's attempts.
+func (sim *operatorSim) removePending(op *operation) {
+	sim.pending = slices.DeleteFunc(sim.pending, func(p *operation) bool { return p == op })
 }
 
-// sendTo sends an operation to a member. It is read there when it gets there, however late.
-func (w *operatorSim) sendTo(o *operation, number int) {
-	o.send++
-	o.nextAt, o.silentAt, o.member = 0, w.now+simSilence, number
-	send, m := o.send, w.members[number]
-	if w.cut[[2]int{operatorSide, number}] {
+// sendTo starts an attempt at a member. The member handles the call on arrival, even after the attempt timed out.
+func (sim *operatorSim) sendTo(op *operation, number int) {
+	op.attempt++
+	op.retryAt, op.timeoutAt, op.member = 0, sim.now+simCallTimeout, number
+	attempt, member := op.attempt, sim.members[number]
+	if sim.cutLinks[[2]int{operatorEndpoint, number}] {
 		return
 	}
-	arrives := w.now + w.span(1, 12)
-	if m.node == nil {
-		if !m.dark {
-			o.silentAt = arrives // refused
+	arrivesAt := sim.now + sim.randomDuration(1, 12)
+	if member.node == nil {
+		if !member.powerLoss {
+			op.timeoutAt = arrivesAt // connection refused
 		}
 		return
 	}
-	answer := func(a OperatorAnswer) { w.answer(o, send, number, a) }
-	m.inbox = append(m.inbox, simMessage{arrives: arrives, from: operatorSide, deliver: func() {
-		deadline := w.now + operatorTimeout
-		if o.revision == 0 {
-			m.api.read(w.now, deadline, answer)
+	answer := func(a OperatorAnswer) { sim.deliverAnswer(op, attempt, number, a) }
+	member.inbox = append(member.inbox, simMessage{arrivesAt: arrivesAt, from: operatorEndpoint, deliver: func() {
+		deadline := sim.now + operatorTimeout
+		if op.revision == 0 {
+			member.api.read(sim.now, deadline, answer)
 		} else {
-			replacement, err := parseReplacement(m.state.Current(), o.base, o.body)
+			replacement, err := parseReplacement(member.state.Current(), op.base, op.body)
 			if err != nil {
 				answer(OperatorAnswer{Result: Invalid})
 				return
 			}
-			m.api.replace(w.now, deadline, replacement, answer)
+			member.api.replace(sim.now, deadline, replacement, answer)
 		}
 	}})
 }
 
-// answer brings an answer to the operator, unless it is lost or comes too late.
-func (w *operatorSim) answer(o *operation, send, member int, a OperatorAnswer) {
-	if o.send != send || w.cut[[2]int{member, operatorSide}] {
+// deliverAnswer passes an answer to the operator unless it is lost or belongs to an earlier attempt.
+func (sim *operatorSim) deliverAnswer(op *operation, attempt, member int, answer OperatorAnswer) {
+	if op.attempt != attempt || sim.cutLinks[[2]int{member, operatorEndpoint}] {
 		return
 	}
-	w.counts[a.Result]++
-	switch a.Result {
+	sim.counts[answer.Result]++
+	switch answer.Result {
 	case Unavailable:
-		w.retry(o)
+		sim.scheduleRetry(op)
 	case Redirected:
-		if o.redirects++; o.redirects > simFollows {
-			w.retry(o)
+		if op.redirects++; op.redirects > simMaxRedirects {
+			sim.scheduleRetry(op)
 			return
 		}
 		number := 0
-		fmt.Sscan(a.Leader.ControlAddress, &number)
-		w.sendTo(o, number)
+		fmt.Sscan(answer.Leader.ControlAddress, &number)
+		sim.sendTo(op, number)
 	default:
-		if w.rng.Float64() < w.ackLoss {
+		if sim.rng.Float64() < sim.answerLoss {
 			return
 		}
-		w.finish(o, a)
+		sim.complete(op, answer)
 	}
 }
 
-func (w *operatorSim) finish(o *operation, a OperatorAnswer) {
-	o.finish, o.result = w.now, a.Result
-	w.close(o)
-	switch a.Result {
+// complete records the conclusive answer of an operation.
+func (sim *operatorSim) complete(op *operation, answer OperatorAnswer) {
+	op.finishedAt, op.result = sim.now, answer.Result
+	sim.removePending(op)
+	switch answer.Result {
 	case AlreadyAccepted:
-		o.result = Accepted
+		op.result = Accepted
 		fallthrough
 	case Accepted:
-		w.known[o.operator] = max(w.known[o.operator], o.revision)
-		w.newest = max(w.newest, o.revision)
+		sim.seenRevisions[op.operator] = max(sim.seenRevisions[op.operator], op.revision)
+		sim.newestAccepted = max(sim.newestAccepted, op.revision)
 	case Found:
-		config, err := meshconfig.Parse(a.Body)
+		config, err := meshconfig.Parse(answer.Body)
 		if err != nil {
 			panic(err)
 		}
-		o.read = config.Backends[0].Name
-		w.known[o.operator] = config.Revision
+		op.readIdentity = config.Backends[0].Name
+		sim.seenRevisions[op.operator] = config.Revision
 	}
 }
 
-// newOperation is a read, to be begun now.
-func (w *operatorSim) newOperation(operator int) *operation {
-	return &operation{operator: operator, call: w.now, finish: -1, nextAt: w.now, pause: 50 * time.Millisecond, base: w.known[operator]}
+// newOperation returns a read that starts now.
+func (sim *operatorSim) newOperation(operator int) *operation {
+	return &operation{operator: operator, calledAt: sim.now, finishedAt: -1, retryAt: sim.now, backoff: 50 * time.Millisecond, base: sim.seenRevisions[operator]}
 }
 
-// begin starts an operation of an operator.
-func (w *operatorSim) begin(operator int) {
-	o := w.newOperation(operator)
-	switch odds := w.rng.IntN(20); {
+// startOperation starts a random operation of an operator.
+func (sim *operatorSim) startOperation(operator int) {
+	op := sim.newOperation(operator)
+	switch odds := sim.rng.IntN(20); {
 	case odds < 6:
-	case odds < 8 && len(w.operations) > 0: // one that was acknowledged, again
-		old := w.operations[w.rng.IntN(len(w.operations))]
-		if old.revision == 0 || old.finish < 0 || old.result != Accepted {
+	case odds < 8 && len(sim.operations) > 0: // resend an acknowledged change
+		old := sim.operations[sim.rng.IntN(len(sim.operations))]
+		if old.revision == 0 || old.finishedAt < 0 || old.result != Accepted {
 			return
 		}
-		o.base, o.revision, o.body, o.identity, o.again = old.base, old.revision, old.body, old.identity, true
-	case odds < 9 && o.base > 0: // an old version
-		w.describe(o, o.base-uint64(w.rng.IntN(2))*(o.base-1))
-	default: // others may pick the same number
-		w.describe(o, o.base+1+uint64(w.rng.IntN(2)))
+		op.base, op.revision, op.body, op.identity, op.acceptedBefore = old.base, old.revision, old.body, old.identity, true
+	case odds < 9 && op.base > 0: // a revision that is not new
+		sim.setConfig(op, op.base-uint64(sim.rng.IntN(2))*(op.base-1))
+	default: // other operators may choose the same revision
+		sim.setConfig(op, op.base+1+uint64(sim.rng.IntN(2)))
 	}
-	w.operations = append(w.operations, o)
-	w.open = append(w.open, o)
+	sim.operations = append(sim.operations, op)
+	sim.pending = append(sim.pending, op)
 }
 
-// describe makes an operation a change with a configuration of its own.
-func (w *operatorSim) describe(o *operation, revision uint64) {
-	w.ids++
-	o.revision, o.identity = revision, fmt.Sprintf("%d/%d", revision, w.ids)
-	body, err := msgpack.Marshal(&meshconfig.Config{Revision: revision, Backends: []meshconfig.Backend{{Name: o.identity}, {Name: simFiller}}})
+// setConfig makes an operation a change to a unique configuration with a revision.
+func (sim *operatorSim) setConfig(op *operation, revision uint64) {
+	sim.lastID++
+	op.revision, op.identity = revision, fmt.Sprintf("%d/%d", revision, sim.lastID)
+	body, err := msgpack.Marshal(&meshconfig.Config{Revision: revision, Backends: []meshconfig.Backend{{Name: op.identity}, {Name: simPadding}}})
 	if err != nil {
 		panic(err)
 	}
-	o.body = body
+	op.body = body
 }
 
-// trouble lets something fail now and then; mostly it is the leader that is hit.
-func (w *operatorSim) trouble() {
-	m := w.members[w.rng.IntN(len(w.members))]
-	for _, other := range w.members {
-		if other.node != nil && other.node.IsLeader() && w.rng.IntN(2) == 0 {
-			m = other
+// injectFault injects a random fault with a small probability, preferably at the leader.
+func (sim *operatorSim) injectFault() {
+	member := sim.members[sim.rng.IntN(len(sim.members))]
+	for _, other := range sim.members {
+		if other.node != nil && other.node.IsLeader() && sim.rng.IntN(2) == 0 {
+			member = other
 		}
 	}
-	switch w.rng.IntN(3000) {
+	switch sim.rng.IntN(3000) {
 	case 0, 1, 2:
-		if m.node != nil {
-			w.crash(m, w.span(100, 3000), w.rng.IntN(2) == 0)
+		if member.node != nil {
+			sim.crash(member, sim.randomDuration(100, 3000), sim.rng.IntN(2) == 0)
 		}
 	case 3:
-		for _, m := range w.members {
-			w.crash(m, w.span(300, 1500), true)
+		for _, member := range sim.members {
+			sim.crash(member, sim.randomDuration(300, 1500), true)
 		}
-	case 4, 5, 6: // from the others, on both sides or on one
-		back := w.rng.IntN(3) > 0
-		for other := range w.members {
-			w.cut[[2]int{m.number, other}], w.cut[[2]int{other, m.number}] = true, back
+	case 4, 5, 6: // cut the links to the other members, in one or both directions
+		back := sim.rng.IntN(3) > 0
+		for other := range sim.members {
+			sim.cutLinks[[2]int{member.number, other}], sim.cutLinks[[2]int{other, member.number}] = true, back
 		}
-	case 7, 8: // from the operators, with what they send or with the answers
-		w.cut[[2]int{m.number, operatorSide}] = true
-		w.cut[[2]int{operatorSide, m.number}] = w.rng.IntN(2) == 0
+	case 7, 8: // cut the link to the operators, and in some cases also the link from them
+		sim.cutLinks[[2]int{member.number, operatorEndpoint}] = true
+		sim.cutLinks[[2]int{operatorEndpoint, member.number}] = sim.rng.IntN(2) == 0
 	case 9, 10:
-		m.frozen = w.now + w.span(200, 2500)
+		member.frozenUntil = sim.now + sim.randomDuration(200, 2500)
 	case 11, 12, 13, 14, 15:
-		clear(w.cut)
+		clear(sim.cutLinks)
 	}
 }
 
-// restore makes a new quorum out of a backup, once nothing has been accepted since it was taken.
-func (w *operatorSim) restore() {
-	for _, m := range w.members {
-		if m.node == nil || !m.node.IsLeader() {
+// restore takes a backup from the leader and schedules a new quorum with its state. It requires that no operation is in
+// progress, so that the backup contains every acknowledged change.
+func (sim *operatorSim) restore() {
+	for _, member := range sim.members {
+		if member.node == nil || !member.node.IsLeader() {
 			continue
 		}
-		m.api.backup(w.now, w.now+operatorTimeout, func(a OperatorAnswer) {
-			if a.Result != Found || len(w.open) > 0 {
+		member.api.backup(sim.now, sim.now+operatorTimeout, func(a OperatorAnswer) {
+			if a.Result != Found || len(sim.pending) > 0 {
 				return
 			}
 			b, err := backup.Decode(a.Body)
@@ -456,8 +460,8 @@
 			if err != nil {
 				panic(err)
 			}
-			w.restored, w.quiet = w.restored+1, false
-			w.backup, w.backupTerm = data, b.Term+5
+			sim.restores, sim.paused = sim.restores+1, false
+			sim.restoreData, sim.restoreTerm = data, b.Term+5
 		})
 		return
 	}
--- a/internal/controlplane/server/quorum_contact.go
+++ b/internal/controlplane/server/quorum_contact.go
@@ -8,8 +8,8 @@
 	"ivydeck/internal/distribution/relay"
 )
 
-// observeContact publishes the age of the state here, and logs when the member loses contact with the quorum and when it
-// has it again. The loop calls it once what is committed is applied.
+// observeContact publishes the time of the last quorum contact, and logs when contact is lost or restored. The loop
+// calls it after it has applied all committed entries.
 func (srv *Server) observeContact(now time.Duration) {
 	age := srv.consensus.QuorumContactAge(now)
 	srv.contactAt.Store(int64(now - age))
@@ -25,7 +25,8 @@
 	srv.log.Log(srv.ctx, level, event, "age_ms", age.Milliseconds(), "term", srv.consensus.Term(), "leader", srv.leader().GetAddress())
 }
 
-// contactAge is an upper bound of the time since a quorum confirmed the state here. Any goroutine may call it.
+// contactAge returns an upper bound of the time since a quorum confirmed this member's state. It is safe for concurrent
+// use.
 func (srv *Server) contactAge() time.Duration {
 	return min(srv.now()-time.Duration(srv.contactAt.Load()), raft.MaxContactAge)
 }
--- a/internal/controlplane/server/raft_transport.go
+++ b/internal/controlplane/server/raft_transport.go
@@ -8,47 +8,48 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages that wait for a member; further ones are dropped, as the protocol repeats them.
+	// maxQueuedMessages bounds the messages queued for a member. Further ones are dropped; the protocol resends them.
 	maxQueuedMessages = 128
-	// maxStaleMessages is how many messages are kept while a member can't be reached: older ones are out of date.
+	// maxStaleMessages bounds the messages kept while a member is unreachable. Older ones are dropped as outdated.
 	maxStaleMessages = 8
-	// maxSenderAddresses bounds the addresses of processes that are not, or not yet, members.
-	maxSenderAddresses = 64
+	// maxObservedAddresses bounds observedAddresses, since messages may come from processes that are not members.
+	maxObservedAddresses = 64
 )
 
-// sender sends messages to one member, from a goroutine of its own.
+// sender sends messages to one member from its own goroutine.
 type sender struct {
 	address string
 	queue   chan *wire.RaftMessage
 	cancel  context.CancelFunc
 }
 
-// send passes a message to the sender of its receiver.
-func (srv *Server) send(m *wire.RaftMessage) {
-	address := srv.addressOf(m.To)
+// send queues a message for its receiver. A snapshot is sent separately, by startTransfer.
+func (srv *Server) send(message *wire.RaftMessage) {
+	address := srv.addressOf(message.To)
 	if address == "" {
 		return
 	}
-	if m.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
-		srv.startTransfer(m, address)
+	if message.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
+		srv.startTransfer(message, address)
 		return
 	}
-	m.Address = srv.settings.Load().Internal()
+	message.Address = srv.settings.Load().Internal()
 	select {
-	case srv.senderTo(m.To, address).queue <- m:
-	default: // the protocol repeats what is lost
+	case srv.senderTo(message.To, address).queue <- message:
+	default: // the protocol resends lost messages
 	}
 }
 
-// addressOf returns a member's address, by the membership or else by its own messages; empty: not known.
+// addressOf returns a process's address from the membership or else from its messages. It returns "" if unknown.
 func (srv *Server) addressOf(id uint64) string {
 	if p := srv.peer(id); p != nil {
 		return p.Address
 	}
-	return srv.senderAddresses[id]
+	return srv.observedAddresses[id]
 }
 
-// senderTo returns the sender to a member at an address, and starts it if need be.
+// senderTo returns the sender for a member at an address. It starts one if there is none, or if the address has
+// changed.
 func (srv *Server) senderTo(id uint64, address string) *sender {
 	if s := srv.senders[id]; s != nil {
 		if s.address == address {
@@ -60,12 +61,12 @@
 	s := &sender{address: address, queue: make(chan *wire.RaftMessage, maxQueuedMessages), cancel: cancel}
 	srv.senders[id] = s
 	srv.workers.Go(func() { s.run(ctx, srv.pool) })
-	srv.stopSendersToOthers(id)
+	srv.stopStaleSenders(id)
 	return s
 }
 
-// stopSendersToOthers ends the senders to processes that are no longer members, but for one.
-func (srv *Server) stopSendersToOthers(except uint64) {
+// stopStaleSenders stops the senders for processes that are not members, except for one.
+func (srv *Server) stopStaleSenders(except uint64) {
 	for id, s := range srv.senders {
 		if id != except && srv.peer(id) == nil {
 			s.cancel()
@@ -74,7 +75,7 @@
 	}
 }
 
-// run sends messages in order, over one stream as long as that lasts.
+// run sends the queued messages in order, and opens a new stream after an error.
 func (s *sender) run(ctx context.Context, pool *rpc.Pool) {
 	var stream *rpc.Stream
 	defer func() {
@@ -83,20 +84,20 @@
 		}
 	}()
 	for {
-		var m *wire.RaftMessage
+		var message *wire.RaftMessage
 		select {
-		case m = <-s.queue:
+		case message = <-s.queue:
 		case <-ctx.Done():
 			return
 		}
 		if stream != nil {
-			if stream.Send(m) == nil {
+			if stream.Send(message) == nil {
 				continue
 			}
 			stream.Close()
 		}
 		var err error
-		if stream, err = pool.Open(ctx, s.address, "raft", m); err != nil {
+		if stream, err = pool.Open(ctx, s.address, "raft", message); err != nil {
 			stream = nil
 			for len(s.queue) > maxStaleMessages {
 				<-s.queue
@@ -105,26 +106,26 @@
 	}
 }
 
-// raftStream receives the messages of one sender.
-func (srv *Server) raftStream(s *rpc.Stream) error {
+// raftStream receives the messages of one stream and passes them to the consensus.
+func (srv *Server) raftStream(stream *rpc.Stream) error {
 	for {
-		m := new(wire.RaftMessage)
-		if err := s.Recv(m); err != nil {
+		message := new(wire.RaftMessage)
+		if err := stream.Recv(message); err != nil {
 			return err
 		}
 		if !srv.runInLoop(func() {
-			if len(srv.senderAddresses) >= maxSenderAddresses {
-				clear(srv.senderAddresses)
+			if len(srv.observedAddresses) >= maxObservedAddresses {
+				clear(srv.observedAddresses)
 			}
-			srv.senderAddresses[m.From] = m.Address
-			srv.consensus.Step(srv.now(), m)
+			srv.observedAddresses[message.From] = message.Address
+			srv.consensus.Step(srv.now(), message)
 		}) {
 			return srv.ctx.Err()
 		}
 	}
 }
 
-// peer returns a member of the newest membership; nil: there is none with this identity.
+// peer returns the member of the newest membership with this identity, or nil.
 func (srv *Server) peer(id uint64) *wire.Peer {
 	for _, p := range srv.consensus.Peers() {
 		if p.Id == id {
@@ -134,5 +135,5 @@
 	return nil
 }
 
-// leader returns the leader as this member knows it; nil: not known.
+// leader returns the leader, or nil if this member knows none.
 func (srv *Server) leader() *wire.Peer { return srv.peer(srv.consensus.Leader()) }
--- a/internal/controlplane/server/replica.go
+++ b/internal/controlplane/server/replica.go
@@ -12,48 +12,48 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// replica is the member's copy of the replicated state, with the consensus and the disk under it. It belongs to the
-// goroutine of Server.loop: others reach it by runInLoop.
+// replica holds the replicated state, the consensus and the store. Only the goroutine of Server.loop may access it;
+// other goroutines use runInLoop.
 type replica struct {
-	store      *store.Store
-	consensus  *raft.Node
-	membership *membershipDriver
-	catalog    *catalog.Catalog
-	applied    uint64 // index of the last entry in catalog
-	requests   *requestQueue
-	operator   operatorRequests
-	ackGate    ackGate
+	store        *store.Store
+	consensus    *raft.Node
+	membership   *membershipDriver
+	catalog      *catalog.Catalog
+	appliedIndex uint64 // index of the last entry applied to catalog
+	requests     *requestQueue
+	operator     operatorRequests
+	ackGate      ackGate
 
-	// Messages to the other members.
-	senders         map[uint64]*sender
-	senderAddresses map[uint64]string // of members that have sent messages, at most maxSenderAddresses
+	// Raft messages.
+	senders           map[uint64]*sender
+	observedAddresses map[uint64]string // addresses from received messages, by member; at most maxObservedAddresses
 
 	// Snapshots.
-	snapshotPool *rpc.Pool            // connections of their own, so that heartbeats do not queue behind data
-	transfers    map[uint64]*transfer // in progress, by receiver
-	compacting   bool                 // a snapshot of the own state is being written
-	installing   *receivedSnapshot    // about to replace the state; nil: none
+	snapshotPool *rpc.Pool            // separate connections, so that snapshot data does not delay heartbeats
+	transfers    map[uint64]*transfer // outgoing transfers in progress, by receiver
+	compacting   bool                 // a snapshot of this member's state is being written
+	installing   *receivedSnapshot    // the snapshot being installed, or nil
 
-	// Leadership and contact as they were last seen, to log changes.
-	managedAt   time.Duration
-	wasLeader   bool
-	leaderSince time.Duration
-	lostContact bool
+	// Last observed leadership and quorum contact, to detect changes.
+	lastManagedAt time.Duration // time of the last manageLeadership
+	wasLeader     bool
+	leaderSince   time.Duration
+	lostContact   bool
 }
 
 func newReplica(st *store.Store, snapshotPool *rpc.Pool) replica {
 	return replica{
-		store:           st,
-		catalog:         catalog.New(),
-		senders:         map[uint64]*sender{},
-		senderAddresses: map[uint64]string{},
-		snapshotPool:    snapshotPool,
-		transfers:       map[uint64]*transfer{},
-		lostContact:     true, // a start is no loss of contact
+		store:             st,
+		catalog:           catalog.New(),
+		senders:           map[uint64]*sender{},
+		observedAddresses: map[uint64]string{},
+		snapshotPool:      snapshotPool,
+		transfers:         map[uint64]*transfer{},
+		lostContact:       true, // avoids logging a loss of contact at startup
 	}
 }
 
-// restore brings the replicated state to where the disk has it.
+// restore loads the replicated state, the consensus and the request queue from the store.
 func (srv *Server) restore(seed uint64) error {
 	if err := srv.bootstrap(); err != nil {
 		return err
@@ -66,18 +66,18 @@
 	}
 	srv.consensus = raft.New(st.ID, st.HardState, st.Snapshot, slices.Concat(st.Tail, st.Entries), seed, 0)
 	srv.membership = newMembershipDriver(srv)
-	st.Tail, st.Entries = nil, nil // the consensus has them now
+	st.Tail, st.Entries = nil, nil // owned by the consensus now
 	srv.requests = newRequestQueue(srv.consensus, srv.minAckVoters, 0)
 	srv.operator = operatorRequests{requests: srv.requests, state: func() backup.Backup {
-		return backup.Backup{Term: srv.consensus.Term(), Index: srv.applied, State: srv.catalog}
+		return backup.Backup{Term: srv.consensus.Term(), Index: srv.appliedIndex, State: srv.catalog}
 	}}
-	srv.applied = st.Snapshot.GetIndex()
+	srv.appliedIndex = st.Snapshot.GetIndex()
 	srv.publishFullState()
 	return nil
 }
 
-// bootstrap makes the first of the seeds the only member of a new quorum, once in the life of the system: all others
-// join it.
+// bootstrap initializes a fresh store with a quorum of this process alone if it is the first seed in sorted order. This
+// happens once in the lifetime of a system; all other members join that quorum.
 func (srv *Server) bootstrap() error {
 	settings, st := srv.settings.Load(), srv.store
 	if !st.Fresh || st.Damaged != nil || !settings.Bootstrap || slices.Min(settings.Seeds) != settings.Control {
@@ -88,11 +88,11 @@
 		return err
 	}
 	members := &wire.Peers{Peers: []*wire.Peer{srv.self(true)}}
-	hard := &wire.HardState{Term: 1}
+	hardState := &wire.HardState{Term: 1}
 	snapshot := &wire.RaftSnapshot{Term: 1, Index: 1, Data: data, Peers: members}
-	if err := st.Save(store.Batch{Snapshot: snapshot, HardState: hard}); err != nil {
+	if err := st.Save(store.Batch{Snapshot: snapshot, HardState: hardState}); err != nil {
 		return err
 	}
-	st.HardState, st.Snapshot = hard, snapshot
+	st.HardState, st.Snapshot = hardState, snapshot
 	return nil
 }
--- a/internal/controlplane/server/request_queue.go
+++ b/internal/controlplane/server/request_queue.go
@@ -12,7 +12,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// The errors of a request to the log. Only those that wrap errNotProposed say that a command was not and will not be
+// Errors of requests. Only an error that wraps errNotProposed guarantees that the command was not and will not be
 // applied.
 var (
 	errNotProposed    = errors.New("not proposed")
@@ -25,125 +25,125 @@
 	errLeadershipLost = errors.New("leadership was lost before the outcome was known")
 )
 
-// notLeaderError names the leader, where another member is.
+// notLeaderError is the error of a request to a member that doesn't lead, with the leader.
 type notLeaderError struct{ leader *wire.Peer }
 
 func (e *notLeaderError) Error() string { return "the leader is at " + e.leader.GetControlAddress() }
 func (e *notLeaderError) Unwrap() error { return errNotProposed }
 
 const (
-	// maxRequests bounds the requests without an outcome.
+	// maxRequests bounds the number of requests in progress.
 	maxRequests = 4096
-	// maxLeaderless is how long requests are queued without contact to a leader before they are answered that there is
-	// none. An election takes less, so a member without a leader for longer is likely partitioned, and its callers do
-	// better elsewhere.
-	maxLeaderless = 1500 * time.Millisecond
+	// leaderlessTimeout is the time without contact to a leader after which requests fail instead of being queued. It
+	// is longer than an election, so a member without a leader for this time is likely partitioned, and callers should
+	// try another member.
+	leaderlessTimeout = 1500 * time.Millisecond
 )
 
-// request is a command or a read that waits for the log.
+// request is a command to be proposed, or a linearizable read.
 type request struct {
-	command  []byte        // nil: a read
-	deadline time.Duration // of the member's clock
-	// retryable requests are queued while no leader is known, and their command may be proposed more than once. Only for
-	// commands that the state recognises when they are applied a second time.
+	command  []byte        // nil for a read
+	deadline time.Duration // in consensus time
+	// retryable allows queueing the request while no leader is known and proposing its command more than once. Set it
+	// only for reads, and for commands whose second application the state recognises.
 	retryable bool
-	done      func(outcome) // called once, by the owner of the queue
+	done      func(outcome) // called exactly once, by the owner of the queue
 
-	sequence uint64
-	arrived  time.Duration
-	index    uint64 // of its entry, while proposed
-	term     uint64
+	sequence    uint64
+	submittedAt time.Duration
+	index       uint64 // index of the proposed entry
+	term        uint64 // term of the proposed entry
 }
 
-// outcome is the outcome of a request. Without an error, a command was committed and applied, and a read may read the
+// outcome is the result of a request. If err is nil, a command was committed and applied, and a read may access the
 // state now.
 type outcome struct {
 	err       error
 	unchanged bool // the command had been applied before, or changed nothing
 }
 
-// requestQueue has the requests that wait for a leader, for their entry to be applied, or for a quorum to confirm the
-// leadership. It is a pure state machine: its owner, which also owns the consensus, calls tick with the time, and passes
-// in which entries are applied and which reads are confirmed.
+// requestQueue tracks the requests in progress: those waiting for a leader, for their entry to be applied, or for a
+// quorum to confirm the leadership. It is a state machine without I/O. Its owner also owns the consensus, calls tick,
+// and reports applied entries and read states.
 type requestQueue struct {
 	consensus *raft.Node
-	minVoters func() int // voters below which nothing is acknowledged
+	minVoters func() int // minimum number of voters for an acknowledgement
 
-	queued           []*request          // by sequence
-	proposed         map[uint64]*request // by index
-	reads            map[uint64]*request // by sequence, which is the read's token
+	queued           []*request          // to be dispatched again at the next tick
+	proposed         map[uint64]*request // by entry index
+	reads            map[uint64]*request // by sequence, which is the read token
 	sequence         uint64
-	leaderObservedAt time.Duration // last contact with a leader
-	nextDeadline     time.Duration // no deadline is before; 0: nothing waits
+	leaderObservedAt time.Duration // time of the last observed contact with a leader
+	nextDeadline     time.Duration // lower bound of all deadlines; 0 if unset
 }
 
 func newRequestQueue(consensus *raft.Node, minVoters func() int, now time.Duration) *requestQueue {
 	return &requestQueue{consensus: consensus, minVoters: minVoters, proposed: map[uint64]*request{}, reads: map[uint64]*request{}, leaderObservedAt: now}
 }
 
-// len is the number of requests that have no outcome yet.
+// len returns the number of requests in progress.
 func (q *requestQueue) len() int { return len(q.queued) + len(q.proposed) + len(q.reads) }
 
-// submit takes a request, which has its outcome by its deadline.
-func (q *requestQueue) submit(now time.Duration, r *request) {
+// submit starts a request. Its done function is called at its deadline at the latest.
+func (q *requestQueue) submit(now time.Duration, req *request) {
 	q.sequence++
-	r.sequence, r.arrived = q.sequence, now
+	req.sequence, req.submittedAt = q.sequence, now
 	switch {
-	case now >= r.deadline:
-		r.done(outcome{err: errQueueTimeout})
+	case now >= req.deadline:
+		req.done(outcome{err: errQueueTimeout})
 		return
 	case q.len() >= maxRequests:
-		r.done(outcome{err: errOverloaded})
+		req.done(outcome{err: errOverloaded})
 		return
 	}
-	if q.nextDeadline == 0 || r.deadline < q.nextDeadline {
-		q.nextDeadline = r.deadline
+	if q.nextDeadline == 0 || req.deadline < q.nextDeadline {
+		q.nextDeadline = req.deadline
 	}
 	q.observeLeader(now)
-	q.dispatch(now, r)
+	q.dispatch(now, req)
 }
 
-// dispatch proposes a request, answers it, or queues it.
-func (q *requestQueue) dispatch(now time.Duration, r *request) {
-	err := q.propose(now, r)
+// dispatch proposes a request. If that fails, it queues or fails the request.
+func (q *requestQueue) dispatch(now time.Duration, req *request) {
+	err := q.propose(now, req)
 	var notLeader *notLeaderError
 	switch {
 	case err == nil:
-	case r.retryable && !errors.As(err, &notLeader) && now-q.leaderObservedAt < maxLeaderless:
-		q.queued = append(q.queued, r)
+	case req.retryable && !errors.As(err, &notLeader) && now-q.leaderObservedAt < leaderlessTimeout:
+		q.queued = append(q.queued, req)
 	default:
-		r.done(outcome{err: err})
+		req.done(outcome{err: err})
 	}
 }
 
-// propose passes a request to the consensus, if this member leads.
-func (q *requestQueue) propose(now time.Duration, r *request) error {
+// propose passes a request to the consensus. It returns an error if this member doesn't lead.
+func (q *requestQueue) propose(now time.Duration, req *request) error {
 	if !q.consensus.IsLeader() {
-		if leader := q.leaderContactedSince(r.arrived); leader != nil {
+		if leader := q.leaderContactedSince(req.submittedAt); leader != nil {
 			return &notLeaderError{leader}
 		}
 		return errNoLeader
 	}
-	if r.command == nil {
-		q.reads[r.sequence] = r
-		q.consensus.ReadIndex(now, r.sequence)
+	if req.command == nil {
+		q.reads[req.sequence] = req
+		q.consensus.ReadIndex(now, req.sequence)
 		return nil
 	}
 	if raft.Voters(q.consensus.Peers()) < q.minVoters() {
 		return errTooFewVoters
 	}
-	index, term, err := q.consensus.Propose(now, r.command)
+	index, term, err := q.consensus.Propose(now, req.command)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errNotProposed, err)
 	}
-	r.index, r.term = index, term
-	q.proposed[index] = r
+	req.index, req.term = index, term
+	q.proposed[index] = req
 	return nil
 }
 
-// leaderContactedSince returns the leader if a message of it has come at that time or later; nil: none has. A request
-// waits for the leader's next message before its sender is redirected: a leader that was in contact before may have
-// crashed since, and the sender would wait for it in vain, for a second if it has lost its power.
+// leaderContactedSince returns the leader if a message from it was received at that time or later, otherwise nil. A
+// request is redirected only after a message that is newer than the request: a leader contacted earlier may have
+// crashed since, and after a loss of power a redirected operator would wait a second for its call to time out.
 func (q *requestQueue) leaderContactedSince(at time.Duration) *wire.Peer {
 	id := q.consensus.LeaderContactedSince(at)
 	i := slices.IndexFunc(q.consensus.Peers(), func(p *wire.Peer) bool { return p.Id == id })
@@ -153,107 +153,109 @@
 	return q.consensus.Peers()[i]
 }
 
+// observeLeader updates leaderObservedAt if there was contact with a leader since.
 func (q *requestQueue) observeLeader(now time.Duration) {
 	if q.consensus.LeaderContactedSince(q.leaderObservedAt+1) != 0 {
 		q.leaderObservedAt = now
 	}
 }
 
-// tick takes the time, and what has changed in the consensus since the last call.
+// tick handles a loss of leadership and passed deadlines, and dispatches the queued requests again.
 func (q *requestQueue) tick(now time.Duration) {
 	q.observeLeader(now)
 	if q.len() == 0 {
 		return
 	}
 	if !q.consensus.IsLeader() {
-		q.abandonLeadership()
+		q.handleLeadershipLoss()
 	}
 	if now >= q.nextDeadline {
 		q.expire(now)
 	}
 	queued := q.queued
 	q.queued = nil
-	for _, r := range queued {
-		q.dispatch(now, r)
+	for _, req := range queued {
+		q.dispatch(now, req)
 	}
 }
 
-// abandonLeadership ends the wait for entries and reads of this member's leadership. What was proposed may still be
-// committed, also by another leader: a retryable request is redirected there, or proposed again here.
-func (q *requestQueue) abandonLeadership() {
+// handleLeadershipLoss requeues or fails all proposed commands and pending reads. The commands may still be committed,
+// also by another leader. A retryable request is later redirected to that leader, or proposed again here.
+func (q *requestQueue) handleLeadershipLoss() {
 	for _, index := range slices.Sorted(maps.Keys(q.proposed)) {
-		r := q.proposed[index]
+		req := q.proposed[index]
 		delete(q.proposed, index)
-		q.requeueOrFail(r, errLeadershipLost)
+		q.requeueOrFail(req, errLeadershipLost)
 	}
 	for _, token := range slices.Sorted(maps.Keys(q.reads)) {
-		r := q.reads[token]
+		req := q.reads[token]
 		delete(q.reads, token)
-		q.requeueOrFail(r, errLeadershipLost)
+		q.requeueOrFail(req, errLeadershipLost)
 	}
 }
 
-// requeueOrFail queues a retryable request again, and ends any other with an error.
-func (q *requestQueue) requeueOrFail(r *request, err error) {
-	if !r.retryable {
-		r.done(outcome{err: err})
+// requeueOrFail queues a retryable request again, and completes any other with err.
+func (q *requestQueue) requeueOrFail(req *request, err error) {
+	if !req.retryable {
+		req.done(outcome{err: err})
 		return
 	}
-	q.queued = append(q.queued, r)
+	q.queued = append(q.queued, req)
 }
 
-// expire ends the requests whose deadline has passed.
+// expire fails the requests whose deadline has passed, in order of submission, and recomputes nextDeadline.
 func (q *requestQueue) expire(now time.Duration) {
 	var expired []*request
 	q.nextDeadline = 0
-	keep := func(r *request) bool {
-		if now >= r.deadline {
-			expired = append(expired, r)
+	keep := func(req *request) bool {
+		if now >= req.deadline {
+			expired = append(expired, req)
 			return false
 		}
-		if q.nextDeadline == 0 || r.deadline < q.nextDeadline {
-			q.nextDeadline = r.deadline
+		if q.nextDeadline == 0 || req.deadline < q.nextDeadline {
+			q.nextDeadline = req.deadline
 		}
 		return true
 	}
-	q.queued = slices.DeleteFunc(q.queued, func(r *request) bool { return !keep(r) })
-	maps.DeleteFunc(q.proposed, func(_ uint64, r *request) bool { return !keep(r) })
-	maps.DeleteFunc(q.reads, func(_ uint64, r *request) bool { return !keep(r) })
+	q.queued = slices.DeleteFunc(q.queued, func(req *request) bool { return !keep(req) })
+	maps.DeleteFunc(q.proposed, func(_ uint64, req *request) bool { return !keep(req) })
+	maps.DeleteFunc(q.reads, func(_ uint64, req *request) bool { return !keep(req) })
 	slices.SortFunc(expired, func(a, b *request) int { return cmp.Compare(a.sequence, b.sequence) })
-	for _, r := range expired {
-		r.done(outcome{err: errTimeout})
+	for _, req := range expired {
+		req.done(outcome{err: errTimeout})
 	}
 }
 
-// applied ends the request whose entry has been applied, unless another entry is in its place.
-func (q *requestQueue) applied(e *wire.Entry, changed bool, verdict error) {
-	r := q.proposed[e.Index]
-	if r == nil {
+// completeCommand completes the request whose entry was applied with the error applyErr. If an entry of another term
+// has replaced it, the request is queued again or fails.
+func (q *requestQueue) completeCommand(entry *wire.Entry, changed bool, applyErr error) {
+	req := q.proposed[entry.Index]
+	if req == nil {
 		return
 	}
-	delete(q.proposed, e.Index)
+	delete(q.proposed, entry.Index)
 	switch {
-	case r.term != e.Term:
-		q.requeueOrFail(r, errEntryReplaced)
+	case req.term != entry.Term:
+		q.requeueOrFail(req, errEntryReplaced)
 	default:
-		r.done(outcome{err: verdict, unchanged: !changed})
+		req.done(outcome{err: applyErr, unchanged: !changed})
 	}
 }
 
-// confirmed takes the outcome of a read. One that was rejected although this member leads came before the leader's first
-// entry was committed, and is tried again.
-func (q *requestQueue) confirmed(read raft.ReadState) {
-	r := q.reads[read.Token]
-	if r == nil {
+// completeRead completes the read with a ReadState's token. A leader rejects reads until the first entry of its term is
+// committed, so a rejected retryable read is queued again.
+func (q *requestQueue) completeRead(read raft.ReadState) {
+	req := q.reads[read.Token]
+	if req == nil {
 		return
 	}
 	delete(q.reads, read.Token)
 	if read.OK {
-		r.done(outcome{})
+		req.done(outcome{})
 		return
 	}
-	q.requeueOrFail(r, errLeadershipLost)
+	q.requeueOrFail(req, errLeadershipLost)
 }
 
-// next is the time at which the queue wants a tick; ok is false if nothing waits.
-func (q *requestQueue) next() (at time.Duration, ok bool) { return q.nextDeadline, q.len() > 0 }
+// nextTick returns the time of the next required tick; ok is false if no request is in progress.
+func (q *requestQueue) nextTick() (at time.Duration, ok bool) { return q.nextDeadline, q.len() > 0 }
--- a/internal/controlplane/server/request_queue_calls.go
+++ b/internal/controlplane/server/request_queue_calls.go
@@ -18,7 +18,7 @@
 	return srv.awaitOutcome(ctx, &request{command: data})
 }
 
-// readState waits until all that was acknowledged before the call is applied here, and runs read in the loop.
+// readState waits until everything acknowledged before the call is applied here, and then runs read in the loop.
 func (srv *Server) readState(ctx context.Context, read func()) error {
 	return srv.awaitOutcome(ctx, &request{done: func(o outcome) {
 		if o.err == nil {
@@ -27,20 +27,20 @@
 	}})
 }
 
-// awaitOutcome submits a request and waits for its outcome.
-func (srv *Server) awaitOutcome(ctx context.Context, r *request) error {
+// awaitOutcome submits a request and waits up to operatorTimeout for its outcome.
+func (srv *Server) awaitOutcome(ctx context.Context, req *request) error {
 	outcomes := make(chan outcome, 1)
-	done := r.done
-	r.done = func(o outcome) {
+	done := req.done
+	req.done = func(o outcome) {
 		if done != nil {
 			done(o)
 		}
 		outcomes <- o
 	}
-	r.deadline = srv.now() + operatorTimeout
+	req.deadline = srv.now() + operatorTimeout
 	timeout := time.NewTimer(operatorTimeout)
 	defer timeout.Stop()
-	if !srv.runInLoopUntil(ctx, timeout.C, func() { srv.requests.submit(srv.now(), r) }) {
+	if !srv.runInLoopUntil(ctx, timeout.C, func() { srv.requests.submit(srv.now(), req) }) {
 		return errQueueTimeout
 	}
 	select {
@@ -51,6 +51,6 @@
 	case <-srv.ctx.Done():
 		return srv.ctx.Err()
 	case <-timeout.C:
-		return errTimeout // it may still be applied
+		return errTimeout // the command may still be applied
 	}
 }
--- a/internal/controlplane/server/rpc_nodes.go
+++ b/internal/controlplane/server/rpc_nodes.go
@@ -9,7 +9,7 @@
 
 var errConfigFromNode = errors.New("configurations are accepted from operators only")
 
-// handlePropose commits a node's change of the registry of servers.
+// handlePropose commits a node's change to the server registry, or returns the leader's address.
 func (srv *Server) handlePropose(ctx context.Context, p *wire.ProposeRequest) (*wire.ProposeResponse, error) {
 	if p.GetCommand().GetConfig() != nil {
 		return nil, errConfigFromNode
@@ -24,7 +24,7 @@
 	return &wire.ProposeResponse{Committed: true}, nil
 }
 
-// handleLatest answers the index of the latest update, as a majority of the quorum has it.
+// handleLatest returns the index of the latest update after a linearizable read, or the leader's address.
 func (srv *Server) handleLatest(ctx context.Context, _ *wire.Empty) (*wire.LatestResponse, error) {
 	if l := srv.currentLeader(ctx); !l.isSelf {
 		return &wire.LatestResponse{Leader: l.leader.GetAddress()}, nil
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	// operatorTimeout bounds an answer to operators, who go on to another member after a second.
+	// operatorTimeout bounds the response time to operators, who retry at another member after one second.
 	operatorTimeout = 900 * time.Millisecond
-	// maxQueuedEvents bounds what waits for the loop; further callers wait in turn.
+	// maxQueuedEvents is the capacity of the loop's event queue. Callers block while it is full.
 	maxQueuedEvents = 1024
 
-	// The limits of the operator's HTTP interface.
+	// Limits of the operators' HTTP interface.
 	httpHeaderTimeout   = 3 * time.Second
 	httpBodyTimeout     = 10 * time.Second
 	httpIdleTimeout     = 30 * time.Second
@@ -39,37 +39,37 @@
 	httpShutdownTimeout = 500 * time.Millisecond
 )
 
-// Server is a quorum member's process. The embedded replica belongs to the goroutine of loop; all else is safe for
+// Server is a quorum member. Only the goroutine of loop may access the embedded replica; all other fields are safe for
 // concurrent use.
 type Server struct {
 	settings  atomic.Pointer[nodefile.Settings]
 	log       *slog.Logger
-	startedAt time.Time // the zero of all times of the consensus
+	startedAt time.Time // origin of all times passed to the consensus
 	ctx       context.Context
-	workers   sync.WaitGroup // all goroutines of the server but that of loop
+	workers   sync.WaitGroup // all goroutines of the server except that of loop
 
-	events chan func() // run by loop, in order
+	events chan func() // run by loop in order
 	replica
 
-	// Cluster.
+	// Communication with other processes.
 	pool   *rpc.Pool
 	gossip *gossip.Gossip
 	hub    *relay.Hub // the root of the distribution tree
 
-	// What other goroutines may read of the replica's state.
-	config    atomic.Pointer[catalog.Current] // the configuration that was applied last
-	contactAt atomic.Int64                    // when a quorum last confirmed the state here, in ns since startedAt
+	// Copies of the replica's state for other goroutines.
+	config    atomic.Pointer[catalog.Current] // the last applied configuration
+	contactAt atomic.Int64                    // last confirmation of this member's state by a quorum, in ns since startedAt
 
-	// Operators.
-	replaceSlots  chan struct{} // has an element for each change that a call holds in memory
-	rejectedCalls atomic.Int64  // calls without a proper identity
-	metrics       *metrics.Set  // nil: not served
+	// Operators' requests.
+	replaceSlots  chan struct{} // semaphore of configurations being read and parsed
+	rejectedCalls atomic.Int64  // calls rejected because of their identity
+	metrics       *metrics.Set  // nil if metrics are disabled
 
 	snapshotReceiver
 }
 
-// Run runs a quorum member until stop ends. It returns soon after that: a leader transfers its leadership first, see
-// loop.
+// Run runs a quorum member until stop is cancelled. It then shuts down gracefully as described at loop, which includes
+// a transfer of the leadership.
 func Run(stop context.Context, settings *nodefile.Settings, reload func() *nodefile.Settings, log *slog.Logger) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
@@ -83,8 +83,8 @@
 		return err
 	}
 	operatorServer := srv.serve(listeners)
-	srv.workers.Go(func() { srv.followSettings(reload) })
-	log.Info("control.started", "node", settings.Node, "identity", identityText(srv.store.ID), "entries", srv.consensus.Backlog(),
+	srv.workers.Go(func() { srv.watchSettings(reload) })
+	log.Info("control.started", "node", settings.Node, "identity", formatIdentity(srv.store.ID), "entries", srv.consensus.Backlog(),
 		"empty", srv.store.Fresh)
 	srv.loop(stop.Done())
 	cancel()
@@ -107,15 +107,15 @@
 	if st.Damaged != nil {
 		log.Error("store.damaged", "err", st.Damaged, "moved_to", "log.damaged, beside the new folder")
 	}
-	secured := rpc.PoolOptions{Identity: source}
+	poolOptions := rpc.PoolOptions{Identity: source}
 	srv := &Server{
 		log:          log,
 		startedAt:    time.Now(),
 		ctx:          ctx,
 		events:       make(chan func(), maxQueuedEvents),
-		replaceSlots: make(chan struct{}, maxReplacing),
-		pool:         rpc.NewPool(ctx, secured),
-		replica:      newReplica(st, rpc.NewPool(ctx, secured)),
+		replaceSlots: make(chan struct{}, maxConcurrentReplaces),
+		pool:         rpc.NewPool(ctx, poolOptions),
+		replica:      newReplica(st, rpc.NewPool(ctx, poolOptions)),
 	}
 	srv.settings.Store(settings)
 	srv.contactAt.Store(-int64(raft.MaxContactAge))
@@ -132,23 +132,23 @@
 	return srv, nil
 }
 
-// listeners are the server's ports.
+// listeners holds the server's open ports.
 type listeners struct {
-	internal net.Listener // of the other processes of the mesh
-	operator net.Listener
+	internal net.Listener // RPC from nodes and other quorum members
+	operator net.Listener // HTTP from operators
 }
 
-// listen opens both ports, or none.
+// listen opens both ports. If one fails, it leaves none open.
 func (srv *Server) listen() (listeners, error) {
 	settings := srv.settings.Load()
 	internal, err := net.Listen("tcp", settings.Internal())
 	if err != nil {
-		return listeners{}, fmt.Errorf("listening to nodes: %w", err)
+		return listeners{}, fmt.Errorf("listen on the internal port: %w", err)
 	}
 	operator, err := net.Listen("tcp", settings.Control)
 	if err != nil {
 		internal.Close()
-		return listeners{}, fmt.Errorf("listening to operators: %w", err)
+		return listeners{}, fmt.Errorf("listen on the operators' port: %w", err)
 	}
 	if settings.SecureOperator {
 		operator = tls.NewListener(operator, srv.pool.Identity().Server())
@@ -156,8 +156,8 @@
 	return listeners{internal, operator}, nil
 }
 
-// serve starts the goroutines that answer others, and returns the operators' HTTP server.
-func (srv *Server) serve(l listeners) *http.Server {
+// serve starts the RPC, HTTP, metrics and gossip goroutines, and returns the operators' HTTP server.
+func (srv *Server) serve(listeners listeners) *http.Server {
 	settings := srv.settings.Load()
 	rpcServer := srv.newRPCServer()
 	operatorServer := srv.newOperatorServer()
@@ -166,25 +166,25 @@
 		secure := program.Secure(srv.pool.Identity(), settings.SecureMetrics)
 		srv.workers.Go(func() { srv.metrics.Serve(srv.ctx, settings.Metrics, secure, srv.log) })
 	}
-	srv.workers.Go(func() { rpcServer.Serve(srv.ctx, l.internal) })
-	srv.workers.Go(func() { operatorServer.Serve(l.operator) }) // it returns an error once it is closed
+	srv.workers.Go(func() { rpcServer.Serve(srv.ctx, listeners.internal) })
+	srv.workers.Go(func() { operatorServer.Serve(listeners.operator) }) // returns ErrServerClosed after a shutdown
 	srv.workers.Go(func() { srv.gossip.Run(srv.ctx) })
 	srv.membership.run(srv.ctx)
 	return operatorServer
 }
 
-// newRPCServer registers the methods that other processes call. Their names are frozen: see the proto files.
+// newRPCServer registers the RPC methods. Their names are part of the wire protocol: see the proto files.
 func (srv *Server) newRPCServer() *rpc.Server {
-	s := rpc.NewServer(rpc.ServerOptions{Log: srv.log, Identity: srv.pool.Identity(), Rejected: &srv.rejectedCalls})
-	srv.gossip.Register(s)
-	s.Handle("raft", srv.raftStream, identity.QuorumMember)
-	s.Handle("snapshot", srv.snapshotStream, identity.QuorumMember)
-	s.Handle("join", rpc.Unary(srv.membership.handleJoin), identity.QuorumMember)
-	s.Handle("leave", rpc.Unary(srv.membership.handleLeave), identity.QuorumMember)
-	s.Handle("propose", rpc.Unary(srv.handlePropose))
-	s.Handle("latest", rpc.Unary(srv.handleLatest))
-	s.Handle("subscribe", srv.hub.Serve)
-	return s
+	rpcServer := rpc.NewServer(rpc.ServerOptions{Log: srv.log, Identity: srv.pool.Identity(), Rejected: &srv.rejectedCalls})
+	srv.gossip.Register(rpcServer)
+	rpcServer.Handle("raft", srv.raftStream, identity.QuorumMember)
+	rpcServer.Handle("snapshot", srv.snapshotStream, identity.QuorumMember)
+	rpcServer.Handle("join", rpc.Unary(srv.membership.handleJoin), identity.QuorumMember)
+	rpcServer.Handle("leave", rpc.Unary(srv.membership.handleLeave), identity.QuorumMember)
+	rpcServer.Handle("propose", rpc.Unary(srv.handlePropose))
+	rpcServer.Handle("latest", rpc.Unary(srv.handleLatest))
+	rpcServer.Handle("subscribe", srv.hub.Serve)
+	return rpcServer
 }
 
 func (srv *Server) newOperatorServer() *http.Server {
@@ -199,23 +199,24 @@
 	}
 }
 
-// closeOperatorServer lets the calls in progress end, for a moment.
+// closeOperatorServer waits up to httpShutdownTimeout for calls in progress, and then closes their connections.
 func (srv *Server) closeOperatorServer(s *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
-	s.Shutdown(ctx) // an error says that calls are still in progress: Close ends them
+	s.Shutdown(ctx) // on an error, calls are still in progress, and Close ends them
 	s.Close()
 }
 
-// followSettings takes settings as they change. reload blocks until then, and returns nil once the program ends.
-func (srv *Server) followSettings(reload func() *nodefile.Settings) {
+// watchSettings stores each new version of the settings. reload blocks until they change, and returns nil once the
+// program ends.
+func (srv *Server) watchSettings(reload func() *nodefile.Settings) {
 	for s := reload(); s != nil; s = reload() {
 		srv.settings.Store(s)
 	}
 }
 
-// now is the time of the consensus: a duration since the process started.
+// now returns the consensus time: the duration since startedAt.
 func (srv *Server) now() time.Duration { return time.Since(srv.startedAt) }
 
-// identityText is a member's identity as logs, operators and tools write it.
-func identityText(id uint64) string { return fmt.Sprintf("%016x", id) }
+// formatIdentity formats a member's identity for logs, operators and tools.
+func formatIdentity(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -8,32 +8,32 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestCallsEndWithServer: a call that waits for the loop returns when the server ends without having run it. One that
-// did not kept the process from ending, until the platform killed it.
+// TestCallsEndWithServer checks that calls waiting for the loop return when the server stops. A call that doesn't
+// return keeps the process from exiting.
 func TestCallsEndWithServer(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &Server{events: make(chan func(), 64), ctx: ctx} // nobody reads the events
-	n.membership = &membershipDriver{server: n, joinQueue: make(chan string)}
-	for name, ask := range map[string]func(){
-		"leaving": func() { n.membership.awaitLeave(ctx) },
-		"leader":  func() { n.currentLeader(ctx) },
-		"status":  func() { n.currentStatus(ctx) },
-		"change":  func() { n.applyCommand(ctx, nil) },
-		"read":    func() { n.readState(ctx, func() {}) },
-		"join":    func() { n.membership.handleJoin(ctx, &wire.JoinRequest{Peer: &wire.Peer{Id: 1, Address: "a"}}) },
-		"asking":  func() { n.membership.run(ctx); n.workers.Wait() },
+	srv := &Server{events: make(chan func(), 64), ctx: ctx} // no loop consumes the events
+	srv.membership = &membershipDriver{server: srv, joinQueue: make(chan string)}
+	for name, call := range map[string]func(){
+		"awaitLeave":           func() { srv.membership.awaitLeave(ctx) },
+		"currentLeader":        func() { srv.currentLeader(ctx) },
+		"currentStatus":        func() { srv.currentStatus(ctx) },
+		"applyCommand":         func() { srv.applyCommand(ctx, nil) },
+		"readState":            func() { srv.readState(ctx, func() {}) },
+		"handleJoin":           func() { srv.membership.handleJoin(ctx, &wire.JoinRequest{Peer: &wire.Peer{Id: 1, Address: "a"}}) },
+		"membershipDriver.run": func() { srv.membership.run(ctx); srv.workers.Wait() },
 	} {
 		done := make(chan struct{})
-		go func() { defer close(done); ask() }()
+		go func() { defer close(done); call() }()
 		defer func() {
 			select {
 			case <-done:
 			case <-time.After(20 * time.Second):
-				t.Errorf("%s waits for good", name)
+				t.Errorf("%s did not return within 20 s", name)
 			}
 		}()
 	}
-	for len(n.events) < 4 { // the questions are there
+	for len(srv.events) < 4 { // wait until four calls are queued
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
--- a/internal/controlplane/server/snapshot_receive.go
+++ b/internal/controlplane/server/snapshot_receive.go
@@ -12,58 +12,58 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// snapshotReceiver lets one snapshot at a time come in.
+// snapshotReceiver limits incoming snapshots to one at a time.
 type snapshotReceiver struct {
-	receivingFrom atomic.Pointer[rpc.Stream] // the newest stream
-	receiveMu     sync.Mutex                 // held by the goroutine that receives
+	receivingFrom atomic.Pointer[rpc.Stream] // the most recent stream
+	receiveMu     sync.Mutex                 // held while a snapshot is received
 }
 
-// receivedSnapshot is a snapshot that is complete on disk, with its state decoded, and is to be installed.
+// receivedSnapshot is a snapshot that is complete on disk and decoded, but not yet installed.
 type receivedSnapshot struct {
 	snapshot *wire.RaftSnapshot
 	staged   *store.StagedSnapshot
 	catalog  *catalog.Catalog
 }
 
-// snapshotStream receives a leader's snapshot and installs it. A member receives one at a time: a new stream ends the one
-// before, which may be of a leader that is partitioned.
-func (srv *Server) snapshotStream(s *rpc.Stream) error {
+// snapshotStream receives a leader's snapshot and installs it. A new stream closes the previous one, whose leader may
+// be partitioned.
+func (srv *Server) snapshotStream(stream *rpc.Stream) error {
 	offer := new(wire.SnapshotOffer)
-	if err := s.Recv(offer); err != nil {
+	if err := stream.Recv(offer); err != nil {
 		return err
 	}
-	if before := srv.receivingFrom.Swap(s); before != nil {
-		before.Close()
+	if previous := srv.receivingFrom.Swap(stream); previous != nil {
+		previous.Close()
 	}
-	defer srv.receivingFrom.CompareAndSwap(s, nil)
+	defer srv.receivingFrom.CompareAndSwap(stream, nil)
 	srv.receiveMu.Lock()
 	defer srv.receiveMu.Unlock()
-	if srv.receivingFrom.Load() != s {
+	if srv.receivingFrom.Load() != stream {
 		return errSuperseded
 	}
 	finished := &wire.SnapshotStatus{Offset: offer.Size, Finished: true}
-	switch err := errorInLoop(srv.ctx, srv, func() error { return srv.checkOffer(offer) }); {
+	switch err := callErrInLoop(srv.ctx, srv, func() error { return srv.checkOffer(offer) }); {
 	case errors.Is(err, errNotNeeded):
-		return s.Send(finished)
+		return stream.Send(finished)
 	case err != nil:
 		return err
 	}
-	began := time.Now()
-	r, err := receiveChunks(s, offer, srv.store, func(offset uint64) {
+	start := time.Now()
+	received, err := receiveChunks(stream, offer, srv.store, func(offset uint64) {
 		srv.log.Info("snapshot.receive_started", "index", offer.Snapshot.GetIndex(), "bytes", offer.Size, "offset", offset)
 	})
 	if err != nil {
 		return err
 	}
-	if err := errorInLoop(srv.ctx, srv, func() error { return srv.install(r) }); err != nil {
+	if err := callErrInLoop(srv.ctx, srv, func() error { return srv.install(received) }); err != nil {
 		return err
 	}
-	srv.log.Info("snapshot.installed", "index", offer.Snapshot.GetIndex(), "bytes", offer.Size, "duration_ms", time.Since(began).Milliseconds())
-	return s.Send(finished)
+	srv.log.Info("snapshot.installed", "index", offer.Snapshot.GetIndex(), "bytes", offer.Size, "duration_ms", time.Since(start).Milliseconds())
+	return stream.Send(finished)
 }
 
-// checkOffer returns errNotNeeded for a snapshot that is not ahead of the state here, and another error for one that is
-// not to be taken from this sender.
+// checkOffer returns errNotNeeded for a snapshot at or below the commit index, and another error for one that is
+// addressed to another member or comes from a leader of an earlier term.
 func (srv *Server) checkOffer(offer *wire.SnapshotOffer) error {
 	switch {
 	case offer.To != srv.store.ID:
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// receiveChunks writes the chunks of an offered snapshot to the folder as they come, acknowledges each, and decodes the
-// state once it is complete. started is called with the offset of a transfer that is resumed.
+// receiveChunks writes the chunks of an offered snapshot to the store, acknowledges each, and decodes the state when
+// all are received. It calls started with the offset from which it resumes an earlier transfer.
 func receiveChunks(stream messageStream, offer *wire.SnapshotOffer, st *store.Store, started func(offset uint64)) (*receivedSnapshot, error) {
 	incoming, err := st.Receive(offer.Snapshot.GetIndex(), offer.Size, offer.Checksum)
 	if err != nil {
@@ -104,40 +104,40 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &receivedSnapshot{snapshot: offer.Snapshot, staged: staged}
-	r.snapshot.Data = staged.Data
-	if r.catalog, err = catalog.Decode(staged.Data); err != nil {
+	received := &receivedSnapshot{snapshot: offer.Snapshot, staged: staged}
+	received.snapshot.Data = staged.Data
+	if received.catalog, err = catalog.Decode(staged.Data); err != nil {
 		staged.Discard()
 		return nil, err
 	}
-	return r, nil
+	return received, nil
 }
 
-// install passes a snapshot to the consensus, and carries out what that asks for: save puts the snapshot in force.
-func (srv *Server) install(r *receivedSnapshot) error {
-	srv.installing = r
-	srv.consensus.InstallSnapshot(srv.now(), r.snapshot)
+// install passes a snapshot to the consensus and processes the resulting Ready, in which save installs the snapshot.
+func (srv *Server) install(received *receivedSnapshot) error {
+	srv.installing = received
+	srv.consensus.InstallSnapshot(srv.now(), received.snapshot)
 	srv.flush()
-	if srv.installing != nil { // the log has passed it meanwhile
+	if srv.installing != nil { // not installed: the log has already passed its index
 		srv.installing = nil
-		r.staged.Discard()
+		received.staged.Discard()
 	}
 	return srv.ctx.Err()
 }
 
-// restoreState replaces the state by that of a snapshot that is on disk.
-func (srv *Server) restoreState(s *wire.RaftSnapshot) error {
-	if r := srv.installing; r != nil && r.snapshot == s {
-		srv.catalog, srv.installing = r.catalog, nil
+// restoreState replaces the state by that of a snapshot, which is already decoded if it is the one being installed.
+func (srv *Server) restoreState(snapshot *wire.RaftSnapshot) error {
+	if received := srv.installing; received != nil && received.snapshot == snapshot {
+		srv.catalog, srv.installing = received.catalog, nil
 		return nil
 	}
-	return srv.catalog.Restore(s.Data)
+	return srv.catalog.Restore(snapshot.Data)
 }
 
-// stagedFor returns the data of a snapshot if it is on disk already; nil: it is not.
-func (srv *Server) stagedFor(s *wire.RaftSnapshot) *store.StagedSnapshot {
-	if r := srv.installing; s != nil && r != nil && r.snapshot == s {
-		return r.staged
+// stagedSnapshot returns the staged data of the snapshot being installed, or nil for any other snapshot.
+func (srv *Server) stagedSnapshot(snapshot *wire.RaftSnapshot) *store.StagedSnapshot {
+	if received := srv.installing; snapshot != nil && received != nil && received.snapshot == snapshot {
+		return received.staged
 	}
 	return nil
 }
--- a/internal/controlplane/server/snapshot_send.go
+++ b/internal/controlplane/server/snapshot_send.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	maxTransfers      = 2                      // snapshots that are sent at a time
-	chunkBytes        = 64 << 10               // bytes of a snapshot in one message
-	maxUnacknowledged = 256 << 10              // bytes in flight
-	progressInterval  = 200 * time.Millisecond // between two reports to the consensus
-	transferTimeout   = 5 * time.Minute        // for a whole snapshot
+	maxTransfers      = 2                      // concurrent outgoing transfers
+	chunkBytes        = 64 << 10               // size of a chunk message
+	maxUnacknowledged = 256 << 10              // bytes in flight to a receiver
+	progressInterval  = 200 * time.Millisecond // between two progress reports to the consensus
+	transferTimeout   = 5 * time.Minute        // for a whole transfer
 )
 
 var (
@@ -28,53 +28,54 @@
 	errSuperseded    = errors.New("another snapshot has replaced this one")
 )
 
-// messageStream is a bidirectional stream of messages: an rpc.Stream, or a test's.
+// messageStream is the part of rpc.Stream that transfers use. Tests substitute it.
 type messageStream interface {
 	Send(proto.Message) error
 	Recv(proto.Message) error
 }
 
-// transfer is a snapshot that is being sent to a member.
+// transfer is an outgoing snapshot transfer in progress.
 type transfer struct {
 	snapshot *wire.RaftSnapshot
 	cancel   context.CancelFunc
 }
 
-// startTransfer carries an INSTALL_SNAPSHOT message of the consensus out, on a connection of its own so that heartbeats do
-// not queue behind the data. The same snapshot's transfer, if it is in progress, goes on.
-func (srv *Server) startTransfer(m *wire.RaftMessage, address string) {
-	if running := srv.transfers[m.To]; running != nil {
-		if running.snapshot == m.Snapshot {
+// startTransfer sends the snapshot of an INSTALL_SNAPSHOT message over a separate connection, so that the data does not
+// delay heartbeats. It does nothing if a transfer of the same snapshot to that member is in progress, and cancels the
+// transfer of another snapshot.
+func (srv *Server) startTransfer(message *wire.RaftMessage, address string) {
+	if running := srv.transfers[message.To]; running != nil {
+		if running.snapshot == message.Snapshot {
 			return
 		}
 		running.cancel()
-		delete(srv.transfers, m.To)
+		delete(srv.transfers, message.To)
 	}
 	if len(srv.transfers) >= maxTransfers {
-		srv.consensus.ReportSnapshot(srv.now(), m.To, m.Snapshot.Index, raft.SnapshotFailed)
+		srv.consensus.ReportSnapshot(srv.now(), message.To, message.Snapshot.Index, raft.SnapshotFailed)
 		return
 	}
 	ctx, cancel := context.WithTimeout(srv.ctx, transferTimeout)
-	t := &transfer{m.Snapshot, cancel}
-	srv.transfers[m.To] = t
-	offer := offerOf(m)
+	outgoing := &transfer{message.Snapshot, cancel}
+	srv.transfers[message.To] = outgoing
+	offer := newOffer(message)
 	srv.workers.Go(func() {
 		defer cancel()
-		began := time.Now()
-		srv.log.Info("snapshot.send_started", "to", address, "index", t.snapshot.Index, "bytes", len(t.snapshot.Data))
-		sent, err := srv.transfer(ctx, address, offer, t)
+		start := time.Now()
+		srv.log.Info("snapshot.send_started", "to", address, "index", outgoing.snapshot.Index, "bytes", len(outgoing.snapshot.Data))
+		sent, err := srv.sendSnapshot(ctx, address, offer, outgoing)
 		if err != nil {
-			srv.log.Warn("snapshot.send_failed", "to", address, "index", t.snapshot.Index, "sent_bytes", sent, "duration_ms", time.Since(began).Milliseconds(), "err", err)
+			srv.log.Warn("snapshot.send_failed", "to", address, "index", outgoing.snapshot.Index, "sent_bytes", sent, "duration_ms", time.Since(start).Milliseconds(), "err", err)
 		} else {
-			srv.log.Info("snapshot.sent", "to", address, "index", t.snapshot.Index, "sent_bytes", sent, "duration_ms", time.Since(began).Milliseconds())
+			srv.log.Info("snapshot.sent", "to", address, "index", outgoing.snapshot.Index, "sent_bytes", sent, "duration_ms", time.Since(start).Milliseconds())
 		}
-		srv.runInLoop(func() { srv.endTransfer(m.To, t, err) })
+		srv.runInLoop(func() { srv.endTransfer(message.To, outgoing, err) })
 	})
 }
 
 // endTransfer reports the end of a transfer to the consensus.
-func (srv *Server) endTransfer(to uint64, t *transfer, err error) {
-	if srv.transfers[to] != t { // it was replaced by a newer one
+func (srv *Server) endTransfer(to uint64, outgoing *transfer, err error) {
+	if srv.transfers[to] != outgoing { // replaced by a newer transfer
 		return
 	}
 	delete(srv.transfers, to)
@@ -82,37 +83,39 @@
 	if err != nil {
 		event = raft.SnapshotFailed
 	}
-	srv.consensus.ReportSnapshot(srv.now(), to, t.snapshot.Index, event)
+	srv.consensus.ReportSnapshot(srv.now(), to, outgoing.snapshot.Index, event)
 }
 
-// transfer sends a snapshot over a new stream.
-func (srv *Server) transfer(ctx context.Context, address string, offer *wire.SnapshotOffer, t *transfer) (sent int, err error) {
-	offer.Checksum = store.Checksum(t.snapshot.Data)
+// sendSnapshot sends a snapshot over a new stream, and returns the number of data bytes sent.
+func (srv *Server) sendSnapshot(ctx context.Context, address string, offer *wire.SnapshotOffer, outgoing *transfer) (sent int, err error) {
+	offer.Checksum = store.Checksum(outgoing.snapshot.Data)
 	stream, err := srv.snapshotPool.Open(ctx, address, "snapshot", offer)
 	if err != nil {
 		return 0, err
 	}
 	defer stream.Close()
-	var reported time.Time
-	return sendChunks(stream, t.snapshot.Data, func() {
-		if time.Since(reported) < progressInterval {
+	var reportedAt time.Time
+	return sendChunks(stream, outgoing.snapshot.Data, func() {
+		if time.Since(reportedAt) < progressInterval {
 			return
 		}
-		reported = time.Now()
-		srv.runInLoop(func() { srv.consensus.ReportSnapshot(srv.now(), offer.To, t.snapshot.Index, raft.SnapshotProgress) })
+		reportedAt = time.Now()
+		srv.runInLoop(func() {
+			srv.consensus.ReportSnapshot(srv.now(), offer.To, outgoing.snapshot.Index, raft.SnapshotProgress)
+		})
 	})
 }
 
-// offerOf describes the snapshot of a message, without its data.
-func offerOf(m *wire.RaftMessage) *wire.SnapshotOffer {
+// newOffer returns the offer of a message's snapshot, without the data and its checksum.
+func newOffer(message *wire.RaftMessage) *wire.SnapshotOffer {
 	return &wire.SnapshotOffer{
-		From: m.From, To: m.To, Term: m.Term, Size: uint64(len(m.Snapshot.Data)),
-		Snapshot: &wire.RaftSnapshot{Term: m.Snapshot.Term, Index: m.Snapshot.Index, Peers: m.Snapshot.Peers},
+		From: message.From, To: message.To, Term: message.Term, Size: uint64(len(message.Snapshot.Data)),
+		Snapshot: &wire.RaftSnapshot{Term: message.Snapshot.Term, Index: message.Snapshot.Index, Peers: message.Snapshot.Peers},
 	}
 }
 
-// sendChunks sends a snapshot's data after an offer, from the receiver's offset on, and returns how many bytes it sent. The
-// receiver's answers are the flow control.
+// sendChunks sends a snapshot's data from the receiver's offset on, and returns the number of bytes sent. The
+// receiver's status messages acknowledge chunks, and at most maxUnacknowledged bytes are in flight.
 func sendChunks(stream messageStream, data []byte, progress func()) (sent int, err error) {
 	status := new(wire.SnapshotStatus)
 	if err := stream.Recv(status); err != nil {
@@ -121,7 +124,7 @@
 	next := status.Offset
 	for !status.Finished {
 		if status.Offset > next || next > uint64(len(data)) {
-			return sent, fmt.Errorf("the receiver has %d bytes of %d, and %d were sent", status.Offset, len(data), next)
+			return sent, fmt.Errorf("snapshot receiver reported offset %d; the snapshot has %d bytes, and the next offset to send is %d", status.Offset, len(data), next)
 		}
 		for next < uint64(len(data)) && next-status.Offset < maxUnacknowledged {
 			chunk := data[next:min(next+chunkBytes, uint64(len(data)))]
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -15,40 +15,41 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// pipe is one end of a stream that breaks after so many messages from here.
+// pipe is one end of an in-memory messageStream that breaks after a number of sent messages.
 type pipe struct {
-	out, in chan proto.Message
-	broken  chan struct{} // shared
-	left    int           // below 0: it holds
+	outgoing, incoming chan proto.Message
+	broken             chan struct{} // closed when the stream breaks; shared by both ends
+	sendsLeft          int           // messages before the break; negative for no limit
 }
 
-func newPipe(left int) (a, b *pipe) {
+// newPipe returns both ends of a stream that breaks after maxSends messages from a.
+func newPipe(maxSends int) (a, b *pipe) {
 	ab, ba, broken := make(chan proto.Message, 64), make(chan proto.Message, 64), make(chan struct{})
-	return &pipe{out: ab, in: ba, broken: broken, left: left}, &pipe{out: ba, in: ab, broken: broken, left: -1}
+	return &pipe{outgoing: ab, incoming: ba, broken: broken, sendsLeft: maxSends}, &pipe{outgoing: ba, incoming: ab, broken: broken, sendsLeft: -1}
 }
 
-// Send implements messages.
+// Send implements messageStream.
 func (p *pipe) Send(m proto.Message) error {
-	if p.left == 0 {
+	if p.sendsLeft == 0 {
 		close(p.broken)
 	}
-	p.left--
+	p.sendsLeft--
 	select {
 	case <-p.broken:
 		return io.ErrClosedPipe
-	case p.out <- m:
+	case p.outgoing <- m:
 		return nil
 	}
 }
 
-// Recv implements messages. What came before the break is still read.
+// Recv implements messageStream. It still returns messages that were sent before the break.
 func (p *pipe) Recv(m proto.Message) error {
 	var got proto.Message
 	select {
-	case got = <-p.in:
+	case got = <-p.incoming:
 	default:
 		select {
-		case got = <-p.in:
+		case got = <-p.incoming:
 		case <-p.broken:
 			return io.ErrClosedPipe
 		}
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// stateOf is a state of so many servers, as a snapshot's data.
-func stateOf(t testing.TB, servers int) []byte {
+// encodeState returns the snapshot data of a state with a number of servers.
+func encodeState(t testing.TB, servers int) []byte {
 	t.Helper()
 	c := catalog.New()
 	for i := range servers {
@@ -84,16 +85,17 @@
 	return s
 }
 
-// transferOnce sends a snapshot over a stream that breaks after so many pieces, and returns what was sent and received.
-func transferOnce(st *store.Store, offer *wire.SnapshotOffer, data []byte, pieces int) (sent int, r *receivedSnapshot, err error) {
-	sender, receiver := newPipe(pieces)
+// transferOnce sends a snapshot over a stream that breaks after maxSends chunks. It returns the number of bytes sent
+// and the received snapshot.
+func transferOnce(st *store.Store, offer *wire.SnapshotOffer, data []byte, maxSends int) (sent int, r *receivedSnapshot, err error) {
+	sender, receiver := newPipe(maxSends)
 	done := make(chan error, 1)
 	go func() {
 		var err error
 		if r, err = receiveChunks(receiver, proto.CloneOf(offer), st, func(uint64) {}); err == nil {
 			err = receiver.Send(&wire.SnapshotStatus{Offset: offer.Size, Finished: true})
 		}
-		if err != nil && pieces < 0 {
+		if err != nil && maxSends < 0 {
 			close(receiver.broken)
 		}
 		done <- err
@@ -102,29 +104,29 @@
 	return sent, r, errors.Join(err, <-done)
 }
 
-// TestSnapshotTransferResumes: a stream that breaks after any piece, and a receiver that is started again, go on with what has
-// come; nothing counts before all is there.
+// TestSnapshotTransferResumes checks that a transfer resumes after a broken stream and a restart of the receiver, and
+// that a partial snapshot is never loaded.
 func TestSnapshotTransferResumes(t *testing.T) {
-	data := stateOf(t, 12000)
+	data := encodeState(t, 12000)
 	offer := &wire.SnapshotOffer{Snapshot: &wire.RaftSnapshot{Term: 2, Index: 900}, Size: uint64(len(data)), Checksum: store.Checksum(data)}
 	dir := t.TempDir()
-	total, tries := 0, 0
+	total, attempts := 0, 0
 	for {
-		if tries++; tries > 100 {
-			t.Fatal("it never comes to an end")
+		if attempts++; attempts > 100 {
+			t.Fatal("the transfer did not complete in 100 attempts")
 		}
 		st := openStore(t, dir)
 		if st.Snapshot != nil {
-			t.Fatal("a part of a snapshot is in force")
+			t.Fatal("the store loaded a partial snapshot")
 		}
-		sent, r, err := transferOnce(st, offer, data, tries%3)
+		sent, r, err := transferOnce(st, offer, data, attempts%3)
 		total += sent
 		if err != nil {
 			st.Close()
 			continue
 		}
 		if !bytes.Equal(r.snapshot.Data, data) || len(r.catalog.Servers()) != 12000 {
-			t.Errorf("%d bytes have come of %d", len(r.snapshot.Data), len(data))
+			t.Errorf("received %d bytes, want %d; or servers are missing", len(r.snapshot.Data), len(data))
 		}
 		if err := st.Save(store.Batch{Snapshot: r.snapshot, Staged: r.staged, ReplacesLog: true}); err != nil {
 			t.Fatal(err)
@@ -135,32 +137,32 @@
 	st := openStore(t, dir)
 	defer st.Close()
 	if st.Snapshot.GetIndex() != 900 || !bytes.Equal(st.Snapshot.Data, data) {
-		t.Errorf("after a restart the snapshot is at %d, with %d bytes", st.Snapshot.GetIndex(), len(st.Snapshot.GetData()))
+		t.Errorf("snapshot after a restart has index %d and %d bytes", st.Snapshot.GetIndex(), len(st.Snapshot.GetData()))
 	}
-	if tries < 3 || total > len(data)+tries*maxUnacknowledged {
-		t.Errorf("%d bytes were sent in %d tries for %d", total, tries, len(data))
+	if attempts < 3 || total > len(data)+attempts*maxUnacknowledged {
+		t.Errorf("%d bytes sent in %d attempts for a snapshot of %d bytes", total, attempts, len(data))
 	}
 }
 
-// TestDamagedTransferRestarts: pieces that add up to something else than was offered are never installed, and the next
-// try begins with none.
+// TestDamagedTransferRestarts checks that data with a wrong checksum is discarded, and that the next attempt starts
+// from offset 0.
 func TestDamagedTransferRestarts(t *testing.T) {
-	data := stateOf(t, 3000)
+	data := encodeState(t, 3000)
 	offer := &wire.SnapshotOffer{Snapshot: &wire.RaftSnapshot{Term: 2, Index: 900}, Size: uint64(len(data)), Checksum: store.Checksum(data)}
 	st := openStore(t, t.TempDir())
 	defer st.Close()
-	wrong := bytes.Clone(data)
-	wrong[len(wrong)/2] ^= 1
-	if _, _, err := transferOnce(st, offer, wrong, -1); err == nil {
-		t.Fatal("a damaged snapshot was taken")
+	corrupted := bytes.Clone(data)
+	corrupted[len(corrupted)/2] ^= 1
+	if _, _, err := transferOnce(st, offer, corrupted, -1); err == nil {
+		t.Fatal("a corrupted snapshot was accepted")
 	}
 	sent, r, err := transferOnce(st, offer, data, -1)
 	if err != nil || sent != len(data) || r == nil {
-		t.Errorf("%d bytes sent of %d, %v", sent, len(data), err)
+		t.Errorf("sent %d bytes, want %d; error %v", sent, len(data), err)
 	}
 }
 
-// TestSnapshotTransferFlowControl: a receiver that answers nothing gets a bounded part.
+// TestSnapshotTransferFlowControl checks that the sender has at most maxUnacknowledged bytes in flight.
 func TestSnapshotTransferFlowControl(t *testing.T) {
 	sender, receiver := newPipe(-1)
 	done := make(chan error, 1)
@@ -171,16 +173,16 @@
 	if err := receiver.Send(&wire.SnapshotStatus{}); err != nil {
 		t.Fatal(err)
 	}
-	bytes := 0
-	for bytes < maxUnacknowledged {
-		piece := new(wire.SnapshotChunk)
-		if err := receiver.Recv(piece); err != nil {
+	received := 0
+	for received < maxUnacknowledged {
+		chunk := new(wire.SnapshotChunk)
+		if err := receiver.Recv(chunk); err != nil {
 			t.Fatal(err)
 		}
-		bytes += len(piece.Data)
+		received += len(chunk.Data)
 	}
 	close(receiver.broken)
-	if <-done == nil || bytes != maxUnacknowledged || len(receiver.in) > 0 {
-		t.Errorf("%d bytes are under way without an answer, and %d pieces more", bytes, len(receiver.in))
+	if <-done == nil || received != maxUnacknowledged || len(receiver.incoming) > 0 {
+		t.Errorf("%d unacknowledged bytes in flight, want maxUnacknowledged; %d further chunks", received, len(receiver.incoming))
 	}
 }
--- a/internal/controlplane/server/storage.go
+++ b/internal/controlplane/server/storage.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	diskRetryPause = 200 * time.Millisecond // after a write that failed
+	diskRetryPause = 200 * time.Millisecond // after a failed write
 	slowSync       = 300 * time.Millisecond // longer writes are logged
 )
 
-// save puts on disk what the consensus has to have there before its messages are sent.
+// save writes the snapshot, hard state and entries of a Ready to disk. It must return before the messages are sent.
 func (srv *Server) save(ready *raft.Ready) {
 	if ready.Snapshot == nil && ready.HardState == nil && len(ready.Entries) == 0 {
 		return
 	}
-	began := time.Now()
+	start := time.Now()
 	batch := store.Batch{
-		Snapshot: ready.Snapshot, Staged: srv.stagedFor(ready.Snapshot), ReplacesLog: ready.Snapshot != nil,
+		Snapshot: ready.Snapshot, Staged: srv.stagedSnapshot(ready.Snapshot), ReplacesLog: ready.Snapshot != nil,
 		HardState: ready.HardState, Entries: ready.Entries,
 	}
 	if !srv.writeBatch(batch) {
 		return
 	}
-	took := time.Since(began)
-	srv.metrics.Synced(took)
-	srv.consensus.ObserveSync(took)
-	if took > slowSync {
-		srv.log.Warn("disk.slow", "duration_ms", took.Milliseconds())
+	elapsed := time.Since(start)
+	srv.metrics.Synced(elapsed)
+	srv.consensus.ObserveSync(elapsed)
+	if elapsed > slowSync {
+		srv.log.Warn("disk.slow", "duration_ms", elapsed.Milliseconds())
 	}
 	if ready.Snapshot != nil {
 		srv.replaceState(ready.Snapshot)
@@ -40,15 +40,15 @@
 	}
 }
 
-// writeBatch writes until the disk takes it, and reports false if the server has ended before. A disk that fails blocks
-// the loop: nothing is acknowledged from memory, and the other members elect a leader whose disk works.
+// writeBatch retries until the write succeeds, and returns false if the server has stopped before. A failing disk
+// blocks the loop: nothing is acknowledged from memory, and the other members elect a leader whose disk works.
 func (srv *Server) writeBatch(batch store.Batch) bool {
-	began := time.Now()
+	start := time.Now()
 	for failed := false; ; failed = true {
 		err := srv.store.Save(batch)
 		if err == nil {
 			if failed {
-				srv.log.Warn("disk.recovered", "duration_ms", time.Since(began).Milliseconds())
+				srv.log.Warn("disk.recovered", "duration_ms", time.Since(start).Milliseconds())
 			}
 			return true
 		}
@@ -62,13 +62,13 @@
 	}
 }
 
-// replaceState puts a leader's snapshot that is on disk in force.
-func (srv *Server) replaceState(s *wire.RaftSnapshot) {
-	if err := srv.restoreState(s); err != nil {
-		// The leader, which runs the same code or a newer one, could read it: this member can't go on.
+// replaceState replaces the state by a leader's snapshot that is already on disk.
+func (srv *Server) replaceState(snapshot *wire.RaftSnapshot) {
+	if err := srv.restoreState(snapshot); err != nil {
+		// The leader runs the same or a newer version and could decode it, so this member can't continue.
 		srv.log.Error("snapshot.decode_failed", "err", err)
 		panic(err)
 	}
-	srv.applied = s.Index
+	srv.appliedIndex = snapshot.Index
 	srv.publishFullState()
 }
