--- a/internal/controlplane/server/ack_gate.go
+++ b/internal/controlplane/server/ack_gate.go
@@ -10,7 +10,7 @@
 // unable to elect a leader. Later one voter may be missing, between the removal of a replaced voter and the promotion
 // of its replacement.
 type ackGate struct {
-	bootstrapped bool // the quorum has reached the wanted number of voters
+	bootstrapped bool // the quorum has reached the wanted number of voters, or the system has run before
 }
 
 // minVoters returns the minimum number of voters for an acknowledgement. voters is the number in the newest membership.
--- a/internal/controlplane/server/node_queries.go
+++ b/internal/controlplane/server/node_queries.go
@@ -15,8 +15,9 @@
 	maxNodeQueries   = 32              // in flight
 )
 
-// queryNodes calls a method on each node that gossip reports as alive, with at most maxNodeQueries calls in flight. It
-// never calls collect concurrently. It works on any quorum member, since each takes part in gossip.
+// queryNodes calls a method on each node that gossip reports as alive, except quorum members, with at most
+// maxNodeQueries calls in flight. It never calls collect concurrently. It works on any quorum member, since each takes
+// part in gossip.
 func queryNodes[T any, P interface {
 	*T
 	proto.Message
