--- a/internal/controlplane/catalog/accept.go
+++ b/internal/controlplane/catalog/accept.go
@@ -10,16 +10,16 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Current is the configuration in force at one moment. Any goroutine may use it.
+// Current is an immutable copy of the configuration in force, safe for concurrent use.
 type Current struct {
-	Config *meshconfig.Config // nil: none yet
-	Body   []byte             // as the operator sent it
+	Config *meshconfig.Config // nil if no configuration has been accepted yet
+	Body   []byte             // as received from the operator
 }
 
 // Current returns the configuration in force.
 func (c *Catalog) Current() Current { return Current{c.config, c.body} }
 
-// Revision is the configuration's revision; 0: none yet.
+// Revision returns the configuration's revision, or 0 if there is no configuration yet.
 func (c Current) Revision() uint64 {
 	if c.Config == nil {
 		return 0
@@ -27,13 +27,13 @@
 	return c.Config.Revision
 }
 
-// Parse parses another configuration, at the cost of what differs. The error says what is wrong with it.
+// Parse parses and validates another configuration. It reuses the routes that are encoded alike in the current one.
 func (c Current) Parse(body []byte) (*meshconfig.Config, error) {
 	return meshconfig.ParseNext(body, c.Config)
 }
 
-// Command returns the command that replaces the configuration with the base's revision by another. If that is the present
-// one, the command has only the difference.
+// Command returns the command that replaces the configuration of revision base by config, whose encoding is body. The
+// command holds a delta if base is the current revision and the delta is shorter than half of body.
 func (c Current) Command(base uint64, config *meshconfig.Config, body []byte) *wire.Command {
 	put := &wire.PutConfig{Base: base, Body: body}
 	if c.Config != nil && base == c.Revision() {
@@ -45,13 +45,13 @@
 	return &wire.Command{Change: &wire.Command_Config{Config: put}}
 }
 
-// acceptConfig decides on a configuration. It returns neither a configuration nor an error for one that was accepted
-// before.
+// acceptConfig validates a configuration and records it as accepted. It returns nil and no error if the same configuration
+// was accepted before.
 func (c *Catalog) acceptConfig(put *wire.PutConfig) (*Current, error) {
 	body, change := put.Body, Change{revision: put.Revision}
 	if len(put.Delta) > 0 {
 		copy(change.digest[:], put.Hash)
-		if known, err := c.checkChange(change, put.Base); known || err != nil {
+		if duplicate, err := c.checkChange(change, put.Base); duplicate || err != nil {
 			return nil, err
 		}
 		var err error
@@ -66,14 +66,14 @@
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	change.revision = config.Revision
-	if known, err := c.checkChange(change, put.Base); known || err != nil {
+	if duplicate, err := c.checkChange(change, put.Base); duplicate || err != nil {
 		return nil, err
 	}
 	c.accepted.add(change)
 	return &Current{config, body}, nil
 }
 
-// rebuild applies a delta to the body in force.
+// rebuild applies a delta to the current body and verifies the hash of the result.
 func (c *Catalog) rebuild(put *wire.PutConfig) ([]byte, error) {
 	body, err := bytedelta.Apply(c.body, put.Delta, meshconfig.MaxBytes)
 	if err != nil {
@@ -85,13 +85,14 @@
 	return body, nil
 }
 
-// checkChange reports whether a change was accepted before, and otherwise returns why it can't be.
-func (c *Catalog) checkChange(change Change, base uint64) (known bool, err error) {
+// checkChange reports whether a change was accepted before. If not, it returns an error unless the change has the current
+// revision as its base and a higher revision of its own.
+func (c *Catalog) checkChange(change Change, base uint64) (duplicate bool, err error) {
 	switch {
 	case c.accepted.contains(change):
 		return true, nil
-	case c.accepted.mayHaveForgotten(base, change.revision):
-		return false, ErrForgotten
+	case c.accepted.mayBeEvicted(base, change.revision):
+		return false, ErrOutcomeUnknown
 	case base != c.Revision():
 		return false, ErrStale
 	case change.revision <= c.Revision():
--- a/internal/controlplane/catalog/accept_test.go
+++ b/internal/controlplane/catalog/accept_test.go
@@ -13,7 +13,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// manyRoutes is a configuration of 400 routes, one of which has another timeout.
+// manyRoutes returns the encoding of a configuration of 400 routes, one of which has the given timeout.
 func manyRoutes(t *testing.T, revision uint64, timeout float64) []byte {
 	t.Helper()
 	c := meshconfig.Config{Revision: revision, Backends: []meshconfig.Backend{{Name: "s"}}}
@@ -40,8 +40,8 @@
 	return current.Command(base, config, body)
 }
 
-// TestCommandsAreDeltas: what goes into the log is the difference, replicas rebuild the very body from it, and the
-// verdicts are those on whole bodies.
+// TestCommandsAreDeltas checks that a command holds a delta, that replicas rebuild the same body from it, and that deltas
+// are accepted or rejected like whole bodies.
 func TestCommandsAreDeltas(t *testing.T) {
 	c, replica := New(), New()
 	apply := func(cmd *wire.Command) (bool, error) {
@@ -61,29 +61,29 @@
 	second := manyRoutes(t, 5, 2000)
 	cmd := command(t, before, 3, second)
 	if size := proto.Size(cmd); size > 200 || cmd.GetConfig().Body != nil {
-		t.Errorf("%d bytes for one route of %d", size, len(second))
+		t.Errorf("command for one changed route has %d bytes, the body has %d", size, len(second))
 	}
 	if accepted, err := apply(cmd); !accepted || err != nil || !bytes.Equal(c.Body(), second) || c.Revision() != 5 {
 		t.Fatalf("%v: revision %d", err, c.Revision())
 	}
 	if accepted, err := apply(cmd); accepted || err != nil {
-		t.Errorf("the same again: %v, %v", accepted, err)
+		t.Errorf("resent delta: accepted %v, %v", accepted, err)
 	}
 	if accepted, err := apply(command(t, c.Current(), 3, second)); accepted || err != nil {
-		t.Errorf("the same again, whole: %v, %v", accepted, err)
+		t.Errorf("resent as a whole body: accepted %v, %v", accepted, err)
 	}
 	if accepted, err := apply(command(t, before, 3, manyRoutes(t, 6, 3000))); accepted || !errors.Is(err, ErrStale) {
-		t.Errorf("another one on the same base: %v, %v", accepted, err)
+		t.Errorf("another change on a stale base: accepted %v, %v", accepted, err)
 	}
 	if accepted, err := apply(command(t, c.Current(), 5, manyRoutes(t, 4, 3000))); accepted || !errors.Is(err, ErrInvalid) {
-		t.Errorf("an old revision: %v, %v", accepted, err)
+		t.Errorf("old revision: accepted %v, %v", accepted, err)
 	}
 	wrong := command(t, c.Current(), 5, manyRoutes(t, 8, 3000))
 	wrong.GetConfig().Hash[0]++
 	if accepted, err := apply(wrong); accepted || !errors.Is(err, ErrStale) || !bytes.Equal(c.Body(), second) {
-		t.Errorf("a delta for another body: %v, %v", accepted, err)
+		t.Errorf("delta for another body: accepted %v, %v", accepted, err)
 	}
 	if accepted, err := apply(command(t, c.Current(), 5, manyRoutes(t, 8, 3000))); !accepted || err != nil {
-		t.Errorf("a good one after all: %v, %v", accepted, err)
+		t.Errorf("valid change after rejected ones: accepted %v, %v", accepted, err)
 	}
 }
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -9,85 +9,84 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxAccepted bounds the accepted configurations that are remembered, by which a resend is distinguished from another
-// with the same revision. At 49,000 changes a day they reach eight hours back, and at the highest rate of a quorum (some
-// tens a second) several minutes; operators resend a change for seconds. Each takes 40 bytes, in memory and in snapshots.
-// Replicas need not agree on the bound: it decides on the answer to a sender, never on the state.
+// maxAccepted bounds the number of accepted configurations that are kept to recognize resends. Each takes 40 bytes in
+// memory and in snapshots. Replicas may use different bounds: the bound affects the answer to a resend, never the state.
 const maxAccepted = 16384
 
-// earlierMaxAccepted is the bound of versions whose snapshots do not say what was forgotten.
+// earlierMaxAccepted is the bound in versions whose snapshots lack the highest evicted revision.
 const earlierMaxAccepted = 1024
 
-// Change identifies a configuration: two may have the same revision.
+// Change identifies a configuration by its revision and the SHA-256 of its body. Different configurations may have the same
+// revision.
 type Change struct {
 	revision uint64
 	digest   [sha256.Size]byte
 }
 
-// ChangeOf returns the identity of a configuration with its body.
+// ChangeOf returns the identity of a configuration and its encoding.
 func ChangeOf(config *meshconfig.Config, body []byte) Change {
 	return Change{revision: config.Revision, digest: sha256.Sum256(body)}
 }
 
-// Accepted reports whether a change was accepted. That stays true, so any replica that knows it may answer by it; that a
-// change was not accepted only the log can say.
+// Accepted reports whether a change is recorded as accepted. True is final, so any replica may answer a resend by it. False
+// does not mean that the change was not accepted: the replica may lag behind the log, or may have evicted the record.
 func (c *Catalog) Accepted(change Change) bool { return c.accepted.contains(change) }
 
-// acceptedChanges remembers the newest configurations that were accepted. Revisions only rise, so the list is ascending,
-// and all that was forgotten is below all that is remembered.
+// acceptedChanges keeps the identities of the most recently accepted configurations. Accepted revisions strictly increase,
+// so every evicted revision is lower than every kept one.
 type acceptedChanges struct {
-	newest           []Change // ascending by revision
-	highestForgotten uint64   // the highest revision that was forgotten; 0: none was
-	limit            int      // of newest; 0: maxAccepted
+	newest         []Change // ascending by revision
+	highestEvicted uint64   // highest evicted revision; 0 if none was evicted
+	limit          int      // maximum length of newest; 0 selects maxAccepted
 }
 
-// SetAcceptedLimit bounds how many accepted changes are remembered; 0: the usual number. With small bounds, a short
-// simulation reaches what takes hours in service.
+// SetAcceptedLimit bounds the number of accepted changes that are kept; 0 selects the default. Simulations set a low limit
+// so that short runs evict changes.
 func (c *Catalog) SetAcceptedLimit(limit int) { c.accepted.limit = limit }
 
-// add remembers a change whose revision is above all others.
-func (a *acceptedChanges) add(c Change) {
-	a.newest = append(a.newest, c)
+// add appends a change, whose revision must be above all others, and evicts the oldest ones beyond the limit.
+func (a *acceptedChanges) add(change Change) {
+	a.newest = append(a.newest, change)
 	limit := cmp.Or(a.limit, maxAccepted)
 	if len(a.newest) <= limit {
 		return
 	}
-	drop := max(1, limit/8) // some at a time: each move costs the whole list
-	a.highestForgotten = a.newest[drop-1].revision
+	drop := max(1, limit/8) // each deletion moves the whole list, so it deletes several
+	a.highestEvicted = a.newest[drop-1].revision
 	a.newest = slices.Delete(a.newest, 0, drop)
 }
 
-// contains reports whether exactly this change is remembered.
-func (a *acceptedChanges) contains(c Change) bool {
-	i, found := slices.BinarySearchFunc(a.newest, c.revision, func(x Change, revision uint64) int {
-		return cmp.Compare(x.revision, revision)
+// contains reports whether a change with the same revision and digest is kept.
+func (a *acceptedChanges) contains(change Change) bool {
+	i, found := slices.BinarySearchFunc(a.newest, change.revision, func(accepted Change, revision uint64) int {
+		return cmp.Compare(accepted.revision, revision)
 	})
-	return found && a.newest[i] == c
+	return found && a.newest[i] == change
 }
 
-// mayHaveForgotten reports whether a change may have been accepted and forgotten since. A change was accepted on top of a
-// revision below its own, so one that says otherwise never was.
-func (a *acceptedChanges) mayHaveForgotten(base, revision uint64) bool {
-	return base < revision && revision <= a.highestForgotten
+// mayBeEvicted reports whether a change may have been accepted and evicted since. A change is accepted only if its base is
+// below its revision.
+func (a *acceptedChanges) mayBeEvicted(base, revision uint64) bool {
+	return base < revision && revision <= a.highestEvicted
 }
 
-// encode stores the accepted changes in a snapshot.
-func (a *acceptedChanges) encode(s *wire.Snapshot) {
-	s.Accepted = make([]*wire.AcceptedConfig, len(a.newest))
+// encode adds the accepted changes to a snapshot.
+func (a *acceptedChanges) encode(snapshot *wire.Snapshot) {
+	snapshot.Accepted = make([]*wire.AcceptedConfig, len(a.newest))
 	for i := range a.newest {
-		s.Accepted[i] = &wire.AcceptedConfig{Revision: a.newest[i].revision, Hash: a.newest[i].digest[:]}
+		snapshot.Accepted[i] = &wire.AcceptedConfig{Revision: a.newest[i].revision, Hash: a.newest[i].digest[:]}
 	}
-	s.ForgottenRevision = &a.highestForgotten
+	snapshot.ForgottenRevision = &a.highestEvicted
 }
 
 // decode replaces the accepted changes by those of a snapshot.
-func (a *acceptedChanges) decode(s *wire.Snapshot) {
-	a.newest, a.highestForgotten = make([]Change, len(s.GetAccepted())), s.GetForgottenRevision()
-	for i, t := range s.GetAccepted() {
-		a.newest[i].revision = t.Revision
-		copy(a.newest[i].digest[:], t.Hash)
+func (a *acceptedChanges) decode(snapshot *wire.Snapshot) {
+	a.newest, a.highestEvicted = make([]Change, len(snapshot.GetAccepted())), snapshot.GetForgottenRevision()
+	for i, accepted := range snapshot.GetAccepted() {
+		a.newest[i].revision = accepted.Revision
+		copy(a.newest[i].digest[:], accepted.Hash)
 	}
-	if s.ForgottenRevision == nil && len(a.newest) >= earlierMaxAccepted { // there may have been others
-		a.highestForgotten = a.newest[0].revision - 1
+	if snapshot.ForgottenRevision == nil && len(a.newest) >= earlierMaxAccepted { // older ones may have been evicted
+		a.highestEvicted = a.newest[0].revision - 1
 	}
 }
--- a/internal/controlplane/catalog/accepted_test.go
+++ b/internal/controlplane/catalog/accepted_test.go
@@ -9,8 +9,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestAcceptedResendIsNeverRefused: a change that was accepted is known after any number of later ones, or its sender is told
-// that this is not known. A snapshot in between changes nothing, nor does one of a version with a smaller memory.
+// TestAcceptedResendIsNeverRefused resends accepted changes of any age, before and after a snapshot is restored. Each is
+// recognized or fails with ErrOutcomeUnknown; it is never rejected as stale or invalid.
 func TestAcceptedResendIsNeverRefused(t *testing.T) {
 	const step, changes = 3, maxAccepted + maxAccepted/4
 	c := New()
@@ -18,7 +18,7 @@
 	resend := func(c *Catalog, i int) error {
 		update, err := c.Apply(put(uint64(i*step), bodies[i]))
 		if update != nil {
-			t.Fatalf("change %d was accepted a second time", i)
+			t.Fatalf("change %d was accepted twice", i)
 		}
 		return err
 	}
@@ -27,9 +27,9 @@
 		if update, err := c.Apply(put(uint64(i*step), bodies[i])); update == nil || err != nil {
 			t.Fatalf("change %d: %v", i, err)
 		}
-		if i == 2000 { // days hold more than the thousand that were remembered once
+		if i == 2000 { // more changes than earlierMaxAccepted
 			if err := resend(c, 0); err != nil {
-				t.Errorf("the first after 2,000 others: %v", err)
+				t.Errorf("first change resent after 2,000 others: %v", err)
 			}
 		}
 	}
@@ -37,30 +37,30 @@
 	if data, err := c.Snapshot(); err != nil || restored.Restore(data) != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]*Catalog{"as it was": c, "restored": restored} {
+	for name, c := range map[string]*Catalog{"original": c, "restored": restored} {
 		known := 0
 		for i := range bodies {
 			switch err := resend(c, i); {
 			case err == nil:
 				known++
-			case !errors.Is(err, ErrForgotten):
-				t.Fatalf("%s: change %d, sent again: %v", name, i, err)
+			case !errors.Is(err, ErrOutcomeUnknown):
+				t.Fatalf("%s: change %d resent: %v", name, i, err)
 			}
 		}
 		if known < maxAccepted*3/4 || known > maxAccepted {
-			t.Errorf("%s: %d changes are remembered", name, known)
+			t.Errorf("%s: %d resent changes were recognized, want between 3/4 of maxAccepted and maxAccepted", name, known)
 		}
-		// What can't have been accepted is refused for good, however old it is.
+		// Changes that were never accepted are rejected as stale or invalid, whatever their age.
 		current := uint64(changes * step)
 		for _, other := range []struct {
 			name           string
 			base, revision uint64
 			want           error
 		}{
-			{"another one under a remembered number", current - 2*step, current - step, ErrStale},
-			{"another one on a remembered base", current - step, current + 1, ErrStale},
-			{"an old number on the current base", current, 2, ErrInvalid},
-			{"the current number on the current base", current, current, ErrInvalid},
+			{"another change with an accepted revision", current - 2*step, current - step, ErrStale},
+			{"another change on an accepted base", current - step, current + 1, ErrStale},
+			{"old revision on the current base", current, 2, ErrInvalid},
+			{"current revision on the current base", current, current, ErrInvalid},
 		} {
 			body := config(t, other.revision, func(c map[string]any) { c["request_limits"] = map[string]any{"max_header_bytes": 1} })
 			if _, err := c.Apply(put(other.base, body)); !errors.Is(err, other.want) {
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestRestoreOldVersions: one that is full has forgotten, and does not say so.
+// TestRestoreOldVersions restores snapshots without the highest evicted revision. If their list of accepted changes is full,
+// older changes may have been evicted.
 func TestRestoreOldVersions(t *testing.T) {
 	for _, kept := range []int{earlierMaxAccepted, earlierMaxAccepted - 1} {
 		s := &wire.Snapshot{State: &wire.State{Config: config(t, 9000, nil)}}
@@ -87,7 +88,7 @@
 		}
 		want := ErrStale
 		if kept == earlierMaxAccepted {
-			want = ErrForgotten
+			want = ErrOutcomeUnknown
 		}
 		if _, err := c.Apply(put(4, config(t, 4999, nil))); !errors.Is(err, want) {
 			t.Errorf("%d changes kept: %v, want %v", kept, err, want)
--- a/internal/controlplane/catalog/bench_test.go
+++ b/internal/controlplane/catalog/bench_test.go
@@ -11,7 +11,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// largeBody is a configuration of some routes, each to a service of its own, of which a revision changes one.
+// largeBody returns the encoding of a configuration in which each route has its own backend. The revision selects the route
+// with a different timeout.
 func largeBody(b *testing.B, routes int, revision uint64) []byte {
 	c := meshconfig.Config{Revision: revision}
 	for i := range routes {
@@ -31,8 +32,8 @@
 	return body
 }
 
-// large is a state of 28,000 servers and some routes.
-func large(b *testing.B, routes int) *Catalog {
+// largeCatalog returns a catalog with 28,000 servers and the given number of routes.
+func largeCatalog(b *testing.B, routes int) *Catalog {
 	b.Helper()
 	c := New()
 	for i := range 28000 {
@@ -45,10 +46,10 @@
 	return c
 }
 
-// BenchmarkOneChange measures what one change of one route costs in each place, beside 28,000 servers.
+// BenchmarkOneChange measures each step of the change of one route, in a state with 28,000 servers.
 func BenchmarkOneChange(b *testing.B) {
 	for _, routes := range []int{10, 400, 2000} {
-		c := large(b, routes)
+		c := largeCatalog(b, routes)
 		body := largeBody(b, routes, 2)
 		before := c.Current()
 		config, err := before.Parse(body)
@@ -66,8 +67,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		name := func(what string) string { return fmt.Sprintf("%s/%d", what, routes) }
-		b.Run(name("propose"), func(b *testing.B) { // at the leader, of the operator's body
+		name := func(step string) string { return fmt.Sprintf("%s/%d", step, routes) }
+		b.Run(name("propose"), func(b *testing.B) { // on the leader: parse the operator's body, encode the command
 			for b.Loop() {
 				config, _ := before.Parse(body)
 				before.Command(1, config, body)
@@ -75,15 +76,15 @@
 			b.ReportMetric(float64(proto.Size(cmd)), "log-bytes")
 			b.ReportMetric(float64(len(body)), "body-bytes")
 		})
-		b.Run(name("apply"), func(b *testing.B) { // at each quorum member, of the log's entry
+		b.Run(name("apply"), func(b *testing.B) { // on each quorum member: apply the log entry
 			for b.Loop() {
-				again := &Catalog{view: NewView(), body: before.Body, config: before.Config}
-				if _, err := again.Apply(cmd); err != nil {
+				replica := &Catalog{view: NewView(), body: before.Body, config: before.Config}
+				if _, err := replica.Apply(cmd); err != nil {
 					b.Fatal(err)
 				}
 			}
 		})
-		b.Run(name("encode"), func(b *testing.B) { // at each relay, once for all its children
+		b.Run(name("encode"), func(b *testing.B) { // on each relay, once for all its children
 			for b.Loop() {
 				if _, err := proto.Marshal(c.view.Changes(c.Index() - 1)); err != nil {
 					b.Fatal(err)
@@ -92,19 +93,19 @@
 			b.ReportMetric(float64(len(feed)), "feed-bytes")
 		})
 		node.Config()
-		b.Run(name("node"), func(b *testing.B) { // at each node: decode, apply, patch the configuration
+		b.Run(name("node"), func(b *testing.B) { // on each node: decode, apply, patch the configuration
 			index := node.Index()
 			for b.Loop() {
-				got := new(wire.Changes)
-				if err := proto.Unmarshal(feed, got); err != nil {
+				received := new(wire.Changes)
+				if err := proto.Unmarshal(feed, received); err != nil {
 					b.Fatal(err)
 				}
-				got.From, got.To = index, index+1
-				for _, r := range got.Resources {
-					r.Index = got.To
+				received.From, received.To = index, index+1
+				for _, r := range received.Resources {
+					r.Index = received.To
 				}
-				if !node.Apply(got) {
-					b.Fatal("not applied")
+				if !node.Apply(received) {
+					b.Fatal("changes were not applied")
 				}
 				node.Config()
 				index++
--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -1,15 +1,15 @@
-// Package catalog is the replicated state: the configuration in force and the registry of application servers. It is a pure
-// state machine, driven by the committed entries of the log in their order, so that all replicas agree. (In Consul this is
-// the FSM with its state store.)
+// Package catalog implements the replicated state: the configuration in force and the registry of application servers. It
+// is a deterministic state machine that applies the committed log entries in order, so that all replicas reach the same
+// state. (It corresponds to Consul's FSM and state store.)
 //
-// Each entry that changes the state is an update; updates have the same index on all replicas. View returns the changes
-// since any index, which package relay delivers to the nodes: nodes keep a View too.
+// Each entry that changes the state is an update, and an update has the same index on all replicas. View returns the changes
+// since a given index. Package relay sends them to the nodes, which keep a View as well.
 //
 //	catalog.go   Catalog: commands and their errors
-//	accept.go    which configuration is accepted; accepted.go remembers them
+//	accept.go    validation of configurations; accepted.go the record of accepted ones
 //	view.go      View: resources and their indexes; resource.go their keys
-//	snapshot.go  the state as bytes; image.go a copy that any goroutine may encode
-//	local.go     the part of one node's servers
+//	snapshot.go  encoding of the state; image.go a copy that any goroutine may encode
+//	local.go     the servers of one node
 package catalog
 
 import (
@@ -21,45 +21,46 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxServers bounds the registry: twice the number of nodes that a mesh is designed for.
+// maxServers bounds the number of registered servers. It is twice the number of nodes that a mesh is designed for.
 const maxServers = 60000
 
-// The errors of a command, alike on all replicas. The texts of those of a configuration are in answers to operators.
+// Errors of Apply. The answers to operators contain the texts of those for configurations.
 var (
-	// ErrStale says that the configuration builds on a revision that is not the current one.
+	// ErrStale is returned for a configuration whose base is not the current revision or body.
 	ErrStale = errors.New("another version is in place")
-	// ErrInvalid says that the configuration can never be accepted.
+	// ErrInvalid is returned for a configuration that can never be accepted.
 	ErrInvalid = errors.New("invalid configuration")
-	// ErrForgotten says that the configuration may have been accepted so long ago that this is no longer known.
-	ErrForgotten = errors.New("not known any more whether this was accepted")
-	// ErrFull says that no more servers can be registered.
+	// ErrOutcomeUnknown is returned for a configuration that may have been accepted and evicted from the record since.
+	ErrOutcomeUnknown = errors.New("not known any more whether this was accepted")
+	// ErrFull is returned for a new server if maxServers are registered.
 	ErrFull = errors.New("too many servers")
 )
 
-// Catalog is the replicated state. It belongs to one goroutine; Image and Current are for others.
+// Catalog is the replicated state. It is not safe for concurrent use; other goroutines may use an Image or a Current.
 type Catalog struct {
 	view     *View
-	body     []byte // of the configuration, as the operator sent it; nil: none yet
+	body     []byte // encoding of config, as received from the operator; nil if there is none yet
 	config   *meshconfig.Config
 	accepted acceptedChanges
 }
 
-// New returns the state before the first entry.
+// New returns the empty state, before the first log entry.
 func New() *Catalog { return &Catalog{view: NewView()} }
 
-// Index is the index of the latest update.
+// Index returns the index of the latest update.
 func (c *Catalog) Index() uint64 { return c.view.Index() }
 
-// Body is the configuration in force as the operator sent it; nil: none yet. The caller must not change it.
+// Body returns the encoding of the configuration in force, as received from the operator, or nil if there is none yet. The
+// caller must not modify it.
 func (c *Catalog) Body() []byte { return c.body }
 
-// Config is the configuration in force; nil: none yet.
+// Config returns the configuration in force, or nil if there is none yet.
 func (c *Catalog) Config() *meshconfig.Config { return c.config }
 
-// Servers are the registered servers, by name.
+// Servers returns the registered servers, sorted by name.
 func (c *Catalog) Servers() []*wire.Server { return c.view.Servers() }
 
-// MembersOn returns the names of the servers on nodes that match, in order.
+// MembersOn returns the sorted names of the servers on matching nodes.
 func (c *Catalog) MembersOn(matches func(node string) bool) []string {
 	var list []string
 	for _, s := range c.view.ServersOn(matches) {
@@ -68,10 +69,10 @@
 	return list
 }
 
-// FullChanges returns the state as changes that replace any other; nil before the first update.
+// FullChanges returns the whole state as changes that replace any other state, or nil before the first update.
 func (c *Catalog) FullChanges() *wire.Changes { return c.view.Changes(0) }
 
-// Revision is the revision of the configuration in force; 0: none yet.
+// Revision returns the revision of the configuration in force, or 0 if there is none yet.
 func (c *Catalog) Revision() uint64 {
 	if c.config == nil {
 		return 0
@@ -79,8 +80,8 @@
 	return c.config.Revision
 }
 
-// Apply applies the next command of the log, and returns what it has changed; nil: nothing. An error says that the command
-// was rejected, as it is on all replicas.
+// Apply applies the next command of the log. It returns the changes, or nil if the command changes nothing. An error means
+// that the command was rejected, as it is on all replicas.
 func (c *Catalog) Apply(cmd *wire.Command) (*wire.Changes, error) {
 	index := c.Index() + 1
 	resources, err := c.applyCommand(index, cmd)
@@ -92,7 +93,7 @@
 	return changes, nil
 }
 
-// applyCommand applies a command to all but the view, and returns the changed resources.
+// applyCommand updates the configuration and returns the changed resources, without applying them to the view.
 func (c *Catalog) applyCommand(index uint64, cmd *wire.Command) (changed []*wire.Resource, err error) {
 	switch change := cmd.Change.(type) {
 	case *wire.Command_Config:
@@ -118,5 +119,5 @@
 			}
 		}
 	}
-	return changed, nil // a command of a later version changes nothing, on all replicas alike
+	return changed, nil // commands that only later versions support change nothing
 }
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -13,7 +13,7 @@
 
 func config(t *testing.T, revision uint64, change func(map[string]any)) []byte {
 	t.Helper()
-	c := map[string]any{
+	fields := map[string]any{
 		"revision": revision,
 		"route_table": []map[string]any{{"name": "r", "hostname": "H.example", "path_prefix": "/a/", "route_type": "idempotent",
 			"timeout_ms": 1000, "target_latency_ms": 200, "priority": 1, "backend": "s", "max_attempts": 2}},
@@ -21,9 +21,9 @@
 		"request_limits": map[string]any{"max_header_bytes": 16384},
 	}
 	if change != nil {
-		change(c)
+		change(fields)
 	}
-	body, err := msgpack.Marshal(c)
+	body, err := msgpack.Marshal(fields)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,44 +44,44 @@
 		name string
 		base uint64
 		body []byte
-		want string // taken, known, stale, invalid
+		want string // accepted, duplicate, stale or invalid
 	}{
-		{"the first", 0, three, "taken"},
-		{"the same again", 0, three, "known"},
-		{"another on the same base", 0, config(t, 4, nil), "stale"},
-		{"a later one", 3, seven, "taken"},
-		{"the first again, long after", 0, three, "known"},
-		{"an old revision", 7, config(t, 7, route("priority", 2)), "invalid"},
-		{"cut short", 7, config(t, 9, nil)[:40], "invalid"},
-		{"with more behind it", 7, append(config(t, 9, nil), 1), "invalid"},
-		{"an unknown service", 7, config(t, 9, route("backend", "x")), "invalid"},
-		{"no time", 7, config(t, 9, route("timeout_ms", 0)), "invalid"},
-		{"no weight", 7, config(t, 9, func(c map[string]any) {
+		{"first change", 0, three, "accepted"},
+		{"resent at once", 0, three, "duplicate"},
+		{"another change on a stale base", 0, config(t, 4, nil), "stale"},
+		{"second change", 3, seven, "accepted"},
+		{"first change resent after the second", 0, three, "duplicate"},
+		{"current revision with another body", 7, config(t, 7, route("priority", 2)), "invalid"},
+		{"truncated", 7, config(t, 9, nil)[:40], "invalid"},
+		{"trailing byte", 7, append(config(t, 9, nil), 1), "invalid"},
+		{"unknown backend", 7, config(t, 9, route("backend", "x")), "invalid"},
+		{"zero timeout", 7, config(t, 9, route("timeout_ms", 0)), "invalid"},
+		{"zero weight", 7, config(t, 9, func(c map[string]any) {
 			r := c["route_table"].([]map[string]any)[0]
 			delete(r, "backend")
 			r["weighted_backends"] = []map[string]any{{"backend": "s", "weight": 0}}
 		}), "invalid"},
-		{"two routes in one place", 7, config(t, 9, func(c map[string]any) {
+		{"two routes with the same host and prefix", 7, config(t, 9, func(c map[string]any) {
 			r := c["route_table"].([]map[string]any)
 			c["route_table"] = append(r, r[0])
 		}), "invalid"},
-		{"a good one after all", 7, config(t, 9, nil), "taken"},
+		{"valid change after rejected ones", 7, config(t, 9, nil), "accepted"},
 	} {
 		before := c.Index()
 		changes, err := c.Apply(put(step.base, step.body))
-		got := "known"
+		got := "duplicate"
 		switch {
 		case errors.Is(err, ErrStale):
 			got = "stale"
 		case err != nil:
 			got = "invalid"
 		case changes != nil:
-			got = "taken"
+			got = "accepted"
 		}
 		if got != step.want {
 			t.Errorf("%s: %s (%v), want %s", step.name, got, err, step.want)
 		}
-		if (c.Index() != before) != (step.want == "taken") {
+		if (c.Index() != before) != (step.want == "accepted") {
 			t.Errorf("%s: the index went from %d to %d", step.name, before, c.Index())
 		}
 	}
@@ -91,23 +91,23 @@
 	c := New()
 	body := config(t, 3, nil)
 	c.Apply(put(0, body))
-	srv := &wire.Server{Member: "i-1", Service: "s", Node: "n", Slots: 4}
-	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: srv}})
+	server := &wire.Server{Member: "i-1", Service: "s", Node: "n", Slots: 4}
+	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: server}})
 	data, err := c.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New()
-	if err := d.Restore(data); err != nil {
+	restored := New()
+	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if !proto.Equal(c.FullChanges(), d.FullChanges()) || d.Revision() != 3 || !bytes.Equal(d.Body(), body) {
-		t.Errorf("%v and %v", c.FullChanges(), d.FullChanges())
+	if !proto.Equal(c.FullChanges(), restored.FullChanges()) || restored.Revision() != 3 || !bytes.Equal(restored.Body(), body) {
+		t.Errorf("%v and %v", c.FullChanges(), restored.FullChanges())
 	}
-	if changes, err := d.Apply(put(0, body)); changes != nil || err != nil {
-		t.Errorf("a resend after a snapshot: %v, %v", changes, err)
+	if changes, err := restored.Apply(put(0, body)); changes != nil || err != nil {
+		t.Errorf("resend after a restore: %v, %v", changes, err)
 	}
 	if err := New().Restore(data[:len(data)-3]); err == nil {
-		t.Error("a torn snapshot was taken")
+		t.Error("truncated snapshot was restored")
 	}
 }
--- a/internal/controlplane/catalog/image.go
+++ b/internal/controlplane/catalog/image.go
@@ -7,22 +7,22 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Image is a copy of the state at one moment. It shares with the catalog what is never changed in place: resources, and the
-// configuration. Any goroutine may encode it while the catalog changes.
+// Image is an immutable copy of the state, which any goroutine may encode while the catalog changes. It shares the resources
+// and the configuration with the catalog, which never modifies them in place.
 type Image struct {
-	full     *wire.Changes // nil: before the first update
+	full     *wire.Changes // nil before the first update
 	body     []byte
 	config   *meshconfig.Config
 	accepted acceptedChanges
 }
 
-// Image copies the present state, at the cost of a pointer for each resource and a copy of the accepted changes.
+// Image returns a copy of the current state. It copies a pointer for each resource, and the list of accepted changes.
 func (c *Catalog) Image() *Image {
-	accepted := acceptedChanges{newest: slices.Clone(c.accepted.newest), highestForgotten: c.accepted.highestForgotten}
+	accepted := acceptedChanges{newest: slices.Clone(c.accepted.newest), highestEvicted: c.accepted.highestEvicted}
 	return &Image{full: c.FullChanges(), body: c.body, config: c.config, accepted: accepted}
 }
 
-// Encode returns the state as bytes, as Catalog.Snapshot does.
+// Encode returns what Catalog.Snapshot returned when the image was made.
 func (i *Image) Encode() ([]byte, error) {
 	view := NewView()
 	if i.full != nil {
@@ -32,7 +32,7 @@
 	return c.Snapshot()
 }
 
-// Decode returns the state of a snapshot.
+// Decode returns the state that a snapshot encodes.
 func Decode(data []byte) (*Catalog, error) {
 	c := New()
 	return c, c.Restore(data)
--- a/internal/controlplane/catalog/image_test.go
+++ b/internal/controlplane/catalog/image_test.go
@@ -8,8 +8,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestImageIsImmutable while the state that it was taken of goes on: servers come, change and go, and configurations
-// are accepted.
+// TestImageIsImmutable checks that an image encodes the state at its creation, after the catalog has accepted other
+// configurations and has added, changed and removed servers.
 func TestImageIsImmutable(t *testing.T) {
 	c := New()
 	apply := func(cmd *wire.Command) {
@@ -27,7 +27,7 @@
 	if data, err := c.Image().Encode(); err != nil {
 		t.Fatal(err)
 	} else if empty, err := Decode(data); err != nil || empty.Index() != 0 {
-		t.Errorf("the state before all updates comes back at %d, %v", empty.Index(), err)
+		t.Errorf("decoded empty state has index %d, want 0; %v", empty.Index(), err)
 	}
 	for revision := uint64(1); revision <= 40; revision++ {
 		apply(put(revision-1, config(t, revision, nil)))
@@ -45,25 +45,25 @@
 		apply(server(fmt.Sprint("later", revision), "n"))
 		apply(remove(fmt.Sprint("m", revision-1)))
 		if got, err := image.Encode(); err != nil || !bytes.Equal(got, want) {
-			t.Fatalf("revision %d: the image has changed with the state: %d bytes, not %d, %v", revision, len(got), len(want), err)
+			t.Fatalf("revision %d: image differs from the state at its creation: %d bytes, want %d; %v", revision, len(got), len(want), err)
 		}
 	}
 }
 
-// routesOf8MB make a configuration of 8 MB.
+// routesOf8MB is the number of routes in a configuration of 8 MB.
 const routesOf8MB = 27000
 
-// BenchmarkImage is what a snapshot costs in the loop that sends heartbeats.
+// BenchmarkImage measures the part of a snapshot that runs in the server's loop, which also sends heartbeats.
 func BenchmarkImage(b *testing.B) {
-	c := large(b, routesOf8MB)
+	c := largeCatalog(b, routesOf8MB)
 	for b.Loop() {
 		c.Image()
 	}
 }
 
-// BenchmarkSnapshot is what it cost there when the state was encoded in the loop.
+// BenchmarkSnapshot measures the encoding of a snapshot, which runs outside the server's loop.
 func BenchmarkSnapshot(b *testing.B) {
-	c := large(b, routesOf8MB)
+	c := largeCatalog(b, routesOf8MB)
 	for b.Loop() {
 		if _, err := c.Snapshot(); err != nil {
 			b.Fatal(err)
@@ -72,9 +72,9 @@
 	b.ReportMetric(float64(len(c.body)), "config-bytes")
 }
 
-// BenchmarkRestore is what a follower's loop would wait for, and a goroutine of its own does.
+// BenchmarkRestore measures the decoding of a received snapshot, which runs outside a follower's loop.
 func BenchmarkRestore(b *testing.B) {
-	data, err := large(b, routesOf8MB).Snapshot()
+	data, err := largeCatalog(b, routesOf8MB).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/controlplane/catalog/local.go
+++ b/internal/controlplane/catalog/local.go
@@ -7,7 +7,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// NodeServers is the part of the registry that is on one node, kept at the cost of what changes.
+// NodeServers holds the registered servers of one node. It is updated incrementally and is not safe for concurrent use.
 type NodeServers struct {
 	Node string
 
@@ -15,35 +15,35 @@
 	servers map[string]*wire.Server
 }
 
-// Index is the index up to which changes were applied.
-func (l *NodeServers) Index() uint64 { return l.index }
+// Index returns the index of the latest update that was applied.
+func (n *NodeServers) Index() uint64 { return n.index }
 
-// Apply applies the changes after Index; nil: there are none.
-func (l *NodeServers) Apply(c *wire.Changes) {
-	if c == nil {
+// Apply applies the changes after Index, or full changes. It ignores nil.
+func (n *NodeServers) Apply(changes *wire.Changes) {
+	if changes == nil {
 		return
 	}
-	if c.Full || l.servers == nil {
-		l.servers = map[string]*wire.Server{}
+	if changes.Full || n.servers == nil {
+		n.servers = map[string]*wire.Server{}
 	}
-	for _, r := range c.Resources {
+	for _, r := range changes.Resources {
 		k, _ := keyOf(r)
 		if k.kind != kindServer {
 			continue
 		}
-		if s := r.GetServer(); s.GetNode() == l.Node && s != nil {
-			l.servers[k.name] = s
+		if s := r.GetServer(); s.GetNode() == n.Node && s != nil {
+			n.servers[k.name] = s
 		} else {
-			delete(l.servers, k.name)
+			delete(n.servers, k.name)
 		}
 	}
-	l.index = c.To
+	n.index = changes.To
 }
 
-// Servers are the registered servers of the node, by name.
-func (l *NodeServers) Servers() []*wire.Server {
-	list := make([]*wire.Server, 0, len(l.servers))
-	for _, s := range l.servers {
+// Servers returns the node's registered servers, sorted by name.
+func (n *NodeServers) Servers() []*wire.Server {
+	list := make([]*wire.Server, 0, len(n.servers))
+	for _, s := range n.servers {
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(a, b *wire.Server) int { return strings.Compare(a.Member, b.Member) })
--- a/internal/controlplane/catalog/resource.go
+++ b/internal/controlplane/catalog/resource.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// kind distinguishes resources of the same name.
+// kind is the type of a resource. Zero is a type that this version does not support.
 type kind byte
 
 const (
@@ -18,38 +18,38 @@
 	kindConfig
 )
 
-// key names a resource. The prefix is a route's.
+// key identifies a resource. Only routes have a prefix.
 type key struct {
 	kind         kind
 	name, prefix string
 }
 
-// keyOf returns the key of a resource, and whether it says that this was removed. A resource of a later version has no
-// kind.
+// keyOf returns the key of a resource, and whether the resource is a tombstone. The key's kind is zero if only later
+// versions support the resource's type.
 func keyOf(r *wire.Resource) (k key, removed bool) {
-	switch v := r.Value.(type) {
+	switch value := r.Value.(type) {
 	case *wire.Resource_Server:
-		return key{kind: kindServer, name: v.Server.GetMember()}, false
+		return key{kind: kindServer, name: value.Server.GetMember()}, false
 	case *wire.Resource_Route:
-		return routeKey(strings.ToLower(v.Route.GetHost()), v.Route.GetPrefix()), false
+		return routeKey(strings.ToLower(value.Route.GetHost()), value.Route.GetPrefix()), false
 	case *wire.Resource_Backend:
-		return key{kind: kindBackend, name: v.Backend.GetName()}, false
+		return key{kind: kindBackend, name: value.Backend.GetName()}, false
 	case *wire.Resource_Config:
 		return key{kind: kindConfig}, false
 	case *wire.Resource_RemovedServer:
-		return key{kind: kindServer, name: v.RemovedServer}, true
+		return key{kind: kindServer, name: value.RemovedServer}, true
 	case *wire.Resource_RemovedRoute:
-		return routeKey(v.RemovedRoute.GetHost(), v.RemovedRoute.GetPrefix()), true
+		return routeKey(value.RemovedRoute.GetHost(), value.RemovedRoute.GetPrefix()), true
 	case *wire.Resource_RemovedBackend:
-		return key{kind: kindBackend, name: v.RemovedBackend}, true
+		return key{kind: kindBackend, name: value.RemovedBackend}, true
 	}
 	return key{}, false
 }
 
 func routeKey(host, prefix string) key { return key{kind: kindRoute, name: host, prefix: prefix} }
 
-// ofConfig reports whether a resource is a part of the configuration.
-func (k key) ofConfig() bool { return k.kind != 0 && k.kind != kindServer }
+// isConfig reports whether the resource is part of the configuration.
+func (k key) isConfig() bool { return k.kind != 0 && k.kind != kindServer }
 
 func serverResource(index uint64, s *wire.Server) *wire.Resource {
 	return &wire.Resource{Index: index, Value: &wire.Resource_Server{Server: s}}
@@ -82,8 +82,8 @@
 }
 
 func removedRoute(index uint64, r *meshconfig.Route) *wire.Resource {
-	at := r.Key()
-	return &wire.Resource{Index: index, Value: &wire.Resource_RemovedRoute{RemovedRoute: &wire.RouteKey{Host: at.Host, Prefix: at.Prefix}}}
+	k := r.Key()
+	return &wire.Resource{Index: index, Value: &wire.Resource_RemovedRoute{RemovedRoute: &wire.RouteKey{Host: k.Host, Prefix: k.Prefix}}}
 }
 
 func backendResource(index uint64, b meshconfig.Backend) *wire.Resource {
@@ -109,37 +109,38 @@
 	return &meshconfig.Limits{HeaderBytes: int(h.MaxHeaderBytes), BodyBytes: h.MaxBodyBytes, HeaderMs: h.HeaderTimeoutMs, IdleMs: h.IdleTimeoutMs}
 }
 
-// configChanges are the resources in which two configurations differ, at an index. The old one may be nil.
-func configChanges(index uint64, old, now *meshconfig.Config) (list []*wire.Resource) {
+// configChanges returns the resources, at the given index, that change the old configuration into the updated one. The old
+// one may be nil.
+func configChanges(index uint64, old, updated *meshconfig.Config) (list []*wire.Resource) {
 	if old == nil {
 		old = &meshconfig.Config{}
 	}
-	if old.Revision != now.Revision || old.Limits != now.Limits {
-		list = append(list, headerResource(index, now))
+	if old.Revision != updated.Revision || old.Limits != updated.Limits {
+		list = append(list, headerResource(index, updated))
 	}
-	list = append(list, backendChanges(index, old, now)...)
-	added, removed := meshconfig.Diff(old, now)
+	list = append(list, backendChanges(index, old, updated)...)
+	added, removed := meshconfig.Diff(old, updated)
 	for _, r := range added {
 		list = append(list, routeResource(index, r))
 	}
 	for _, r := range removed {
-		if at := r.Key(); now.At(at.Host, at.Prefix) == nil {
+		if k := r.Key(); updated.At(k.Host, k.Prefix) == nil {
 			list = append(list, removedRoute(index, r))
 		}
 	}
 	return list
 }
 
-func backendChanges(index uint64, old, now *meshconfig.Config) (list []*wire.Resource) {
-	if slices.Equal(old.Backends, now.Backends) {
+func backendChanges(index uint64, old, updated *meshconfig.Config) (list []*wire.Resource) {
+	if slices.Equal(old.Backends, updated.Backends) {
 		return nil
 	}
 	backends := make(map[string]meshconfig.Backend, len(old.Backends))
 	for _, b := range old.Backends {
 		backends[b.Name] = b
 	}
-	for _, b := range now.Backends {
-		if was, known := backends[b.Name]; !known || was != b {
+	for _, b := range updated.Backends {
+		if previous, known := backends[b.Name]; !known || previous != b {
 			list = append(list, backendResource(index, b))
 		}
 		delete(backends, b.Name)
@@ -152,21 +153,21 @@
 	return list
 }
 
-// patchOf is what changes of resources mean for a configuration.
-func patchOf(resources []*wire.Resource) (p meshconfig.Patch) {
+// patchOf returns the changes that resources make to a configuration.
+func patchOf(resources []*wire.Resource) (patch meshconfig.Patch) {
 	for _, r := range resources {
-		switch v := r.Value.(type) {
+		switch value := r.Value.(type) {
 		case *wire.Resource_Route:
-			p.Routes = append(p.Routes, routeOf(v.Route))
+			patch.Routes = append(patch.Routes, routeOf(value.Route))
 		case *wire.Resource_RemovedRoute:
-			p.RemovedRoutes = append(p.RemovedRoutes, meshconfig.Key{Host: v.RemovedRoute.GetHost(), Prefix: v.RemovedRoute.GetPrefix()})
+			patch.RemovedRoutes = append(patch.RemovedRoutes, meshconfig.Key{Host: value.RemovedRoute.GetHost(), Prefix: value.RemovedRoute.GetPrefix()})
 		case *wire.Resource_Backend:
-			p.Backends = append(p.Backends, backendOf(v.Backend))
+			patch.Backends = append(patch.Backends, backendOf(value.Backend))
 		case *wire.Resource_RemovedBackend:
-			p.RemovedBackends = append(p.RemovedBackends, v.RemovedBackend)
+			patch.RemovedBackends = append(patch.RemovedBackends, value.RemovedBackend)
 		case *wire.Resource_Config:
-			p.Revision, p.Limits = v.Config.Revision, limitsOf(v.Config)
+			patch.Revision, patch.Limits = value.Config.Revision, limitsOf(value.Config)
 		}
 	}
-	return p
+	return patch
 }
--- a/internal/controlplane/catalog/search_test.go
+++ b/internal/controlplane/catalog/search_test.go
@@ -10,8 +10,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestSearchOfResends sends earlier changes again at random moments, of any age up to the first, with snapshots in between:
-// one that was accepted is never refused and changes nothing, and another one under its number is never accepted.
+// TestSearchOfResends resends accepted changes of random age, with snapshots in between. A resend changes nothing and is
+// never rejected as stale or invalid; another change with its revision is never accepted.
 func TestSearchOfResends(t *testing.T) {
 	const changes, step = maxAccepted + maxAccepted/2, 2
 	for seed := range uint64(2) {
@@ -27,39 +27,39 @@
 			if rng.IntN(2000) == 0 {
 				data, err := c.Snapshot()
 				c = New()
-				if err = joinRestore(c, data, err); err != nil {
+				if err = restoreSnapshot(c, data, err); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if rng.IntN(4) > 0 {
 				continue
 			}
-			old := rng.IntN(i + 1)
-			changed, err := c.Apply(put(uint64(old*step), bodies[old]))
+			resent := rng.IntN(i + 1)
+			changed, err := c.Apply(put(uint64(resent*step), bodies[resent]))
 			switch {
 			case changed != nil:
-				t.Fatalf("seed %d: behind %d changes, number %d was accepted again", seed, i+1, old)
-			case errors.Is(err, ErrForgotten) && i-old > maxAccepted/2:
+				t.Fatalf("seed %d: after %d changes, change %d was accepted twice", seed, i+1, resent)
+			case errors.Is(err, ErrOutcomeUnknown) && i-resent > maxAccepted/2:
 				forgotten++
 			case err != nil:
-				t.Fatalf("seed %d: behind %d changes, number %d, sent again: %v", seed, i+1, old, err)
+				t.Fatalf("seed %d: after %d changes, change %d resent: %v", seed, i+1, resent, err)
 			}
-			other := config(t, uint64((old+1)*step), func(c map[string]any) { c["request_limits"] = map[string]any{"max_header_bytes": 7} })
-			if _, err := c.Apply(put(uint64(old*step), other)); err == nil {
-				t.Fatalf("seed %d: another change under number %d was accepted", seed, old)
+			conflicting := config(t, uint64((resent+1)*step), func(c map[string]any) { c["request_limits"] = map[string]any{"max_header_bytes": 7} })
+			if _, err := c.Apply(put(uint64(resent*step), conflicting)); err == nil {
+				t.Fatalf("seed %d: another change with the revision of change %d was accepted", seed, resent)
 			}
 		}
 		if forgotten == 0 {
-			t.Errorf("seed %d: nothing was forgotten: hardly a test", seed)
+			t.Errorf("seed %d: no resent change was evicted: too few cases", seed)
 		}
 	}
 }
 
-// TestSearchBelowFloor removes more servers than are remembered, while children lag at random, and the source begins
-// anew by its snapshot, or by an earlier one as a history of its own: each child shows what its source shows once it has asked.
+// TestSearchBelowFloor removes more servers than tombstones are kept, while children lag at random. The source is restored
+// from its current snapshot, or from an older one with a new history. A child that applies the source's changes equals it.
 func TestSearchBelowFloor(t *testing.T) {
 	const batch = maxTombstones / 3
-	wholes := 0
+	fullStates := 0
 	for seed := range uint64(4) {
 		clear(lines)
 		rng := rand.New(rand.NewPCG(seed, 0xf1))
@@ -82,7 +82,7 @@
 			if rng.IntN(6) == 0 {
 				data, err := source.Snapshot()
 				source = New()
-				if err = joinRestore(source, data, err); err != nil {
+				if err = restoreSnapshot(source, data, err); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -108,21 +108,21 @@
 				}
 				sent := source.view.Changes(child.Index())
 				if sent.GetFull() && child.Index() > 0 {
-					wholes++
+					fullStates++
 				}
 				if sent != nil && !child.Apply(sent) || content(child) != content(source.view) {
-					t.Fatalf("seed %d: round %d: child %d shows another state than its source, by changes from %d", seed, round, i, sent.GetFrom())
+					t.Fatalf("seed %d: round %d: child %d differs from its source after changes from %d", seed, round, i, sent.GetFrom())
 				}
 			}
 		}
 	}
-	if wholes < 5 {
-		t.Errorf("children were behind the floor %d times: hardly a test", wholes)
+	if fullStates < 5 {
+		t.Errorf("children were below the floor %d times, want at least 5: too few cases", fullStates)
 	}
 }
 
-// TestSearchOfDeltas makes commands on one state and applies them to another, which has another body under the same
-// revision, as behind a restore: what is accepted is the very body that was sent.
+// TestSearchOfDeltas makes commands on one state and applies them to another that has a different body with the same
+// revision, as after a restore. The body after an accepted command is the one that was sent.
 func TestSearchOfDeltas(t *testing.T) {
 	accepted, refused := 0, 0
 	for seed := range uint64(20) {
@@ -140,17 +140,17 @@
 		for revision := uint64(1); revision < 60; revision++ {
 			for _, c := range forks {
 				body := drawBody(revision)
-				made := forks[rng.IntN(2)].Current()
-				parsed, err := made.Parse(body)
+				origin := forks[rng.IntN(2)].Current()
+				parsed, err := origin.Parse(body)
 				if err != nil {
 					t.Fatal(err)
 				}
-				_, err = c.Apply(made.Command(c.Revision(), parsed, body))
+				_, err = c.Apply(origin.Command(c.Revision(), parsed, body))
 				switch {
 				case err != nil:
 					refused++
 				case !bytes.Equal(c.Body(), body):
-					t.Fatalf("seed %d: revision %d was accepted, with another body", seed, revision)
+					t.Fatalf("seed %d: revision %d was accepted with another body", seed, revision)
 				default:
 					accepted++
 				}
@@ -158,7 +158,7 @@
 		}
 	}
 	if accepted < 500 || refused < 100 {
-		t.Errorf("%d accepted, %d refused: hardly a test", accepted, refused)
+		t.Errorf("%d accepted, %d rejected, want at least 500 and 100: too few cases", accepted, refused)
 	}
-	t.Logf("%d accepted, %d refused", accepted, refused)
+	t.Logf("%d accepted, %d rejected", accepted, refused)
 }
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -11,99 +11,99 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Snapshot returns the whole state as bytes, with the index of each resource: replicas that begin with it go on to say
-// what has changed since any update, as the others do.
+// Snapshot encodes the whole state. It includes the index of each resource, so that a replica that restores it returns the
+// same changes since any index as the others.
 func (c *Catalog) Snapshot() ([]byte, error) {
-	s := &wire.Snapshot{State: c.state()}
-	c.accepted.encode(s)
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
+	snapshot := &wire.Snapshot{State: c.state()}
+	c.accepted.encode(snapshot)
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	if err != nil {
 		return nil, fmt.Errorf("catalog: %w", err)
 	}
 	return b, nil
 }
 
-// state is the state as it stands in a snapshot: the parts of the configuration by their indexes alone.
+// state returns the state for a snapshot. It stores the configuration as its body, and only the indexes of its resources.
 func (c *Catalog) state() *wire.State {
-	s := &wire.State{Index: c.view.index, Floor: c.view.floor, Config: c.body, Servers: c.Servers()}
+	state := &wire.State{Index: c.view.index, Floor: c.view.floor, Config: c.body, Servers: c.Servers()}
 	indexOf := func(k key) uint64 { return c.view.entries[k].resource.Index }
-	for _, srv := range s.Servers {
-		s.ServerIndexes = append(s.ServerIndexes, indexOf(key{kind: kindServer, name: srv.Member}))
+	for _, server := range state.Servers {
+		state.ServerIndexes = append(state.ServerIndexes, indexOf(key{kind: kindServer, name: server.Member}))
 	}
 	if c.config != nil {
-		s.ConfigIndex = indexOf(key{kind: kindConfig})
+		state.ConfigIndex = indexOf(key{kind: kindConfig})
 		for _, r := range c.config.Routes {
-			s.RouteIndexes = append(s.RouteIndexes, indexOf(routeKey(r.Key().Host, r.Prefix)))
+			state.RouteIndexes = append(state.RouteIndexes, indexOf(routeKey(r.Key().Host, r.Prefix)))
 		}
 		for _, b := range c.config.Backends {
-			s.BackendIndexes = append(s.BackendIndexes, indexOf(key{kind: kindBackend, name: b.Name}))
+			state.BackendIndexes = append(state.BackendIndexes, indexOf(key{kind: kindBackend, name: b.Name}))
 		}
 	}
 	for e := c.view.order.next; e != c.view.order; e = e.next {
 		if e.removed() {
-			s.Removed = append(s.Removed, e.resource)
+			state.Removed = append(state.Removed, e.resource)
 		}
 	}
-	return s
+	return state
 }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state by that of a snapshot.
 func (c *Catalog) Restore(data []byte) error {
 	var snapshot wire.Snapshot
 	if err := proto.Unmarshal(data, &snapshot); err != nil {
 		return fmt.Errorf("catalog: %w", err)
 	}
-	s := snapshot.State
-	if s == nil {
-		s = &wire.State{}
+	state := snapshot.State
+	if state == nil {
+		state = &wire.State{}
 	}
 	var config *meshconfig.Config
-	if len(s.Config) > 0 {
+	if len(state.Config) > 0 {
 		var err error
-		if config, err = meshconfig.ParseNext(s.Config, c.config); err != nil {
+		if config, err = meshconfig.ParseNext(state.Config, c.config); err != nil {
 			return fmt.Errorf("catalog: %w", err)
 		}
 	}
 	view := NewView()
-	view.Apply(changesOf(s, config))
+	view.Apply(changesOf(state, config))
 	c.view, c.config, c.body = view, config, nil
 	c.accepted.decode(&snapshot)
 	if config != nil {
-		c.body = s.Config
+		c.body = state.Config
 	}
 	return nil
 }
 
-// changesOf returns a snapshot's state as changes. In one of an earlier version nothing has an index: all of it counts as
-// changed by the latest update, and nothing is known of what was removed.
-func changesOf(s *wire.State, config *meshconfig.Config) *wire.Changes {
-	c := &wire.Changes{To: s.Index, Full: true, Floor: s.Floor, Resources: s.Removed}
+// changesOf returns a snapshot's state as full changes. Snapshots of earlier versions lack the indexes of resources and the
+// tombstones: each resource then gets the index of the latest update, which is also the floor.
+func changesOf(state *wire.State, config *meshconfig.Config) *wire.Changes {
+	changes := &wire.Changes{To: state.Index, Full: true, Floor: state.Floor, Resources: state.Removed}
 	indexOf := func(indexes []uint64, i int) uint64 {
 		if i < len(indexes) {
 			return indexes[i]
 		}
-		c.Floor = s.Index
-		return s.Index
+		changes.Floor = state.Index
+		return state.Index
 	}
-	for i, srv := range s.Servers {
-		c.Resources = append(c.Resources, serverResource(indexOf(s.ServerIndexes, i), srv))
+	for i, server := range state.Servers {
+		changes.Resources = append(changes.Resources, serverResource(indexOf(state.ServerIndexes, i), server))
 	}
 	if config != nil {
-		header := []uint64{s.ConfigIndex}
-		if s.ConfigIndex == 0 {
+		header := []uint64{state.ConfigIndex}
+		if state.ConfigIndex == 0 {
 			header = nil
 		}
-		c.Resources = append(c.Resources, headerResource(indexOf(header, 0), config))
+		changes.Resources = append(changes.Resources, headerResource(indexOf(header, 0), config))
 		for i, b := range config.Backends {
-			c.Resources = append(c.Resources, backendResource(indexOf(s.BackendIndexes, i), b))
+			changes.Resources = append(changes.Resources, backendResource(indexOf(state.BackendIndexes, i), b))
 		}
 		for i, r := range config.Routes {
-			c.Resources = append(c.Resources, routeResource(indexOf(s.RouteIndexes, i), r))
+			changes.Resources = append(changes.Resources, routeResource(indexOf(state.RouteIndexes, i), r))
 		}
 	}
-	slices.SortStableFunc(c.Resources, func(a, b *wire.Resource) int { return cmp.Compare(a.Index, b.Index) })
-	return c
+	slices.SortStableFunc(changes.Resources, func(a, b *wire.Resource) int { return cmp.Compare(a.Index, b.Index) })
+	return changes
 }
 
-// Advance begins a history of its own, for a state that is restored from a backup: see View.Advance.
-func (c *Catalog) Advance(by uint64) { c.view.Advance(by) }
+// Advance begins a new history of updates, for a state that is restored from a backup: see View.Advance.
+func (c *Catalog) Advance(offset uint64) { c.view.Advance(offset) }
--- a/internal/controlplane/catalog/view.go
+++ b/internal/controlplane/catalog/view.go
@@ -8,27 +8,27 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxTombstones bounds the removed resources that are remembered, for those who have not received the removal. Whoever is
-// behind the oldest of them receives the full state.
+// maxTombstones bounds the removed resources that are kept to be sent as changes. Views with an index below the floor
+// receive the full state.
 const maxTombstones = 4096
 
-// View is a state that is built from updates: resources, each with the index of the update that changed it last. Quorum
-// members, relays and nodes all keep one. It shows states that its source had after single updates, never a mixture, and
-// never goes back. The caller must not change what it returns. It belongs to one goroutine, or to the holder of a lock.
+// View is a state built from updates: resources, each with the index of the update that changed it last. Quorum members,
+// relays and nodes each keep one. A view always equals the state of its source after some update, and its index never
+// decreases. Callers must not modify the returned values. A View is not safe for concurrent use.
 type View struct {
 	index      uint64
-	floor      uint64 // removals up to this index may have been forgotten
+	floor      uint64 // tombstones up to this index may have been dropped
 	entries    map[key]*entry
-	order      *entry // the head of a ring, in the order of the last changes: oldest next, newest prev
+	order      *entry // sentinel of a ring ordered by index: next is the oldest entry, prev the newest
 	tombstones int
 	servers    int
 
-	config   *meshconfig.Config // as of configAt
-	configAt uint64
+	config      *meshconfig.Config // at configIndex
+	configIndex uint64
 }
 
-// entry is a resource or a tombstone, in the ring of all. Its key is derived from the resource, to save memory: each node
-// has an entry for each server of the mesh.
+// entry is a resource or a tombstone, linked in View.order. It does not store its key, to save memory: each node has an
+// entry for each server of the mesh.
 type entry struct {
 	resource   *wire.Resource
 	prev, next *entry
@@ -39,41 +39,42 @@
 	return removed
 }
 
-// NewView returns the state before the first update.
+// NewView returns an empty view, before the first update.
 func NewView() *View {
 	v := &View{entries: map[key]*entry{}, order: &entry{}}
 	v.order.prev, v.order.next = v.order, v.order
 	return v
 }
 
-// Index is the index of the latest update.
+// Index returns the index of the latest update.
 func (v *View) Index() uint64 { return v.index }
 
-// Apply applies changes that begin at the view's index, or a newer full state. It reports false for changes that begin
-// elsewhere, for which the missing ones have to be requested; old ones are ignored.
-func (v *View) Apply(c *wire.Changes) bool {
+// Apply applies changes that begin at the view's index, or a newer full state. It ignores changes that end at or before that
+// index, and returns true. It returns false for changes that begin at another index: the caller must request all changes
+// since the view's index.
+func (v *View) Apply(changes *wire.Changes) bool {
 	switch {
-	case c.To <= v.index:
+	case changes.To <= v.index:
 		return true
-	case c.Full:
+	case changes.Full:
 		*v = *NewView()
-		v.floor = c.Floor
-	case c.From != v.index:
+		v.floor = changes.Floor
+	case changes.From != v.index:
 		return false
 	}
-	for _, r := range c.Resources {
+	for _, r := range changes.Resources {
 		v.set(r)
 	}
-	v.index = c.To
+	v.index = changes.To
 	v.dropTombstones()
 	return true
 }
 
-// set puts a resource in place of an earlier one with the same key, as the newest of all.
+// set inserts a resource as the newest entry, in place of any other with the same key.
 func (v *View) set(r *wire.Resource) {
 	k, _ := keyOf(r)
 	if k.kind == 0 {
-		return // of a later version
+		return // only later versions support this type
 	}
 	e := v.entries[k]
 	if e == nil {
@@ -91,7 +92,7 @@
 
 func (e *entry) unlink() { e.prev.next, e.next.prev = e.next, e.prev }
 
-// count counts an entry that is added (1) or removed (-1).
+// count adds n, which is 1 or -1, to the number of tombstones or servers, depending on the entry's type.
 func (v *View) count(e *entry, n int) {
 	switch k, removed := keyOf(e.resource); {
 	case removed:
@@ -101,7 +102,7 @@
 	}
 }
 
-// dropTombstones drops the older half of the tombstones if there are too many.
+// dropTombstones drops the older half of the tombstones once there are more than maxTombstones.
 func (v *View) dropTombstones() {
 	if v.tombstones <= maxTombstones {
 		return
@@ -116,48 +117,49 @@
 	}
 }
 
-// Changes returns the changes from an index to the view's; nil: there are none. A later change of a resource replaces all
-// earlier ones. From below the floor they are the full state.
+// Changes returns the changes after an index, or nil if there are none. They contain only the latest change of each
+// resource. They are the full state if the index is 0 or below the floor.
 func (v *View) Changes(since uint64) *wire.Changes {
 	if since >= v.index {
 		return nil
 	}
-	c := &wire.Changes{From: since, To: v.index}
+	changes := &wire.Changes{From: since, To: v.index}
 	if since < v.floor || since == 0 {
-		c.Full, c.From, c.Floor = true, 0, v.floor
-		c.Resources = make([]*wire.Resource, 0, len(v.entries))
+		changes.Full, changes.From, changes.Floor = true, 0, v.floor
+		changes.Resources = make([]*wire.Resource, 0, len(v.entries))
 	}
-	for e := v.order.prev; e != v.order && e.resource.Index > c.From; e = e.prev {
-		c.Resources = append(c.Resources, e.resource)
+	for e := v.order.prev; e != v.order && e.resource.Index > changes.From; e = e.prev {
+		changes.Resources = append(changes.Resources, e.resource)
 	}
-	slices.Reverse(c.Resources)
-	return c
+	slices.Reverse(changes.Resources)
+	return changes
 }
 
-// Config returns the configuration; nil: there is none yet. It costs what has changed since the last call.
+// Config returns the configuration, or nil if there is none yet. It caches the configuration and applies only the changes
+// since the last call.
 func (v *View) Config() *meshconfig.Config {
-	if v.configAt == v.index {
+	if v.configIndex == v.index {
 		return v.config
 	}
 	base := v.config
-	c := v.Changes(v.configAt)
-	if c.Full {
+	changes := v.Changes(v.configIndex)
+	if changes.Full {
 		base = nil
 	}
-	v.configAt = v.index
-	changed := slices.DeleteFunc(c.Resources, func(r *wire.Resource) bool {
+	v.configIndex = v.index
+	changed := slices.DeleteFunc(changes.Resources, func(r *wire.Resource) bool {
 		k, removed := keyOf(r)
-		return !k.ofConfig() || c.Full && removed
+		return !k.isConfig() || changes.Full && removed
 	})
 	if len(changed) > 0 {
 		v.config = base.Apply(patchOf(changed))
-	} else if c.Full {
+	} else if changes.Full {
 		v.config = nil
 	}
 	return v.config
 }
 
-// Server returns a registered server; nil: it is not registered.
+// Server returns a server, or nil if it is not registered.
 func (v *View) Server(member string) *wire.Server {
 	if e := v.entries[key{kind: kindServer, name: member}]; e != nil && !e.removed() {
 		return e.resource.GetServer()
@@ -165,15 +167,15 @@
 	return nil
 }
 
-// ServerCount is the number of registered servers.
+// ServerCount returns the number of registered servers.
 func (v *View) ServerCount() int { return v.servers }
 
-// Servers returns all registered servers, by name.
+// Servers returns all registered servers, sorted by name.
 func (v *View) Servers() []*wire.Server {
 	return v.ServersOn(func(string) bool { return true })
 }
 
-// ServersOn returns the servers on nodes that match, by name.
+// ServersOn returns the servers on matching nodes, sorted by name.
 func (v *View) ServersOn(matches func(node string) bool) []*wire.Server {
 	var list []*wire.Server
 	for e := v.order.next; e != v.order; e = e.next {
@@ -185,8 +187,9 @@
 	return list
 }
 
-// Advance begins a new history at a later index: whoever has the old one receives the full state.
-func (v *View) Advance(by uint64) {
-	v.index += by
+// Advance begins a new history by raising the index and the floor: views with an index of the old history then receive the
+// full state. The offset must raise the index above all indexes of the old history.
+func (v *View) Advance(offset uint64) {
+	v.index += offset
 	v.floor = v.index
 }
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -15,7 +15,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// operatorState makes up changes as operators and nodes send them.
+// operatorState generates random commands of operators and nodes.
 type operatorState struct {
 	rng    *rand.Rand
 	config meshconfig.Config
@@ -30,15 +30,15 @@
 		TimeoutMs: 1 + o.rng.Float64(), Priority: o.rng.IntN(3), Backends: []meshconfig.Weighted{{Backend: "s0", Weight: 1 + o.rng.Float64()}}}
 }
 
-// change returns a command, and how many resources it touches at most.
+// change returns a command and the maximum number of resources that it changes.
 func (o *operatorState) change(t *testing.T) (*wire.Command, int) {
 	switch o.rng.IntN(5) {
 	case 0, 1:
 		s := &wire.Server{Member: fmt.Sprint("i", o.rng.IntN(40)), Service: "s0", Node: fmt.Sprint("n", o.rng.IntN(9)), Slots: uint32(o.rng.IntN(9))}
 		return &wire.Command{Change: &wire.Command_Server{Server: s}}, 1
 	case 2:
-		gone := []string{fmt.Sprint("i", o.rng.IntN(40)), fmt.Sprint("i", o.rng.IntN(40))}
-		return &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: gone}}}, 2
+		removed := []string{fmt.Sprint("i", o.rng.IntN(40)), fmt.Sprint("i", o.rng.IntN(40))}
+		return &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: removed}}}, 2
 	}
 	base, touched := o.config.Revision, 1
 	o.config.Revision += 1 + uint64(o.rng.IntN(3))
@@ -53,7 +53,7 @@
 		case o.rng.IntN(4) == 0 && len(routes) > 1:
 			routes = slices.Delete(routes, at, at+1)
 		case o.rng.IntN(3) == 0 && len(routes) > 1:
-			i, j := o.rng.IntN(len(routes)), o.rng.IntN(len(routes)) // the order says nothing
+			i, j := o.rng.IntN(len(routes)), o.rng.IntN(len(routes)) // the order has no meaning
 			routes[i], routes[j] = routes[j], routes[i]
 		default:
 			r := o.route(o.rng.IntN(50))
@@ -80,7 +80,7 @@
 	return put(base, body), touched
 }
 
-// content is all that a view shows, in an order of its own.
+// content returns the sorted encodings of a view's resources, without tombstones.
 func content(v *View) string {
 	lines := make([]string, 0, len(v.entries))
 	for _, e := range v.entries {
@@ -92,7 +92,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// lines are those of resources that were looked at before.
+// lines caches the results of lineOf.
 var lines = map[*wire.Resource]string{}
 
 func lineOf(r *wire.Resource) string {
@@ -103,12 +103,12 @@
 	return lines[r]
 }
 
-// sameConfig reports whether two configurations say the same.
+// sameConfig reports whether two configurations are equal except for the order of routes and backends.
 func sameConfig(a, b *meshconfig.Config) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
-	list := func(c *meshconfig.Config) string {
+	describe := func(c *meshconfig.Config) string {
 		var lines []string
 		for _, r := range c.Routes {
 			lines = append(lines, fmt.Sprintf("%+v %v", *r, c.Find(r.Host, r.Prefix) == r))
@@ -119,12 +119,11 @@
 		slices.Sort(lines)
 		return fmt.Sprint(c.Revision, c.Limits, lines)
 	}
-	return list(a) == list(b)
+	return describe(a) == describe(b)
 }
 
-// TestDifferencesMatchSource plays random changes down a random tree, in which links lose and hold back what is sent
-// and nodes turn to other parents: each child shows a state that the source had, at that index, and what it is sent is
-// bounded by what has changed.
+// TestDifferencesMatchSource sends random changes down a tree in which children lag, restart and change parents. Each child
+// equals the state that the source had at the child's index, and receives no more resources than have changed.
 func TestDifferencesMatchSource(t *testing.T) {
 	for seed := range uint64(12) {
 		clear(lines)
@@ -138,22 +137,22 @@
 			views[i] = NewView()
 		}
 		for range 250 {
-			cmd, most := o.change(t)
+			cmd, maxResources := o.change(t)
 			changes, err := source.Apply(cmd)
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 			if changes != nil {
-				if len(changes.Resources) > most {
-					t.Fatalf("seed %d: %d resources for a change of %d", seed, len(changes.Resources), most)
+				if len(changes.Resources) > maxResources {
+					t.Fatalf("seed %d: command changed %d resources, want at most %d", seed, len(changes.Resources), maxResources)
 				}
 				touched = append(touched, len(changes.Resources))
 				history[source.Index()], configs[source.Index()] = content(source.view), source.config
 			}
-			if o.rng.IntN(60) == 0 { // a member that begins by a snapshot goes on alike
+			if o.rng.IntN(60) == 0 { // a member that was restored from a snapshot behaves alike
 				data, err := source.Snapshot()
 				source = New()
-				if err = joinRestore(source, data, err); err != nil {
+				if err = restoreSnapshot(source, data, err); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -164,42 +163,42 @@
 					parent = views[o.rng.IntN(i)]
 				}
 				if o.rng.IntN(50) == 0 {
-					*child = *NewView() // it starts anew
+					*child = *NewView() // restart without state
 				}
 				before := child.Index()
 				sent := parent.Changes(before)
 				if sent == nil {
 					continue
 				}
-				bound := 0
+				maxSent := 0
 				for _, n := range touched[before+1 : sent.To+1] {
-					bound += n
+					maxSent += n
 				}
-				if len(sent.Resources) > bound {
-					t.Fatalf("seed %d: %d resources from %d to %d, in which %d changed", seed, len(sent.Resources), before, sent.To, bound)
+				if len(sent.Resources) > maxSent {
+					t.Fatalf("seed %d: %d resources in the changes from %d to %d, want at most %d", seed, len(sent.Resources), before, sent.To, maxSent)
 				}
 				if !child.Apply(sent) || child.Index() != sent.To || child.Index() < before {
-					t.Fatalf("seed %d: a child went from %d to %d by %d to %d", seed, before, child.Index(), sent.From, sent.To)
+					t.Fatalf("seed %d: child moved from index %d to %d by changes from %d to %d", seed, before, child.Index(), sent.From, sent.To)
 				}
 				if content(child) != history[child.Index()] {
-					t.Fatalf("seed %d: at %d a child shows\n%s\nand the source had\n%s", seed, child.Index(), content(child), history[child.Index()])
+					t.Fatalf("seed %d: at index %d a child has\n%s\nthe source had\n%s", seed, child.Index(), content(child), history[child.Index()])
 				}
 				if want := lastConfig(configs, child.Index()); o.rng.IntN(2) == 0 && !sameConfig(child.Config(), want) {
-					t.Fatalf("seed %d: at %d a child has the configuration %+v, want %+v", seed, child.Index(), child.Config(), want)
+					t.Fatalf("seed %d: at index %d a child has the configuration %+v, want %+v", seed, child.Index(), child.Config(), want)
 				}
 			}
 		}
 	}
 }
 
-func joinRestore(c *Catalog, data []byte, err error) error {
+func restoreSnapshot(c *Catalog, data []byte, err error) error {
 	if err != nil {
 		return err
 	}
 	return c.Restore(data)
 }
 
-// lastConfig is the configuration at an index.
+// lastConfig returns the configuration at an index, or nil if there was none.
 func lastConfig(configs map[uint64]*meshconfig.Config, index uint64) *meshconfig.Config {
 	for ; index > 0; index-- {
 		if c, ok := configs[index]; ok {
@@ -209,24 +208,25 @@
 	return nil
 }
 
-// TestApplyRejectsGapsAndOldChanges: changes that begin elsewhere are refused, old ones change nothing.
+// TestApplyRejectsGapsAndOldChanges checks that changes with a gap before them are rejected, and that old changes and old
+// full states are ignored.
 func TestApplyRejectsGapsAndOldChanges(t *testing.T) {
 	v := NewView()
 	server := func(from, to uint64, slots uint32) *wire.Changes {
 		return &wire.Changes{From: from, To: to, Resources: []*wire.Resource{serverResource(to, &wire.Server{Member: "i", Slots: slots})}}
 	}
 	if !v.Apply(server(0, 3, 3)) || v.Apply(server(4, 5, 5)) || v.Apply(server(2, 4, 4)) || !v.Apply(server(0, 2, 2)) || v.Index() != 3 || v.Server("i").Slots != 3 {
-		t.Errorf("at %d: %v", v.Index(), v.Server("i"))
+		t.Errorf("at index %d: %v", v.Index(), v.Server("i"))
 	}
 	old := server(0, 2, 2)
 	old.Full = true
 	if !v.Apply(old) || v.Server("i").Slots != 3 {
-		t.Error("an older state was taken")
+		t.Error("older full state was applied")
 	}
 }
 
-// TestTombstonesAreBounded: who has heard of nothing since the oldest removal that is known gets the whole state, and ends
-// with what the source has; who has heard of it gets a difference.
+// TestTombstonesAreBounded checks that the number of tombstones is bounded, and that a child below the floor receives the
+// full state while one above it receives the changes alone. Both equal the source afterwards.
 func TestTombstonesAreBounded(t *testing.T) {
 	source, early, late := NewView(), NewView(), NewView()
 	apply := func(r *wire.Resource) {
@@ -242,26 +242,26 @@
 			late.Apply(source.Changes(0))
 		}
 		if source.tombstones > maxTombstones || source.tombstones != len(source.entries)-source.servers {
-			t.Fatalf("%d tombstones are kept, %d entries", source.tombstones, len(source.entries))
+			t.Fatalf("%d tombstones among %d entries: above maxTombstones or miscounted", source.tombstones, len(source.entries))
 		}
 	}
 	apply(serverResource(source.Index()+1, &wire.Server{Member: "last"}))
 	for name, child := range map[string]*View{"early": early, "late": late} {
 		sent := source.Changes(child.Index())
 		if sent.Full != (name == "early") || !child.Apply(sent) || content(child) != content(source) || child.ServerCount() != 1 {
-			t.Errorf("the %s child got a whole state: %v, and has %d servers", name, sent.Full, child.ServerCount())
+			t.Errorf("%s child: full state %v, %d servers, want 1", name, sent.Full, child.ServerCount())
 		}
 	}
 	advanced := NewView()
 	advanced.Apply(source.Changes(0))
 	advanced.Advance(100)
 	if c := advanced.Changes(source.Index()); !c.Full || c.To != source.Index()+100 {
-		t.Errorf("after a restore a node is sent %v", c)
+		t.Errorf("changes after Advance are %v, want the full state", c)
 	}
 }
 
-// TestSnapshotKeepsFloor: a member that begins by a snapshot sends a difference to nobody to whom the others
-// would not.
+// TestSnapshotKeepsFloor checks that a member that was restored from a snapshot returns the same changes as the original,
+// since any index.
 func TestSnapshotKeepsFloor(t *testing.T) {
 	c := New()
 	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: "i"}}})
@@ -269,22 +269,22 @@
 	c.Apply(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: []string{"i"}}}})
 	c.Advance(10)
 	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: "j"}}})
-	d := New()
+	restored := New()
 	data, err := c.Snapshot()
-	if err = joinRestore(d, data, err); err != nil {
+	if err = restoreSnapshot(restored, data, err); err != nil {
 		t.Fatal(err)
 	}
 	for since := range c.Index() + 1 {
-		if got, want := d.view.Changes(since), c.view.Changes(since); !proto.Equal(got, want) {
-			t.Errorf("since %d: %v, want %v", since, got, want)
+		if got, want := restored.view.Changes(since), c.view.Changes(since); !proto.Equal(got, want) {
+			t.Errorf("changes since %d: %v, want %v", since, got, want)
 		}
 	}
 	if c.view.Changes(12).GetFull() != true || c.view.Changes(13).GetFull() {
-		t.Errorf("a new history begins with %v", c.view.Changes(13))
+		t.Errorf("want the full state since 12 and only the changes since 13, which are %v", c.view.Changes(13))
 	}
 }
 
-// TestRestorePreviousVersion have no indexes.
+// TestRestorePreviousVersion restores a snapshot without indexes of resources.
 func TestRestorePreviousVersion(t *testing.T) {
 	body := config(t, 3, nil)
 	data, err := proto.Marshal(&wire.Snapshot{State: &wire.State{Index: 40, Config: body, Servers: []*wire.Server{{Member: "i"}}}})
@@ -293,14 +293,14 @@
 	}
 	c := New()
 	if err := c.Restore(data); err != nil || c.Index() != 40 || c.Revision() != 3 || len(c.Servers()) != 1 || !bytes.Equal(c.Body(), body) {
-		t.Fatalf("at %d: %v", c.Index(), err)
+		t.Fatalf("at index %d: %v", c.Index(), err)
 	}
 	if sent := c.view.Changes(39); !sent.Full {
-		t.Error("a difference is made up from what has no indexes")
+		t.Error("changes below the snapshot's index are not the full state")
 	}
 }
 
-// TestLocalServers: a node's own servers, as changes come.
+// TestLocalServers checks that NodeServers equals the node's servers in the source after each batch of changes.
 func TestLocalServers(t *testing.T) {
 	source, local := NewView(), NodeServers{Node: "n1"}
 	rng := rand.New(rand.NewPCG(3, 4))
