--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -9,10 +9,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// The folder testdata/earlier-version was written by the version before the messages and packages were renamed. It has
-// a snapshot in a file of its own at index 6, a tail of entries 5 and 6, and entries 7 to 11 after it.
-
-// TestOpenEarlierVersion: what an earlier version has stored is loaded unchanged, can be written to and is loaded again.
+// TestOpenEarlierVersion loads a folder of the version before the messages and packages were renamed, appends to it and
+// loads it again. It has a snapshot file at index 6, a tail of entries 5 and 6, and the entries 7 to 11.
 func TestOpenEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/earlier-version")); err != nil {
@@ -37,20 +35,20 @@
 		t.Fatalf("fresh %v, damaged %v, identity %016x", s.Fresh, s.Damaged, s.ID)
 	}
 	if s.HardState.GetTerm() != 3 || s.HardState.GetVote() != 42 {
-		t.Errorf("the hard state is %v", s.HardState)
+		t.Errorf("hard state is %v", s.HardState)
 	}
 	if s.Snapshot.GetTerm() != 2 || s.Snapshot.GetIndex() != 6 || len(s.Snapshot.GetData()) != 90888 {
-		t.Errorf("the snapshot is of term %d at %d with %d bytes", s.Snapshot.GetTerm(), s.Snapshot.GetIndex(), len(s.Snapshot.GetData()))
+		t.Errorf("snapshot of term %d at index %d with %d bytes", s.Snapshot.GetTerm(), s.Snapshot.GetIndex(), len(s.Snapshot.GetData()))
 	}
 	peers := s.Snapshot.GetPeers().GetPeers()
 	if len(peers) != 3 || peers[1].Id != 42 || peers[1].Address != "10.0.1.2:7380" || peers[1].ControlAddress != "10.0.1.2:8144" || peers[2].Voter {
-		t.Errorf("the snapshot's members are %v", peers)
+		t.Errorf("snapshot members are %v", peers)
 	}
 	if len(s.Tail) != 2 || s.Tail[0].Index != 5 || s.Tail[0].Kind != wire.Entry_NO_OP {
-		t.Errorf("the tail is %v", s.Tail)
+		t.Errorf("tail is %v", s.Tail)
 	}
 	if len(s.Entries) != 5 {
-		t.Fatalf("%d entries, not 5", len(s.Entries))
+		t.Fatalf("%d entries, want 5", len(s.Entries))
 	}
 	var members wire.Peers
 	if err := proto.Unmarshal(s.Entries[1].Data, &members); err != nil || s.Entries[1].Kind != wire.Entry_MEMBERSHIP || !members.Peers[2].Voter {
--- a/internal/controlplane/store/folder.go
+++ b/internal/controlplane/store/folder.go
@@ -9,12 +9,12 @@
 	"syscall"
 )
 
-// Folder is a folder as the store needs it. Files that were created, renamed or removed are durable once Sync has returned;
-// what was written to a file, once the file's own Sync has.
+// Folder is the file system interface of the store. Creations, renames and removals of files are durable once Sync has
+// returned; writes to a file are durable once the file's own Sync has returned.
 type Folder interface {
-	Create(name string) (File, error) // for writing, empty
-	Append(name string) (File, error) // for writing at its end; created if it does not exist
-	Open(name string) (File, error)   // for reading, or for a Sync
+	Create(name string) (File, error) // truncates an existing file
+	Append(name string) (File, error) // creates the file if it does not exist
+	Open(name string) (File, error)   // opens the file for reading or Sync
 	Rename(from, to string) error
 	Remove(name string) error
 	List() ([]string, error)
@@ -34,23 +34,23 @@
 
 const lockName = "LOCK"
 
-// osFolder is a folder of the operating system, locked against other processes.
+// osFolder is a directory of the operating system, locked against other processes.
 type osFolder struct {
 	path string
 	lock *os.File
 }
 
-// openFolder opens a folder and locks it. Several processes may have it open read-only.
+// openFolder opens a folder and locks it without waiting: shared if readOnly is set, and exclusively otherwise.
 func openFolder(path string, readOnly bool) (*osFolder, error) {
-	flags, how := os.O_RDWR|os.O_CREATE, syscall.LOCK_EX
+	flags, lockMode := os.O_RDWR|os.O_CREATE, syscall.LOCK_EX
 	if readOnly {
-		flags, how = os.O_RDONLY, syscall.LOCK_SH
+		flags, lockMode = os.O_RDONLY, syscall.LOCK_SH
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockName), flags, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("locking a folder: %w", err)
+		return nil, fmt.Errorf("opening the lock file: %w", err)
 	}
-	if err := syscall.Flock(int(lock.Fd()), how|syscall.LOCK_NB); err != nil {
+	if err := syscall.Flock(int(lock.Fd()), lockMode|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		return nil, fmt.Errorf("%s is in use: %w", path, err)
 	}
@@ -80,12 +80,12 @@
 
 // List implements Folder.
 func (f *osFolder) List() ([]string, error) {
-	files, err := os.ReadDir(f.path)
+	dirEntries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, err
 	}
-	names := make([]string, 0, len(files))
-	for _, file := range files {
+	names := make([]string, 0, len(dirEntries))
+	for _, file := range dirEntries {
 		names = append(names, file.Name())
 	}
 	return names, nil
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// makeFolder creates a folder, durably, with the folders around it.
+// makeFolder creates a folder and its missing parents, and syncs the two directories above it.
 func makeFolder(path string) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return fmt.Errorf("store: %w", err)
--- a/internal/controlplane/store/fuzz_test.go
+++ b/internal/controlplane/store/fuzz_test.go
@@ -11,9 +11,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzRecovery damages a store's files at a place: cuts one off there, fills it,
-// or turns a byte. It opens with a prefix of what was synced, or begins anew under
-// another identity and says so.
+// FuzzRecovery truncates a file of the store at an offset, replaces its rest by 64 equal bytes, or flips bits of one byte.
+// Open then returns a prefix of the synced entries, an empty store with a new identity, or an error.
 func FuzzRecovery(f *testing.F) {
 	origin := f.TempDir()
 	s := open(f, origin)
@@ -31,36 +30,36 @@
 	f.Add(uint8(0), uint16(10), uint8(0), uint8(0))
 	f.Add(uint8(1), uint16(3), uint8(1), uint8(0xff))
 	f.Add(uint8(2), uint16(200), uint8(2), uint8(1))
-	f.Fuzz(func(t *testing.T, which uint8, at uint16, how, with uint8) {
+	f.Fuzz(func(t *testing.T, file uint8, offset uint16, mode, value uint8) {
 		dir := t.TempDir()
 		if err := os.CopyFS(dir, os.DirFS(origin)); err != nil {
 			t.Fatal(err)
 		}
-		name := filepath.Join(dir, "log", filepath.Base(names[int(which)%len(names)]))
+		name := filepath.Join(dir, "log", filepath.Base(names[int(file)%len(names)]))
 		data, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		i := int(at) % (len(data) + 1)
+		i := int(offset) % (len(data) + 1)
 		switch {
-		case how%3 == 0:
+		case mode%3 == 0:
 			data = data[:i]
-		case how%3 == 1:
-			data = append(data[:i:i], bytes.Repeat([]byte{with}, 64)...)
+		case mode%3 == 1:
+			data = append(data[:i:i], bytes.Repeat([]byte{value}, 64)...)
 		case i < len(data):
-			data[i] ^= with
+			data[i] ^= value
 		}
 		if err := os.WriteFile(name, data, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		s, err := Open(dir, rand.New(rand.NewPCG(9, uint64(at))))
+		s, err := Open(dir, rand.New(rand.NewPCG(9, uint64(offset))))
 		if err != nil {
-			return // it says so, and serves nothing
+			return // an error is a valid outcome: nothing is served
 		}
 		defer s.Close()
 		if s.ID != id {
 			if !s.Fresh || len(s.Entries) > 0 || s.HardState != nil {
-				t.Errorf("another identity came with %d entries", len(s.Entries))
+				t.Errorf("store with a new identity is not empty: it has %d entries", len(s.Entries))
 			}
 			return
 		}
@@ -71,7 +70,7 @@
 			}
 		}
 		if len(s.Entries) > 12 {
-			t.Error(fmt.Sprint("more than was ever written: ", len(s.Entries)))
+			t.Error(fmt.Sprint("more than the 12 saved entries: ", len(s.Entries)))
 		}
 	})
 }
--- a/internal/controlplane/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -14,12 +14,12 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// load reads the folder. Without rng it changes nothing in it.
+// load reads the folder. If rng is nil, it modifies nothing in the folder.
 func (s *Store) load(rng *rand.Rand) error {
 	if err := s.readFormat(); err != nil {
 		return err
 	}
-	if s.format < format && rng != nil { // an empty folder is given this format
+	if s.format < latestFormat && rng != nil { // also writes the format of an empty folder
 		if err := s.upgrade(); err != nil {
 			return err
 		}
@@ -27,11 +27,11 @@
 	if err := s.loadIdentity(rng); err != nil || s.Fresh {
 		return err
 	}
-	hard := new(wire.HardState)
-	if ok, err := s.get(keyHardState, hard); err != nil {
+	hardState := new(wire.HardState)
+	if ok, err := s.get(keyHardState, hardState); err != nil {
 		return err
 	} else if ok {
-		s.HardState = hard
+		s.HardState = hardState
 	}
 	if err := s.loadSnapshot(); err != nil {
 		return err
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// loadIdentity reads the identity, or draws one for an empty folder.
+// loadIdentity reads the member's identity. It generates one if the folder is empty.
 func (s *Store) loadIdentity(rng *rand.Rand) error {
 	id, err := s.db.Get(keyID, nil)
 	switch {
@@ -58,68 +58,68 @@
 		return err
 	}
 	if len(id) != 8 {
-		return fmt.Errorf("%w: the identity has %d bytes, not 8", errCorrupted, len(id))
+		return fmt.Errorf("%w: the identity has %d bytes, want 8", errCorrupted, len(id))
 	}
 	s.ID = binary.BigEndian.Uint64(id)
 	return nil
 }
 
-// drawIdentity gives an empty folder an identity.
+// drawIdentity generates a random nonzero identity and stores it. A folder with entries is corrupted, not empty.
 func (s *Store) drawIdentity(rng *rand.Rand) error {
 	it := s.db.NewIterator(util.BytesPrefix([]byte{entryPrefix}), nil)
 	defer it.Release()
 	if it.Next() {
-		return fmt.Errorf("%w: there are entries without an identity", errCorrupted)
+		return fmt.Errorf("%w: the folder has entries but no identity", errCorrupted)
 	}
 	s.Fresh, s.first = true, 1
 	for s.ID == 0 {
 		s.ID = rng.Uint64()
 	}
-	return s.db.Put(keyID, seal(keyID, binary.BigEndian.AppendUint64(nil, s.ID)), &opt.WriteOptions{Sync: true})
+	return s.db.Put(keyID, addChecksum(keyID, binary.BigEndian.AppendUint64(nil, s.ID)), &opt.WriteOptions{Sync: true})
 }
 
-// loadEntries reads the entries. Those after the snapshot must be contiguous. Of those up to it, the contiguous ones before
-// it are its tail, and all others are left of an earlier log.
+// loadEntries reads the entries. Those after the snapshot must be contiguous. Of those up to the snapshot's index, the ones
+// that are contiguous with it are the tail, and all others are obsolete.
 func (s *Store) loadEntries() error {
-	end := s.Snapshot.GetIndex()
-	var run []*wire.Entry // contiguous
+	snapshotIndex := s.Snapshot.GetIndex()
+	var contiguous []*wire.Entry // the latest run without gaps
 	it := s.db.NewIterator(util.BytesPrefix([]byte{entryPrefix}), nil)
 	defer it.Release()
 	for it.Next() {
-		e, err := s.decodeEntry(it.Key(), it.Value())
+		entry, err := s.decodeEntry(it.Key(), it.Value())
 		if err != nil {
 			return err
 		}
-		if n := len(run); n > 0 && run[n-1].Index+1 != e.Index && run[n-1].Index < end {
-			s.markObsolete(run[0].Index, run[n-1].Index+1)
-			run = nil
+		if n := len(contiguous); n > 0 && contiguous[n-1].Index+1 != entry.Index && contiguous[n-1].Index < snapshotIndex {
+			s.markObsolete(contiguous[0].Index, contiguous[n-1].Index+1)
+			contiguous = nil
 		}
-		if e.Index > end { // after the snapshot: without gaps
-			next := end + 1
-			if len(run) > 0 {
-				next = run[len(run)-1].Index + 1
+		if entry.Index > snapshotIndex { // entries after the snapshot must have no gaps
+			next := snapshotIndex + 1
+			if len(contiguous) > 0 {
+				next = contiguous[len(contiguous)-1].Index + 1
 			}
-			if e.Index != next {
-				return fmt.Errorf("%w: entry %d is missing before entry %d", errCorrupted, next, e.Index)
+			if entry.Index != next {
+				return fmt.Errorf("%w: entry %d is missing before entry %d", errCorrupted, next, entry.Index)
 			}
 		}
-		run = append(run, e)
+		contiguous = append(contiguous, entry)
 	}
 	if err := it.Error(); err != nil {
 		return fmt.Errorf("reading entries: %w", err)
 	}
-	if n := len(run); n > 0 && run[n-1].Index < end {
-		s.markObsolete(run[0].Index, run[n-1].Index+1)
-		run = nil
+	if n := len(contiguous); n > 0 && contiguous[n-1].Index < snapshotIndex {
+		s.markObsolete(contiguous[0].Index, contiguous[n-1].Index+1)
+		contiguous = nil
 	}
-	s.first, s.last = end+1, end
-	if len(run) > 0 {
-		s.first, s.last = run[0].Index, run[len(run)-1].Index
+	s.first, s.last = snapshotIndex+1, snapshotIndex
+	if len(contiguous) > 0 {
+		s.first, s.last = contiguous[0].Index, contiguous[len(contiguous)-1].Index
 	}
-	tail := int(end + 1 - s.first)
-	s.Tail, s.Entries = run[:tail:tail], run[tail:]
+	tail := int(snapshotIndex + 1 - s.first)
+	s.Tail, s.Entries = contiguous[:tail:tail], contiguous[tail:]
 	if tail > 0 && s.Tail[tail-1].Term != s.Snapshot.Term {
-		return fmt.Errorf("%w: entry %d has term %d, and the snapshot there %d", errCorrupted, end, s.Tail[tail-1].Term, s.Snapshot.Term)
+		return fmt.Errorf("%w: entry %d has term %d, but the snapshot at its index has term %d", errCorrupted, snapshotIndex, s.Tail[tail-1].Term, s.Snapshot.Term)
 	}
 	return nil
 }
@@ -129,12 +129,12 @@
 	if err != nil {
 		return nil, err
 	}
-	e := new(wire.Entry)
-	if err := proto.Unmarshal(value, e); err != nil {
-		return nil, fmt.Errorf("%w: the entry %x: %w", errCorrupted, key, err)
+	entry := new(wire.Entry)
+	if err := proto.Unmarshal(value, entry); err != nil {
+		return nil, fmt.Errorf("%w: decoding the entry with key %x: %w", errCorrupted, key, err)
 	}
-	if string(entryKey(e.Index)) != string(key) {
-		return nil, fmt.Errorf("%w: entry %d is under another's key", errCorrupted, e.Index)
+	if string(entryKey(entry.Index)) != string(key) {
+		return nil, fmt.Errorf("%w: entry %d is stored under another entry's key", errCorrupted, entry.Index)
 	}
-	return e, nil
+	return entry, nil
 }
--- a/internal/controlplane/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -20,89 +20,89 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// content is what a store should hold.
+// content is the expected content of a store.
 type content struct {
-	hard     *wire.HardState
-	snapshot *wire.RaftSnapshot
-	entries  []*wire.Entry // behind the snapshot
+	hardState *wire.HardState
+	snapshot  *wire.RaftSnapshot
+	entries   []*wire.Entry // after the snapshot
 }
 
 func (c content) last() uint64 { return c.snapshot.GetIndex() + uint64(len(c.entries)) }
 
-// with is the content after a Save.
-func (c content) with(b store.Batch) content {
-	if b.HardState != nil {
-		c.hard = b.HardState
+// after returns the content after a Save of a batch.
+func (c content) after(batch store.Batch) content {
+	if batch.HardState != nil {
+		c.hardState = batch.HardState
 	}
-	if s := b.Snapshot; s != nil {
-		if b.ReplacesLog || s.Index >= c.last() {
+	if s := batch.Snapshot; s != nil {
+		if batch.ReplacesLog || s.Index >= c.last() {
 			c.entries = nil
 		} else {
 			c.entries = c.entries[s.Index-c.snapshot.GetIndex():]
 		}
 		c.snapshot = s
 	}
-	if len(b.Entries) > 0 {
-		keep := b.Entries[0].Index - c.snapshot.GetIndex() - 1
-		c.entries = append(c.entries[:keep:keep], b.Entries...)
+	if len(batch.Entries) > 0 {
+		keep := batch.Entries[0].Index - c.snapshot.GetIndex() - 1
+		c.entries = append(c.entries[:keep:keep], batch.Entries...)
 	}
 	return c
 }
 
-// heldBy reports whether a store holds this content, with the tail in front of it if there is one.
-func (c content) heldBy(s *store.Store) error {
-	if !proto.Equal(s.HardState, c.hard) && (s.HardState != nil || c.hard != nil) {
-		return fmt.Errorf("the vote is %v, not %v", s.HardState, c.hard)
+// check returns an error unless a store holds this content, and a tail that is contiguous with the snapshot.
+func (c content) check(s *store.Store) error {
+	if !proto.Equal(s.HardState, c.hardState) && (s.HardState != nil || c.hardState != nil) {
+		return fmt.Errorf("hard state is %v, want %v", s.HardState, c.hardState)
 	}
 	if s.Snapshot.GetIndex() != c.snapshot.GetIndex() || s.Snapshot.GetTerm() != c.snapshot.GetTerm() || !bytes.Equal(s.Snapshot.GetData(), c.snapshot.GetData()) {
-		return fmt.Errorf("the snapshot is at %d, not %d", s.Snapshot.GetIndex(), c.snapshot.GetIndex())
+		return fmt.Errorf("snapshot at index %d differs from the expected one at index %d", s.Snapshot.GetIndex(), c.snapshot.GetIndex())
 	}
 	if len(s.Entries) != len(c.entries) {
-		return fmt.Errorf("%d entries behind %d, not %d", len(s.Entries), s.Snapshot.GetIndex(), len(c.entries))
+		return fmt.Errorf("%d entries after the snapshot at index %d, want %d", len(s.Entries), s.Snapshot.GetIndex(), len(c.entries))
 	}
 	for i, e := range s.Entries {
 		if !proto.Equal(e, c.entries[i]) {
-			return fmt.Errorf("entry %d is of term %d, and %d of term %d was saved", e.Index, e.Term, c.entries[i].Index, c.entries[i].Term)
+			return fmt.Errorf("entry %d of term %d differs from the saved entry %d of term %d", e.Index, e.Term, c.entries[i].Index, c.entries[i].Term)
 		}
 	}
 	for i, e := range s.Tail {
 		if e.Index != s.Snapshot.Index-uint64(len(s.Tail)-1-i) {
-			return fmt.Errorf("the tail has entry %d at place %d of %d", e.Index, i, len(s.Tail))
+			return fmt.Errorf("tail has entry %d at position %d of %d", e.Index, i, len(s.Tail))
 		}
 	}
 	return nil
 }
 
-// someBytes are as long as it takes to fill the database's files within a few writes.
-func someBytes(rng *rand.Rand, most int) []byte {
-	return bytes.Repeat([]byte{byte(1 + rng.IntN(255))}, rng.IntN(most)+1)
+// randomData returns 1 to maxLength equal bytes. Large data makes the database rotate its files within a few writes.
+func randomData(rng *rand.Rand, maxLength int) []byte {
+	return bytes.Repeat([]byte{byte(1 + rng.IntN(255))}, rng.IntN(maxLength)+1)
 }
 
-// nextBatch is a Save that a member could ask for, with what it takes to prepare it.
-func nextBatch(s *store.Store, c content, rng *rand.Rand) (store.Batch, error) {
-	term := c.hard.GetTerm() + 1
+// randomBatch returns a valid batch for a store with the given content. It stages the snapshot of the batch, if any.
+func randomBatch(s *store.Store, current content, rng *rand.Rand) (store.Batch, error) {
+	term := current.hardState.GetTerm() + 1
 	switch kind := rng.IntN(8); {
-	case kind == 0 && len(c.entries) > 0: // an own snapshot, with a tail in front of it
-		e := c.entries[rng.IntN(len(c.entries))]
-		snapshot := &wire.RaftSnapshot{Term: e.Term, Index: e.Index, Data: someBytes(rng, 200<<10)}
+	case kind == 0 && len(current.entries) > 0: // the member's own snapshot, with a tail before it
+		entry := current.entries[rng.IntN(len(current.entries))]
+		snapshot := &wire.RaftSnapshot{Term: entry.Term, Index: entry.Index, Data: randomData(rng, 200<<10)}
 		staged, err := s.Stage(snapshot.Index, snapshot.Data)
-		first := e.Index - min(e.Index-1, uint64(rng.IntN(20)))
+		first := entry.Index - min(entry.Index-1, uint64(rng.IntN(20)))
 		return store.Batch{Snapshot: snapshot, Staged: staged, First: first}, err
-	case kind == 1: // a leader's snapshot, in pieces
-		snapshot := &wire.RaftSnapshot{Term: term, Index: c.snapshot.GetIndex() + 1 + uint64(rng.IntN(30))}
-		snapshot.Data = someBytes(rng, 200<<10)
+	case kind == 1: // a leader's snapshot, received in chunks
+		snapshot := &wire.RaftSnapshot{Term: term, Index: current.snapshot.GetIndex() + 1 + uint64(rng.IntN(30))}
+		snapshot.Data = randomData(rng, 200<<10)
 		staged, err := receive(s, snapshot.Index, snapshot.Data)
 		return store.Batch{Snapshot: snapshot, Staged: staged, ReplacesLog: true, HardState: &wire.HardState{Term: term}}, err
 	default:
-		from := c.last() + 1
-		if rng.IntN(4) == 0 { // another leader's take the place of some
-			from -= uint64(rng.IntN(len(c.entries) + 1))
+		from := current.last() + 1
+		if rng.IntN(4) == 0 { // entries of another leader replace some
+			from -= uint64(rng.IntN(len(current.entries) + 1))
 		}
-		b := store.Batch{HardState: &wire.HardState{Term: term, Vote: rng.Uint64N(5)}}
+		batch := store.Batch{HardState: &wire.HardState{Term: term, Vote: rng.Uint64N(5)}}
 		for i := range uint64(rng.IntN(5) + 1) {
-			b.Entries = append(b.Entries, &wire.Entry{Term: term, Index: from + i, Data: someBytes(rng, 40<<10)})
+			batch.Entries = append(batch.Entries, &wire.Entry{Term: term, Index: from + i, Data: randomData(rng, 40<<10)})
 		}
-		return b, nil
+		return batch, nil
 	}
 }
 
@@ -112,164 +112,162 @@
 		return nil, err
 	}
 	defer incoming.Close()
-	for at := incoming.Offset(); at < uint64(len(data)); at = incoming.Offset() {
-		if err := incoming.Write(data[at:min(at+64<<10, uint64(len(data)))]); err != nil {
+	for offset := incoming.Offset(); offset < uint64(len(data)); offset = incoming.Offset() {
+		if err := incoming.Write(data[offset:min(offset+64<<10, uint64(len(data)))]); err != nil {
 			return nil, err
 		}
 	}
 	return incoming.Finish()
 }
 
-// disk is what a member's disk must hold.
-type disk struct {
-	id     uint64  // 0: not drawn yet
-	saved  content // by the last Save that has returned
-	saving content // by the Save that had begun since, if it is there
+// diskState is the expected content of a member's disk.
+type diskState struct {
+	id     uint64  // 0 before the store is created
+	saved  content // after the last Save that has returned
+	saving content // after the Save that is in progress, if any
 }
 
-// open opens the store in a folder and returns it if it holds what was saved for sure, or what was being saved, which is
-// what the member goes on from.
-func (d disk) open(folder *simdisk.Folder, rng *rand.Rand) (*store.Store, disk, error) {
+// openAndCheck opens the store in a folder and checks that it holds the saved content or the content being saved. It returns
+// the store and a state whose saved content is the one found.
+func (d diskState) openAndCheck(folder *simdisk.Folder, rng *rand.Rand) (*store.Store, diskState, error) {
 	s, err := store.OpenFolder(folder, rng)
 	if err != nil {
-		return nil, disk{}, err
+		return nil, diskState{}, err
 	}
 	if d.id != 0 && s.ID != d.id {
-		return nil, disk{}, fmt.Errorf("the identity %x is lost", d.id)
+		return nil, diskState{}, fmt.Errorf("identity %x was lost", d.id)
 	}
-	wrong := d.saved.heldBy(s)
+	mismatch := d.saved.check(s)
 	switch {
-	case wrong == nil:
-		return s, disk{id: s.ID, saved: d.saved, saving: d.saved}, nil
-	case d.saving.heldBy(s) == nil:
-		return s, disk{id: s.ID, saved: d.saving, saving: d.saving}, nil
+	case mismatch == nil:
+		return s, diskState{id: s.ID, saved: d.saved, saving: d.saved}, nil
+	case d.saving.check(s) == nil:
+		return s, diskState{id: s.ID, saved: d.saving, saving: d.saving}, nil
 	}
-	return nil, disk{}, wrong
+	return nil, diskState{}, mismatch
 }
 
-// member is one whose power goes now and then.
+// member is a simulated member that repeatedly loses power.
 type member struct {
-	folder *simdisk.Folder
-	disk   disk
-	saves  int
+	folder   *simdisk.Folder
+	expected diskState
+	saves    int
 }
 
-// reopen opens the store after a loss of power, and closes it again.
+// reopen opens and checks the store after a power loss, and closes it again.
 func (m *member) reopen(rng *rand.Rand) error {
-	s, found, err := m.disk.open(m.folder, rng)
+	s, found, err := m.expected.openAndCheck(m.folder, rng)
 	if err != nil {
 		return err
 	}
-	m.disk = found
+	m.expected = found
 	return s.Close()
 }
 
-// process is what runs on a member's machine from one loss of power to the next. The loss stops it at its next operation
-// on the folder; what it does in memory until then is seen by nobody, but it may go on beside the test, which shares
-// nothing with it beyond this.
+// process runs on a member's machine between two power losses. After a loss, its next operation on the folder blocks
+// forever. Until then it may run concurrently with the test, which therefore reads only the fields under mu.
 type process struct {
 	folder *simdisk.Folder
 	rng    *rand.Rand
 
-	mu    sync.Mutex
-	disk  disk
-	saves int
+	mu       sync.Mutex
+	expected diskState
+	saves    int
 }
 
-// runUntilPowerLoss starts a process that opens the store and saves batch after batch, and returns once it has lost its
-// power, or with the error that ended it before. The power goes after so many operations on the folder.
+// runUntilPowerLoss starts a process that opens the store and saves batches, and cuts the power after the given number of
+// operations on the folder. It returns nil after the power loss, or the error that ended the process before.
 func (m *member) runUntilPowerLoss(operations int, rng *rand.Rand) error {
 	m.folder.PowerOffAfter(operations)
-	before := m.disk
-	p := &process{folder: m.folder, rng: rng, disk: before}
-	ended := make(chan error, 1)
-	go func() { ended <- p.run(before) }()
+	initial := m.expected
+	p := &process{folder: m.folder, rng: rng, expected: initial}
+	result := make(chan error, 1)
+	go func() { result <- p.run(initial) }()
 	select {
-	case err := <-ended:
-		return fmt.Errorf("with a disk that works: %w", err)
+	case err := <-result:
+		return fmt.Errorf("process failed before the power loss: %w", err)
 	case <-m.folder.PowerLost():
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m.disk = p.disk
+	m.expected = p.expected
 	m.saves += p.saves
 	return nil
 }
 
-// run does not return as long as the disk does what it is asked for: the loss of power stops it.
-func (p *process) run(before disk) error {
-	s, now, err := before.open(p.folder, p.rng)
+// run opens the store and saves batches until an operation fails. A power loss blocks it forever.
+func (p *process) run(initial diskState) error {
+	s, state, err := initial.openAndCheck(p.folder, p.rng)
 	if err != nil {
 		return err
 	}
 	for {
-		batch, err := nextBatch(s, now.saved, p.rng)
+		batch, err := randomBatch(s, state.saved, p.rng)
 		if err != nil {
 			return err
 		}
-		now.saving = now.saved.with(batch)
-		p.note(now, 0)
+		state.saving = state.saved.after(batch)
+		p.setExpected(state, 0)
 		if err := s.Save(batch); err != nil {
 			return err
 		}
-		now.saved = now.saving
-		p.note(now, 1)
+		state.saved = state.saving
+		p.setExpected(state, 1)
 	}
 }
 
-// note says what the disk must hold from now on.
-func (p *process) note(d disk, saves int) {
+// setExpected replaces the expected content of the disk and adds to the number of saves.
+func (p *process) setExpected(d diskState, saves int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.disk = d
+	p.expected = d
 	p.saves += saves
 }
 
 const (
 	powerLossMembers = 15
-	powerLosses      = 8 // of each member
-	// powerLossSeed names the variable that makes the test program play one member and print how often it saved. What a
-	// loss of power stops never ends, so each member has a program of its own, whose end frees all of it.
-	powerLossSeed = "IVYDECK_TEST_POWER_LOSS_SEED"
+	powerLosses      = 8 // per member
+	// powerLossSeedEnv is the environment variable that makes the test binary simulate one member and print its number of
+	// saves. Each member runs in its own process, since goroutines that a power loss blocks end only with the process.
+	powerLossSeedEnv = "IVYDECK_TEST_POWER_LOSS_SEED"
 )
 
 func TestMain(m *testing.M) {
-	text := os.Getenv(powerLossSeed)
-	if text == "" {
+	seedText := os.Getenv(powerLossSeedEnv)
+	if seedText == "" {
 		os.Exit(m.Run())
 	}
-	seed, err := strconv.ParseUint(text, 10, 64)
+	seed, err := strconv.ParseUint(seedText, 10, 64)
 	if err != nil {
 		log.Fatal(err)
 	}
-	saves, err := losePower(seed)
+	saves, err := runMember(seed)
 	if err != nil {
 		log.Fatal(err)
 	}
 	fmt.Println(saves)
 }
 
-// losePower plays one member through its losses of power.
-func losePower(seed uint64) (saves int, err error) {
+// runMember simulates one member through powerLosses power losses and returns its number of saves.
+func runMember(seed uint64) (saves int, err error) {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	m := &member{folder: simdisk.NewFolder()}
+	simulated := &member{folder: simdisk.NewFolder()}
 	for range powerLosses {
-		// The process has numbers of its own: it may still draw some when the test goes on.
+		// The process has its own generator, since it may still run after the power loss.
 		processRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		if err := m.runUntilPowerLoss(1+rng.IntN(400), processRNG); err != nil {
-			return m.saves, err
+		if err := simulated.runUntilPowerLoss(1+rng.IntN(400), processRNG); err != nil {
+			return simulated.saves, err
 		}
-		m.folder = m.folder.Crash(rng)
-		if err := m.reopen(rng); err != nil {
-			return m.saves, fmt.Errorf("after a loss of power: %w", err)
+		simulated.folder = simulated.folder.Crash(rng)
+		if err := simulated.reopen(rng); err != nil {
+			return simulated.saves, fmt.Errorf("after a power loss: %w", err)
 		}
 	}
-	return m.saves, nil
+	return simulated.saves, nil
 }
 
-// TestPowerLosses: the power goes at any operation on the folder, and each name in it that was not synced is kept or lost
-// by itself. The store opens as it was after the last Save that returned, or the one that had begun: never damaged, never
-// older.
+// TestPowerLosses cuts the power at random operations on the folder. Each unsynced change of a name survives or is lost
+// independently. The store then opens, with the content after the last Save that returned or the one in progress.
 func TestPowerLosses(t *testing.T) {
 	var saves atomic.Int64
 	t.Run("members", func(t *testing.T) {
@@ -277,7 +275,7 @@
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
 				program := exec.Command(os.Args[0])
-				program.Env = append(os.Environ(), powerLossSeed+"="+strconv.Itoa(seed))
+				program.Env = append(os.Environ(), powerLossSeedEnv+"="+strconv.Itoa(seed))
 				var stderr strings.Builder
 				program.Stderr = &stderr
 				output, err := program.Output()
@@ -293,7 +291,7 @@
 		}
 	})
 	if saves.Load() < 5*powerLossMembers*powerLosses {
-		t.Errorf("%d saves in %d losses: hardly a test", saves.Load(), powerLossMembers*powerLosses)
+		t.Errorf("%d saves in %d power losses, want at least 5 per loss: too few cases", saves.Load(), powerLossMembers*powerLosses)
 	}
-	t.Logf("%d saves, %d losses of power", saves.Load(), powerLossMembers*powerLosses)
+	t.Logf("%d saves, %d power losses", saves.Load(), powerLossMembers*powerLosses)
 }
--- a/internal/controlplane/store/record.go
+++ b/internal/controlplane/store/record.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The keys of the database. An entry's key is its prefix and its index, big-endian.
+// Keys of the database. An entry's key is entryPrefix and the index as 8 bytes, big-endian.
 var (
 	keyID        = []byte("id")
 	keyHardState = []byte("hard")
@@ -21,47 +21,48 @@
 	entryPrefix  = byte('e')
 )
 
-// format is the newest one that this version knows: 1 has records with checksums, 2 large snapshots in files of their own.
-// Folders of the first format name none. Keys and formats are frozen: stored data stays readable.
-const format = 2
+// latestFormat is the latest format that this version supports. Format 1 added checksums to records, and format 2 files for
+// large snapshots. Folders without a format record predate both. Keys and formats must not change, so that stored data
+// stays readable.
+const latestFormat = 2
 
-// ErrNewerFormat says that a later version has written the folder, in which nothing was changed.
+// ErrNewerFormat is returned for a folder that a later version has written. The folder is left unchanged.
 var ErrNewerFormat = errors.New("written by a later version")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seal prefixes a record with its checksum.
-func seal(key, value []byte) []byte {
+// addChecksum returns a record: the CRC-32C of the key and the value, and the value.
+func addChecksum(key, value []byte) []byte {
 	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(value)), sum), value...)
 }
 
-// unseal returns a record without its checksum.
-func unseal(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < 4 || binary.BigEndian.Uint32(sealed) != crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, sealed[4:]) {
-		return nil, fmt.Errorf("%w: the record %q fails its checksum", errCorrupted, key)
+// verifyChecksum verifies a record and returns its value without the checksum.
+func verifyChecksum(key, stored []byte) ([]byte, error) {
+	if len(stored) < 4 || binary.BigEndian.Uint32(stored) != crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, stored[4:]) {
+		return nil, fmt.Errorf("%w: checksum mismatch in record %q", errCorrupted, key)
 	}
-	return sealed[4:], nil
+	return stored[4:], nil
 }
 
 func entryKey(index uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte{entryPrefix}, index)
 }
 
-// get reads a message; ok is false if there is none.
-func (s *Store) get(key []byte, m proto.Message) (ok bool, err error) {
+// get reads the message stored under a key into message. ok is false if there is none.
+func (s *Store) get(key []byte, message proto.Message) (ok bool, err error) {
 	data, err := s.db.Get(key, nil)
 	if errors.Is(err, leveldb.ErrNotFound) {
 		return false, nil
 	}
 	if err != nil {
-		return false, fmt.Errorf("reading %q: %w", key, err)
+		return false, fmt.Errorf("reading record %q: %w", key, err)
 	}
 	if data, err = s.record(key, data); err != nil {
 		return false, err
 	}
-	if err := proto.Unmarshal(data, m); err != nil {
-		return false, fmt.Errorf("%w: reading %q: %w", errCorrupted, key, err)
+	if err := proto.Unmarshal(data, message); err != nil {
+		return false, fmt.Errorf("%w: decoding record %q: %w", errCorrupted, key, err)
 	}
 	return true, nil
 }
@@ -69,56 +70,56 @@
 // Checksum returns the CRC-32C of a snapshot's data.
 func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
-// record returns the content of a stored record.
+// record returns the value of a stored record, after verifying the checksum if the folder's format has one.
 func (s *Store) record(key, stored []byte) ([]byte, error) {
-	if s.unsealed {
+	if s.noChecksums {
 		return stored, nil
 	}
-	return unseal(key, stored)
+	return verifyChecksum(key, stored)
 }
 
-// readFormat reads the format of the records.
+// readFormat reads the folder's format. A folder without one has records without checksums.
 func (s *Store) readFormat() error {
-	b, err := s.db.Get(keyFormat, nil)
+	stored, err := s.db.Get(keyFormat, nil)
 	switch {
 	case errors.Is(err, leveldb.ErrNotFound):
-		s.unsealed = true
+		s.noChecksums = true
 	case err != nil:
 		return fmt.Errorf("reading the format: %w", err)
-	case len(b) != 4:
-		return fmt.Errorf("%w: the format has %d bytes, not 4", errCorrupted, len(b))
+	case len(stored) != 4:
+		return fmt.Errorf("%w: the format has %d bytes, want 4", errCorrupted, len(stored))
 	default:
-		if s.format = binary.BigEndian.Uint32(b); s.format > format {
-			return fmt.Errorf("%w: format %d, and this one knows up to %d", ErrNewerFormat, s.format, format)
+		if s.format = binary.BigEndian.Uint32(stored); s.format > latestFormat {
+			return fmt.Errorf("%w: format %d, this version supports formats up to %d", ErrNewerFormat, s.format, latestFormat)
 		}
 	}
 	return nil
 }
 
-// upgrade brings the folder to the newest format, in one synced write.
+// upgrade converts the folder to the latest format in one synced write.
 func (s *Store) upgrade() error {
-	w := new(leveldb.Batch)
-	if s.unsealed {
-		if err := s.sealAll(w); err != nil {
+	batch := new(leveldb.Batch)
+	if s.noChecksums {
+		if err := s.addChecksums(batch); err != nil {
 			return err
 		}
 	}
-	w.Put(keyFormat, binary.BigEndian.AppendUint32(nil, format))
-	if err := s.db.Write(w, &opt.WriteOptions{Sync: true}); err != nil {
-		return fmt.Errorf("writing the records anew: %w", err)
+	batch.Put(keyFormat, binary.BigEndian.AppendUint32(nil, latestFormat))
+	if err := s.db.Write(batch, &opt.WriteOptions{Sync: true}); err != nil {
+		return fmt.Errorf("upgrading the records: %w", err)
 	}
-	s.unsealed, s.format = false, format
+	s.noChecksums, s.format = false, latestFormat
 	return nil
 }
 
-func (s *Store) sealAll(w *leveldb.Batch) error {
+func (s *Store) addChecksums(batch *leveldb.Batch) error {
 	it := s.db.NewIterator(nil, nil)
 	defer it.Release()
 	for it.Next() {
-		w.Put(bytes.Clone(it.Key()), seal(it.Key(), it.Value()))
+		batch.Put(bytes.Clone(it.Key()), addChecksum(it.Key(), it.Value()))
 	}
 	if err := it.Error(); err != nil {
-		return fmt.Errorf("reading records of the first format: %w", err)
+		return fmt.Errorf("reading records without checksums: %w", err)
 	}
 	return nil
 }
--- a/internal/controlplane/store/save.go
+++ b/internal/controlplane/store/save.go
@@ -10,127 +10,127 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxObsoleteDeletes bounds the obsolete entries that one Save deletes.
+// maxObsoleteDeletes is the maximum number of obsolete entries that one Save deletes.
 const maxObsoleteDeletes = 512
 
-// indexRange is a range of indexes, without its end.
+// indexRange is the half-open range of indexes [from, to).
 type indexRange struct {
 	from, to uint64
 }
 
-// Batch is what one Save writes, all of it or nothing.
+// Batch is an atomic write. Nil and empty fields leave the stored values unchanged.
 type Batch struct {
-	Snapshot    *wire.RaftSnapshot // replaces the one before
-	Staged      *StagedSnapshot    // its data, if that is in the folder already
-	ReplacesLog bool               // the snapshot is a leader's and replaces the log as well
-	First       uint64             // oldest entry of the tail before the snapshot; 0: there is none
+	Snapshot    *wire.RaftSnapshot // replaces the stored snapshot
+	Staged      *StagedSnapshot    // result of Stage or Finish for the snapshot; nil stores Snapshot.Data in the record
+	ReplacesLog bool               // the snapshot was received from a leader and replaces all entries
+	First       uint64             // index of the oldest entry to keep before the snapshot; 0 keeps none
 	HardState   *wire.HardState
-	Entries     []*wire.Entry // replace all stored entries from the first of them on
+	Entries     []*wire.Entry // replace all stored entries from the first one's index on
 }
 
-// pendingBatch is the write of a Save, with the bookkeeping that it changes.
+// pendingBatch is the write of a Save, with the fields of Store that change once it succeeds.
 type pendingBatch struct {
 	leveldb.Batch
 	first, last uint64
 	obsolete    []indexRange
 }
 
-func (c *pendingBatch) put(key []byte, m proto.Message) error {
-	data, err := proto.Marshal(m)
+func (p *pendingBatch) put(key []byte, message proto.Message) error {
+	data, err := proto.Marshal(message)
 	if err == nil {
-		c.Put(key, seal(key, data))
+		p.Put(key, addChecksum(key, data))
 	}
 	return err
 }
 
-// markObsolete takes entries out of force; they are deleted later.
-func (c *pendingBatch) markObsolete(from, to uint64) {
+// markObsolete schedules the entries in [from, to) for deletion.
+func (p *pendingBatch) markObsolete(from, to uint64) {
 	if from < to {
-		c.obsolete = append(c.obsolete, indexRange{from, to})
+		p.obsolete = append(p.obsolete, indexRange{from, to})
 	}
 }
 
-// deleteObsolete deletes a bounded number of obsolete entries.
-func (c *pendingBatch) deleteObsolete() {
-	for n := 0; n < maxObsoleteDeletes && len(c.obsolete) > 0; n++ {
-		r := &c.obsolete[0]
-		c.Delete(entryKey(r.from))
+// deleteObsolete adds the deletion of up to maxObsoleteDeletes obsolete entries.
+func (p *pendingBatch) deleteObsolete() {
+	for n := 0; n < maxObsoleteDeletes && len(p.obsolete) > 0; n++ {
+		r := &p.obsolete[0]
+		p.Delete(entryKey(r.from))
 		if r.from++; r.from == r.to {
-			c.obsolete = c.obsolete[1:]
+			p.obsolete = p.obsolete[1:]
 		}
 	}
 }
 
-// Save writes a batch, all of it or nothing, and syncs it. After an error, Reopen has to be called before the next Save.
-func (s *Store) Save(b Batch) error {
-	c := &pendingBatch{first: s.first, last: s.last, obsolete: append([]indexRange(nil), s.obsolete...)}
-	if b.Snapshot != nil {
-		if err := s.saveSnapshot(c, b); err != nil {
+// Save writes a batch atomically and syncs it. After an error, the caller must call Reopen before the next Save.
+func (s *Store) Save(batch Batch) error {
+	pending := &pendingBatch{first: s.first, last: s.last, obsolete: append([]indexRange(nil), s.obsolete...)}
+	if batch.Snapshot != nil {
+		if err := s.saveSnapshot(pending, batch); err != nil {
 			return fmt.Errorf("store: encoding a snapshot: %w", err)
 		}
 	}
-	if b.HardState != nil {
-		if err := c.put(keyHardState, b.HardState); err != nil {
-			return fmt.Errorf("store: encoding the vote: %w", err)
+	if batch.HardState != nil {
+		if err := pending.put(keyHardState, batch.HardState); err != nil {
+			return fmt.Errorf("store: encoding the hard state: %w", err)
 		}
 	}
-	if len(b.Entries) > 0 {
-		if err := saveEntries(c, b.Entries); err != nil {
+	if len(batch.Entries) > 0 {
+		if err := saveEntries(pending, batch.Entries); err != nil {
 			return err
 		}
 	}
-	if c.Len() == 0 {
+	if pending.Len() == 0 {
 		return nil
 	}
-	c.deleteObsolete()
-	if err := s.db.Write(&c.Batch, &opt.WriteOptions{Sync: true}); err != nil {
-		return fmt.Errorf("store: writing: %w", err)
+	pending.deleteObsolete()
+	if err := s.db.Write(&pending.Batch, &opt.WriteOptions{Sync: true}); err != nil {
+		return fmt.Errorf("store: writing a batch: %w", err)
 	}
-	s.first, s.last, s.obsolete = c.first, c.last, c.obsolete
-	if b.Snapshot != nil {
-		s.replaceSnapshot(b)
+	s.first, s.last, s.obsolete = pending.first, pending.last, pending.obsolete
+	if batch.Snapshot != nil {
+		s.replaceSnapshot(batch)
 	}
 	return nil
 }
 
-// saveSnapshot puts a snapshot in force. Entries that a leader's snapshot replaces, at its index and after it, are deleted at
-// once: they may be of another history. All others are deleted bit by bit, since a gap, or their index, shows that they are
-// not in force.
-func (s *Store) saveSnapshot(c *pendingBatch, b Batch) error {
-	if err := c.put(keySnapshot, b.Staged.record(b.Snapshot)); err != nil {
+// saveSnapshot adds a snapshot to the batch. A leader's snapshot deletes the entries from its index on with the same write,
+// since they may conflict with the leader's log. Earlier entries are deleted over several writes: loadEntries recognizes
+// them as obsolete by a gap or by their index.
+func (s *Store) saveSnapshot(pending *pendingBatch, batch Batch) error {
+	if err := pending.put(keySnapshot, batch.Staged.record(batch.Snapshot)); err != nil {
 		return err
 	}
-	index := b.Snapshot.Index
+	index := batch.Snapshot.Index
 	first := index + 1
-	if b.First > 0 && !b.ReplacesLog {
-		first = min(first, b.First)
+	if batch.First > 0 && !batch.ReplacesLog {
+		first = min(first, batch.First)
 	}
-	for i := index; b.ReplacesLog && i <= c.last; i++ {
-		c.Delete(entryKey(i))
+	for i := index; batch.ReplacesLog && i <= pending.last; i++ {
+		pending.Delete(entryKey(i))
 	}
-	if b.ReplacesLog || c.last < index {
-		c.markObsolete(c.first, min(index, c.last+1))
-		c.first, c.last = index+1, index
-	} else if first > c.first {
-		c.markObsolete(c.first, first)
-		c.first = first
+	if batch.ReplacesLog || pending.last < index {
+		pending.markObsolete(pending.first, min(index, pending.last+1))
+		pending.first, pending.last = index+1, index
+	} else if first > pending.first {
+		pending.markObsolete(pending.first, first)
+		pending.first = first
 	}
 	return nil
 }
 
-func saveEntries(c *pendingBatch, entries []*wire.Entry) error {
-	for _, e := range entries {
-		if err := c.put(entryKey(e.Index), e); err != nil {
-			return fmt.Errorf("store: encoding entry %d: %w", e.Index, err)
+func saveEntries(pending *pendingBatch, entries []*wire.Entry) error {
+	for _, entry := range entries {
+		if err := pending.put(entryKey(entry.Index), entry); err != nil {
+			return fmt.Errorf("store: encoding entry %d: %w", entry.Index, err)
 		}
 	}
 	newest := entries[len(entries)-1].Index
-	for i := newest + 1; i <= c.last; i++ {
-		c.Delete(entryKey(i))
+	for i := newest + 1; i <= pending.last; i++ {
+		pending.Delete(entryKey(i))
 	}
-	c.last = newest
+	pending.last = newest
 	return nil
 }
 
-// markObsolete notes entries that are not in force.
+// markObsolete schedules the entries in [from, to) for deletion.
 func (s *Store) markObsolete(from, to uint64) { s.obsolete = append(s.obsolete, indexRange{from, to}) }
--- a/internal/controlplane/store/storage.go
+++ b/internal/controlplane/store/storage.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	currentName = "CURRENT"     // names the manifest in force
-	pendingName = "CURRENT.new" // about to take its place
+	currentName = "CURRENT"     // contains the name of the current manifest
+	pendingName = "CURRENT.new" // renamed to CURRENT once it is synced
 )
 
-// folderStorage has the database's files in a Folder. It differs from the library's own storage in what a loss of power may
-// take: a file's name is synced with the first sync of its content, so that nothing which was synced can be lost with the
-// name; and the manifest in force is never guessed from older names.
+// folderStorage implements goleveldb's storage.Storage on a Folder. It is stricter than the library's own storage about
+// power loss: the first sync of a file also syncs its directory entry, so that synced content can't be lost with the name,
+// and the current manifest is never guessed from old files.
 type folderStorage struct {
 	folder Folder
 	lock   sync.Mutex
 	locked bool
 }
 
-// suffixes of the kinds of files, as the library forms them.
+// suffixes are goleveldb's file name suffixes.
 var suffixes = map[storage.FileType]string{storage.TypeJournal: ".log", storage.TypeTable: ".ldb", storage.TypeTemp: ".tmp"}
 
 func fileName(fd storage.FileDesc) string {
@@ -75,11 +75,11 @@
 	u.f.locked = false
 }
 
-// Log implements storage.Storage. The library's log of its housekeeping is dropped.
+// Log implements storage.Storage. It discards the library's log messages.
 func (f *folderStorage) Log(string) {}
 
-// SetMeta implements storage.Storage: it puts a manifest in force, once that is on disk. The library writes a new one at
-// each open and does not sync it.
+// SetMeta implements storage.Storage. It syncs the manifest before CURRENT refers to it, since the library writes a new
+// manifest at each open and does not sync it.
 func (f *folderStorage) SetMeta(fd storage.FileDesc) error {
 	if !storage.FileDescOk(fd) {
 		return storage.ErrInvalidFile
@@ -87,12 +87,12 @@
 	if err := f.syncFile(fileName(fd)); err != nil {
 		return fmt.Errorf("syncing the manifest: %w", err)
 	}
-	w, err := f.folder.Create(pendingName)
+	file, err := f.folder.Create(pendingName)
 	if err != nil {
 		return err
 	}
-	_, err = io.WriteString(w, fileName(fd)+"\n")
-	if err = errors.Join(err, w.Sync(), w.Close()); err != nil {
+	_, err = io.WriteString(file, fileName(fd)+"\n")
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
 	if err := f.folder.Sync(); err != nil { // the manifest's name is synced before the file that refers to it
@@ -112,8 +112,8 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// GetMeta implements storage.Storage. A folder without a manifest in force is new if nothing was ever written to it, and
-// corrupted otherwise.
+// GetMeta implements storage.Storage. It returns fs.ErrNotExist for a folder without CURRENT that holds no data, and an
+// ErrCorrupted for one that does.
 func (f *folderStorage) GetMeta() (storage.FileDesc, error) {
 	names, err := f.folder.List()
 	if err != nil {
@@ -129,24 +129,23 @@
 	name, complete := strings.CutSuffix(string(content), "\n")
 	fd, ok := parseName(name)
 	if !complete || !ok || fd.Type != storage.TypeManifest {
-		return storage.FileDesc{}, corrupted(fmt.Sprintf("the manifest in force is said to be %q", content))
+		return storage.FileDesc{}, newCorruptedError(fmt.Sprintf("CURRENT contains %q, which is not the name of a manifest", content))
 	}
 	if !slices.Contains(names, name) {
-		return storage.FileDesc{}, corrupted(name + " is in force and does not exist")
+		return storage.FileDesc{}, newCorruptedError(name + " does not exist, but CURRENT refers to it")
 	}
 	return fd, nil
 }
 
-// removeUnusedManifests makes sure that a folder without a manifest in force is a new one, and returns fs.ErrNotExist for
-// it. Power may have been lost while its first manifest was written, before anything else could be; that manifest is of no
-// use.
+// removeUnusedManifests returns fs.ErrNotExist if a folder without CURRENT has no journal or table, and an ErrCorrupted
+// otherwise. It removes manifests, which a power loss during the creation of the database may leave.
 func (f *folderStorage) removeUnusedManifests(names []string) error {
 	var manifests []string
 	for _, name := range names {
 		fd, ok := parseName(name)
 		switch {
 		case ok && (fd.Type == storage.TypeJournal || fd.Type == storage.TypeTable):
-			return corrupted("no manifest is in force")
+			return newCorruptedError("the folder has data files but no CURRENT")
 		case ok:
 			manifests = append(manifests, name)
 		}
@@ -159,8 +158,8 @@
 	return fs.ErrNotExist
 }
 
-func corrupted(what string) error {
-	return lerrors.NewErrCorrupted(storage.FileDesc{Type: storage.TypeManifest}, errors.New(what))
+func newCorruptedError(reason string) error {
+	return lerrors.NewErrCorrupted(storage.FileDesc{Type: storage.TypeManifest}, errors.New(reason))
 }
 
 func readFile(folder Folder, name string) ([]byte, error) {
@@ -200,25 +199,25 @@
 	if err != nil {
 		return nil, err
 	}
-	return &namedWriter{File: file, folder: f.folder}, nil
+	return &createdFile{File: file, folder: f.folder}, nil
 }
 
-// namedWriter syncs a new file's entry in the folder with the first sync of its content.
-type namedWriter struct {
+// createdFile is a new file whose first Sync also syncs its directory entry.
+type createdFile struct {
 	File
-	folder Folder
-	named  bool
+	folder     Folder
+	nameSynced bool
 }
 
 // Sync implements storage.Syncer.
-func (w *namedWriter) Sync() error {
-	if err := w.File.Sync(); err != nil || w.named {
+func (w *createdFile) Sync() error {
+	if err := w.File.Sync(); err != nil || w.nameSynced {
 		return err
 	}
 	if err := w.folder.Sync(); err != nil {
 		return err
 	}
-	w.named = true
+	w.nameSynced = true
 	return nil
 }
 
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -1,18 +1,19 @@
-// Package store keeps a quorum member's part of the log on disk: the hard state and the entries in goleveldb, and large
-// snapshots in files beside it. Package server is its only writer.
+// Package store persists the Raft state of a quorum member: the hard state and the log entries in goleveldb, and large
+// snapshots in files in the same folder. Package server is its only writer.
 //
-// What Save has returned from without an error is synced, with the names of all files that it needs. A store that is
-// corrupted beyond a torn last write does not open: a guess is never served.
+// Once Save has returned without an error, its data is synced, with the directory entries of all files that hold it. A store
+// that is corrupted beyond a torn last write does not open, so that wrong data is never served.
 //
-// Each record has a checksum of its key and its value, beside those of the library, so that a record in another's place is
-// found too. The folder names its format; an older one is upgraded at the first open, a newer one is rejected unchanged.
+// Each record has a checksum of its key and value in addition to the library's checksums, so that a record under the wrong
+// key is detected as well. The folder stores its format: older formats are upgraded at the first open, and folders of a
+// newer format are rejected unchanged.
 //
 //	store.go     open, close, inspect
-//	load.go      what is read at an open
-//	save.go      batches; obsolete entries are deleted bit by bit
+//	load.go      loading at open
+//	save.go      atomic batches; incremental deletion of obsolete entries
 //	record.go    keys, checksums, formats
-//	snapshot.go  snapshots in files: staged, received in chunks
-//	storage.go   goleveldb's files in a Folder; folder.go a Folder of the operating system
+//	snapshot.go  snapshots in files: staged, or received in chunks
+//	storage.go   goleveldb's storage in a Folder; folder.go a Folder of the operating system
 package store
 
 import (
@@ -30,28 +31,28 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Store is one member's folder. It belongs to one goroutine, but for Stage and Receive, which any may call.
+// Store is the persistent Raft state of one member. Only Stage and Receive are safe for concurrent use.
 type Store struct {
 	folder   Folder
 	db       *leveldb.DB
-	last     uint64       // index of the last entry stored; 0: none
-	obsolete []indexRange // entries to be deleted bit by bit
-	first    uint64       // index of the oldest entry in force
-	// snapshotFile is the file with the data of the snapshot in force; empty: the data is in the record.
+	last     uint64       // index of the last stored entry; 0 if there is none
+	obsolete []indexRange // entries that later Saves delete
+	first    uint64       // index of the oldest entry that is not obsolete
+	// snapshotFile is the name of the current snapshot's file. It is empty if the data is in the record.
 	snapshotFile string
-	unsealed     bool   // records are of the first format, without checksums
-	format       uint32 // of the records
+	noChecksums  bool   // the folder's records have no checksums
+	format       uint32 // of the folder; 0 if it stores none
 
-	ID        uint64 // the identity, drawn when the folder was empty
-	Fresh     bool   // the folder was empty
-	Damaged   error  // why an earlier folder was moved aside; nil: none was
+	ID        uint64 // the member's identity, a random number
+	Fresh     bool   // the folder was empty, and ID is new
+	Damaged   error  // corruption for which the previous folder was replaced; nil if it was not
 	HardState *wire.HardState
 	Snapshot  *wire.RaftSnapshot
-	Tail      []*wire.Entry // entries up to the snapshot's index, as far as they are kept; as loaded
-	Entries   []*wire.Entry // entries after the snapshot; as loaded, the caller takes them over
+	Tail      []*wire.Entry // kept entries up to the snapshot's index, as loaded
+	Entries   []*wire.Entry // entries after the snapshot, as loaded; owned by the caller
 }
 
-// options keep memory small: the state has a few megabytes at most.
+// options returns options with small buffers and caches: the state has a few megabytes at most.
 func options() *opt.Options {
 	return &opt.Options{
 		WriteBuffer: 512 << 10, BlockCacheCapacity: 256 << 10, OpenFilesCacheCapacity: 16,
@@ -59,29 +60,29 @@
 	}
 }
 
-// Open opens the store in the folder "log" of a directory and loads its content. A corrupted folder is moved aside, and
-// the store begins empty, under a new identity: see Damaged.
+// Open opens the store in the folder "log" of a directory and loads its content. It renames a corrupted folder to
+// "log.damaged" and returns an empty store with a new identity and Damaged set.
 func Open(dir string, rng *rand.Rand) (*Store, error) {
 	dir = filepath.Join(dir, "log")
-	aside := dir + ".damaged"
-	_, missing := os.Stat(dir)
+	damagedDir := dir + ".damaged"
+	_, statErr := os.Stat(dir)
 	if err := makeFolder(dir); err != nil {
 		return nil, err
 	}
-	if _, err := os.Stat(aside); err == nil && errors.Is(missing, os.ErrNotExist) {
-		// Power was lost after the folder was moved aside and before the new one was synced.
-		return openReplacement(dir, rng, fmt.Errorf("store: %s: %w", aside, errCorrupted))
+	if _, err := os.Stat(damagedDir); err == nil && errors.Is(statErr, os.ErrNotExist) {
+		// Power was lost after the corrupted folder was renamed and before the new one was synced.
+		return openReplacement(dir, rng, fmt.Errorf("store: %s: %w", damagedDir, errCorrupted))
 	}
 	s, err := openPath(dir, rng)
 	if err == nil || !isCorruption(err) {
 		return s, err
 	}
-	// What is left can't be told from what was never there. The machine goes on as an empty one, under a new identity; the
-	// folder is kept for inspection.
-	if err := os.RemoveAll(aside); err != nil {
+	// Lost records can't be distinguished from records that were never written. The member starts empty with a new identity,
+	// and the corrupted folder is kept for inspection.
+	if err := os.RemoveAll(damagedDir); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	if err := os.Rename(dir, aside); err != nil {
+	if err := os.Rename(dir, damagedDir); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if err := makeFolder(dir); err != nil {
@@ -90,7 +91,7 @@
 	return openReplacement(dir, rng, err)
 }
 
-// openReplacement opens an empty folder in place of a corrupted one.
+// openReplacement opens the empty folder that replaces a corrupted one, and sets Damaged to cause.
 func openReplacement(dir string, rng *rand.Rand, cause error) (*Store, error) {
 	s, err := openPath(dir, rng)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return s, nil
 }
 
-// OpenFolder opens the store in a folder, which Close closes as well. A corrupted one is an error.
+// OpenFolder opens the store in a folder, which Close closes as well. It returns an error if the folder is corrupted.
 func OpenFolder(folder Folder, rng *rand.Rand) (*Store, error) {
 	s := &Store{folder: folder}
 	if err := s.open(); err != nil {
@@ -132,32 +133,30 @@
 	return err
 }
 
-// errCorrupted marks content that contradicts itself.
+// errCorrupted is wrapped by errors about content that is invalid or inconsistent.
 var errCorrupted = errors.New("damaged")
 
-// isCorruption distinguishes corruption from a temporary failure of the disk.
+// isCorruption reports whether an error is due to corrupted content rather than to a failed operation of the disk.
 func isCorruption(err error) bool {
 	var corrupted *lerrors.ErrCorrupted
 	return errors.Is(err, errCorrupted) || errors.As(err, &corrupted) || lerrors.IsCorrupted(err)
 }
 
-// Reopen closes the store and opens it again, after a write that failed: whether
-// that write is there then is known again. Closing waits for the library's own
-// goroutines, so there is never a second writer on the folder.
+// Reopen closes and reopens the database after a failed write, which has then either taken effect or not. Closing waits for
+// the library's goroutines, so the folder never has two writers.
 //
-// After a failed write the library's compaction gives its unused file number back
-// with a read that is not synchronised with other allocations; the race detector
-// reports it. It harms nothing that is stored: the number is exchanged by compare
-// and swap, which fails after a stale read and is tried again.
+// After a failed write, the library's compaction returns an unused file number with a read that is not synchronized with
+// other allocations, which the race detector reports. It does not affect stored data: the number is set by compare-and-swap,
+// which fails after a stale read and is retried.
 func (s *Store) Reopen() error {
 	s.db.Close()
 	return s.open()
 }
 
-// Close releases the folder.
+// Close closes the database and the folder.
 func (s *Store) Close() error { return errors.Join(s.db.Close(), s.folder.Close()) }
 
-// Inspect loads the folder of a stopped machine, and changes nothing in it.
+// Inspect loads the folder of a stopped member without modifying it. The returned store is closed.
 func Inspect(dir string) (*Store, error) {
 	dir = filepath.Join(dir, "log")
 	folder, err := openFolder(dir, true)
@@ -165,9 +164,9 @@
 		return nil, fmt.Errorf("store: %s: %w", dir, err)
 	}
 	defer folder.Close()
-	o := options()
-	o.ReadOnly = true
-	db, err := leveldb.Open(&folderStorage{folder: folder}, o)
+	opts := options()
+	opts.ReadOnly = true
+	db, err := leveldb.Open(&folderStorage{folder: folder}, opts)
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", dir, err)
 	}
@@ -182,21 +181,21 @@
 	return s, nil
 }
 
-// Verify checks, beyond what loading does, that terms rise, none beyond the machine's own, and that every entry can be
-// decoded.
+// Verify checks what loading does not: that the terms of the entries never decrease or exceed the hard state's term, and
+// that every entry can be decoded.
 func (s *Store) Verify() error {
 	term := s.Snapshot.GetTerm()
-	for _, e := range s.Entries {
-		if e.Term < term || e.Term > s.HardState.GetTerm() {
-			return fmt.Errorf("store: %w: entry %d has term %d after %d, in term %d", errCorrupted, e.Index, e.Term, term, s.HardState.GetTerm())
+	for _, entry := range s.Entries {
+		if entry.Term < term || entry.Term > s.HardState.GetTerm() {
+			return fmt.Errorf("store: %w: entry %d has term %d, want at least %d and at most %d", errCorrupted, entry.Index, entry.Term, term, s.HardState.GetTerm())
 		}
-		term = e.Term
-		var m proto.Message = new(wire.Command)
-		if e.Kind == wire.Entry_MEMBERSHIP {
-			m = new(wire.Peers)
+		term = entry.Term
+		var message proto.Message = new(wire.Command)
+		if entry.Kind == wire.Entry_MEMBERSHIP {
+			message = new(wire.Peers)
 		}
-		if err := proto.Unmarshal(e.Data, m); err != nil {
-			return fmt.Errorf("store: %w: entry %d: %w", errCorrupted, e.Index, err)
+		if err := proto.Unmarshal(entry.Data, message); err != nil {
+			return fmt.Errorf("store: %w: decoding entry %d: %w", errCorrupted, entry.Index, err)
 		}
 	}
 	return nil
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -57,11 +57,11 @@
 		t.Fatalf("%v", s.Entries)
 	}
 	s.Close()
-	if seen, err := Inspect(dir); err != nil || seen.ID != id || len(seen.Entries) != 3 {
-		t.Fatalf("inspected: %+v, %v", seen, err)
+	if inspected, err := Inspect(dir); err != nil || inspected.ID != id || len(inspected.Entries) != 3 {
+		t.Fatalf("Inspect: %+v, %v", inspected, err)
 	}
 	if _, err := Inspect(t.TempDir()); err == nil {
-		t.Error("an empty folder was inspected")
+		t.Error("Inspect of an empty folder returned no error")
 	}
 	s = open(t, dir)
 	s.Entries = nil
@@ -70,13 +70,12 @@
 	s = open(t, dir)
 	defer s.Close()
 	if s.Snapshot.Index != 5 || len(s.Entries) != 0 {
-		t.Fatalf("a leader's snapshot left %v", s.Entries)
+		t.Fatalf("entries after a leader's snapshot replaced the log: %v", s.Entries)
 	}
 }
 
-// TestTornFiles cuts or fills the files of a store in every way that a loss of
-// power may, and some more: it opens with a prefix of what was synced, or begins
-// anew under another identity and says so. It never shows anything else.
+// TestTornFiles truncates each file of a store. The store then opens with a prefix of the synced entries, or it opens empty
+// with a new identity and Damaged or Fresh set.
 func TestTornFiles(t *testing.T) {
 	origin := t.TempDir()
 	s := open(t, origin)
@@ -89,43 +88,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	anew, kept := 0, 0
+	replaced, recovered := 0, 0
 	for _, f := range files {
-		whole, err := os.ReadFile(filepath.Join(origin, "log", f.Name()))
+		data, err := os.ReadFile(filepath.Join(origin, "log", f.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, part := range []int{0, len(whole) / 3, len(whole) - 1} {
+		for _, length := range []int{0, len(data) / 3, len(data) - 1} {
 			dir := t.TempDir()
 			if err := os.CopyFS(dir, os.DirFS(origin)); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(dir, "log", f.Name()), whole[:max(0, part)], 0o644); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, "log", f.Name()), data[:max(0, length)], 0o644); err != nil {
 				t.Fatal(err)
 			}
 			s, err := Open(dir, rand.New(rand.NewPCG(5, 5)))
 			if err != nil {
-				t.Errorf("%s cut to %d: %v", f.Name(), part, err)
+				t.Errorf("%s truncated to %d bytes: %v", f.Name(), length, err)
 				continue
 			}
 			for i, e := range s.Entries {
 				if e.Index != uint64(i+1) || string(e.Data) != "data" {
-					t.Errorf("%s cut to %d: entry %v at %d", f.Name(), part, e, i)
+					t.Errorf("%s truncated to %d bytes: entry %v at position %d", f.Name(), length, e, i)
 				}
 			}
 			if s.ID != id {
-				anew++
+				replaced++
 				if s.Damaged == nil && !s.Fresh {
-					t.Errorf("%s cut to %d: another identity without a word", f.Name(), part)
+					t.Errorf("%s truncated to %d bytes: new identity without Damaged or Fresh", f.Name(), length)
 				}
 			} else {
-				kept++
+				recovered++
 			}
 			s.Close()
 		}
 	}
-	if anew == 0 || kept == 0 {
-		t.Errorf("%d begun anew, %d kept: hardly a test", anew, kept)
+	if replaced == 0 || recovered == 0 {
+		t.Errorf("%d stores replaced, %d recovered, want both: too few cases", replaced, recovered)
 	}
 }
 
@@ -149,21 +148,21 @@
 	}
 }
 
-// TestFormats: a folder of the first format, which had no seals, is brought up and holds what it held; one of a later
-// format is left as it is; a record in another's place, which the library takes for good, is found.
+// TestFormats checks that a folder without checksums is upgraded with its content, that a folder of a later format is
+// rejected, and that a record under another key, which the library's checksums accept, is detected.
 func TestFormats(t *testing.T) {
 	write := func(t *testing.T, records map[string][]byte) string {
 		dir := t.TempDir()
 		s := open(t, dir)
-		w := new(leveldb.Batch)
+		batch := new(leveldb.Batch)
 		for key, value := range records {
 			if value == nil {
-				w.Delete([]byte(key))
+				batch.Delete([]byte(key))
 			} else {
-				w.Put([]byte(key), value)
+				batch.Put([]byte(key), value)
 			}
 		}
-		if err := s.db.Write(w, nil); err != nil {
+		if err := s.db.Write(batch, nil); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
@@ -176,50 +175,50 @@
 		}
 		return b
 	}
-	one, two := entries(1, 1, 1)[0], entries(1, 2, 2)[0]
-	first := write(t, map[string][]byte{
+	entry1, entry2 := entries(1, 1, 1)[0], entries(1, 2, 2)[0]
+	firstFormat := write(t, map[string][]byte{
 		string(keyFormat): nil, string(keyID): {0, 0, 0, 0, 0, 0, 0, 7}, string(keyHardState): marshal(&wire.HardState{Term: 3, Vote: 7}),
-		string(entryKey(1)): marshal(one), string(entryKey(2)): marshal(two),
+		string(entryKey(1)): marshal(entry1), string(entryKey(2)): marshal(entry2),
 	})
-	if s, err := Inspect(first); err != nil || s.ID != 7 || len(s.Entries) != 2 {
-		t.Fatalf("inspected: %v", err)
+	if s, err := Inspect(firstFormat); err != nil || s.ID != 7 || len(s.Entries) != 2 {
+		t.Fatalf("Inspect before the upgrade: %v", err)
 	}
-	for range 2 { // brought up, and as it is from then on
-		s := open(t, first)
-		if s.ID != 7 || s.Fresh || s.Damaged != nil || s.HardState.GetVote() != 7 || len(s.Entries) != 2 || s.unsealed {
+	for range 2 { // the first open upgrades the folder
+		s := open(t, firstFormat)
+		if s.ID != 7 || s.Fresh || s.Damaged != nil || s.HardState.GetVote() != 7 || len(s.Entries) != 2 || s.noChecksums {
 			t.Errorf("%+v", s)
 		}
 		s.Close()
 	}
 	newer := write(t, map[string][]byte{string(keyFormat): {0, 0, 0, 9}})
 	if _, err := Open(newer, rand.New(rand.NewPCG(1, 1))); !errors.Is(err, ErrNewerFormat) {
-		t.Errorf("a newer format: %v", err)
+		t.Errorf("Open of a newer format: %v", err)
 	}
 	if _, err := Inspect(newer); !errors.Is(err, ErrNewerFormat) {
-		t.Errorf("a newer format, inspected: %v", err)
+		t.Errorf("Inspect of a newer format: %v", err)
 	}
-	moved := write(t, map[string][]byte{string(entryKey(1)): seal(entryKey(2), marshal(one))})
+	moved := write(t, map[string][]byte{string(entryKey(1)): addChecksum(entryKey(2), marshal(entry1))})
 	if s := open(t, moved); s.Damaged == nil || !s.Fresh {
-		t.Error("a record in another's place passes")
+		t.Error("record under another key was accepted")
 	} else {
 		s.Close()
 	}
 }
 
-// TestTailIsKept: entries in front of a snapshot stay as far as they are asked for, over a restart; what is older, and
-// what a leader's snapshot has replaced, does not come back, whether it is still on disk or not.
+// TestTailIsKept checks that the requested entries before a snapshot survive a restart. Older entries, and entries that a
+// leader's snapshot has replaced, are not loaded, even if they are still on disk.
 func TestTailIsKept(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	const many = 3 * maxObsoleteDeletes
-	save(t, s, Batch{Entries: entries(1, 1, many)})
-	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 1, Index: many - 10}, First: many - 30})
-	reopen := func(first, tail, behind int) {
+	const total = 3 * maxObsoleteDeletes
+	save(t, s, Batch{Entries: entries(1, 1, total)})
+	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 1, Index: total - 10}, First: total - 30})
+	reopen := func(first, tail, after int) {
 		t.Helper()
 		s.Close()
 		s = open(t, dir)
-		if len(s.Tail) != tail || len(s.Entries) != behind || tail > 0 && s.Tail[0].Index != uint64(first) {
-			t.Fatalf("%d entries in the tail and %d behind the snapshot, want %d from %d on and %d", len(s.Tail), len(s.Entries), tail, first, behind)
+		if len(s.Tail) != tail || len(s.Entries) != after || tail > 0 && s.Tail[0].Index != uint64(first) {
+			t.Fatalf("%d entries in the tail and %d after the snapshot, want %d from %d on and %d", len(s.Tail), len(s.Entries), tail, first, after)
 		}
 	}
 	stored := func() (n int) {
@@ -230,28 +229,28 @@
 		}
 		return n
 	}
-	if n := stored(); n != many-maxObsoleteDeletes {
-		t.Errorf("%d entries are left after one Save of %d", n, many)
+	if n := stored(); n != total-maxObsoleteDeletes {
+		t.Errorf("%d of %d entries are stored after one Save", n, total)
 	}
-	reopen(maxObsoleteDeletes+1, many-10-maxObsoleteDeletes, 10) // what is not yet removed is as good as ever
-	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 1, Index: many - 5}, First: many - 30})
+	reopen(maxObsoleteDeletes+1, total-10-maxObsoleteDeletes, 10) // the tail includes obsolete entries until they are deleted
+	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 1, Index: total - 5}, First: total - 30})
 	save(t, s, Batch{HardState: &wire.HardState{Term: 2}})
 	save(t, s, Batch{HardState: &wire.HardState{Term: 3}})
 	if n := stored(); n != 31 {
-		t.Errorf("%d entries are left in the end", n)
+		t.Errorf("%d entries are stored in the end, want 31", n)
 	}
-	reopen(many-30, 26, 5)
-	save(t, s, Batch{ReplacesLog: true, Snapshot: &wire.RaftSnapshot{Term: 3, Index: many + 100}})
+	reopen(total-30, 26, 5)
+	save(t, s, Batch{ReplacesLog: true, Snapshot: &wire.RaftSnapshot{Term: 3, Index: total + 100}})
 	reopen(0, 0, 0)
-	save(t, s, Batch{Entries: entries(3, many+101, many+102)})
+	save(t, s, Batch{Entries: entries(3, total+101, total+102)})
 	reopen(0, 0, 2)
-	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 3, Index: many + 102}, First: many + 101})
-	reopen(many+101, 2, 0)
+	save(t, s, Batch{Snapshot: &wire.RaftSnapshot{Term: 3, Index: total + 102}, First: total + 101})
+	reopen(total+101, 2, 0)
 	s.Close()
 }
 
-// TestDamagedFolderIsRemembered: the power went after a damaged folder was put aside and before the next was there for
-// good. What is found then is not taken for a folder that never held anything.
+// TestDamagedFolderIsRemembered simulates a power loss between the renaming of a corrupted folder and the sync of its
+// replacement. The empty folder must not pass for one of a new member.
 func TestDamagedFolderIsRemembered(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir).Close()
@@ -265,15 +264,15 @@
 	}
 }
 
-// TestManifestsAreNotGuessed: a folder whose manifest in force is gone, or not named, is damaged; a manifest that an
-// earlier opening has left is no way out.
+// TestManifestsAreNotGuessed checks that a folder is corrupted if CURRENT is missing, incomplete or refers to a missing
+// manifest, even if older manifests or a backup of CURRENT exist.
 func TestManifestsAreNotGuessed(t *testing.T) {
 	for name, damage := range map[string]func(dir string) error{
-		"nothing is named": func(dir string) error { return os.Remove(filepath.Join(dir, currentName)) },
-		"a lost manifest is named": func(dir string) error {
+		"CURRENT missing": func(dir string) error { return os.Remove(filepath.Join(dir, currentName)) },
+		"CURRENT refers to a missing manifest": func(dir string) error {
 			return os.WriteFile(filepath.Join(dir, currentName), []byte("MANIFEST-000999\n"), 0o644)
 		},
-		"half a name": func(dir string) error {
+		"CURRENT incomplete": func(dir string) error {
 			return os.WriteFile(filepath.Join(dir, currentName), []byte("MANIFEST-0000"), 0o644)
 		},
 	} {
