--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -1,8 +1,8 @@
-// Package backup writes the replicated state to a file, and makes the folder of a quorum member out of such a file when all
-// members and their disks are lost. Package server serves backups, and ivydeckctl stores and restores them.
+// Package backup writes the replicated state to a file, and creates the folder of a quorum member from such a file after all
+// members and their disks were lost. Package server serves backups, and ivydeckctl stores and restores them.
 //
-// A restore never happens by itself: it begins a new quorum of one member that all others join, and takes back all that was
-// acknowledged after the backup. docs/operations.md has the steps.
+// A restore is always started by an operator. It creates a new quorum of one member, which all others join, and loses all
+// changes that were acknowledged after the backup. docs/operations.md has the steps.
 package backup
 
 import (
@@ -22,54 +22,54 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// magic begins a backup's file; its last byte is the format. A CRC-32C, big-endian, and a wire.Backup follow. The form is
-// frozen: files of earlier versions stay readable.
+// magic is the prefix of a backup file; its last byte is the format. A big-endian CRC-32C and a wire.Backup follow. The
+// format must not change, so that files of earlier versions stay readable.
 var magic = []byte("ivydeck backup\x01")
 
-// updatesAhead is how far the indexes of a restored quorum's updates begin beyond the backup's. Nodes that have outlived the
-// old quorum apply nothing older than what they have, and may have more than the backup.
-const updatesAhead = 1 << 32
+// restoredIndexOffset is added to the index of the latest update in a restored state. Nodes ignore updates with an index
+// that they have already applied, and may have applied more updates than the backup holds.
+const restoredIndexOffset = 1 << 32
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Backup is the replicated state at one entry of the log.
+// Backup is the replicated state after the log entry with the given term and index.
 type Backup struct {
 	Term, Index uint64
 	State       *catalog.Catalog
 }
 
-// OfStore returns the backup of a stopped machine's folder. It has all that is on this disk, also what may not have been
-// committed; beyond is the number of such commands.
-func OfStore(dir string) (b *Backup, beyond int, err error) {
-	s, err := store.Inspect(dir)
+// OfStore returns a backup of a stopped member's folder. It applies all stored entries, including those that may not have
+// been committed. afterSnapshot is the number of commands after the snapshot.
+func OfStore(dir string) (b *Backup, afterSnapshot int, err error) {
+	stored, err := store.Inspect(dir)
 	if err != nil {
 		return nil, 0, err
 	}
-	if err := s.Verify(); err != nil {
+	if err := stored.Verify(); err != nil {
 		return nil, 0, err
 	}
-	b = &Backup{Term: s.Snapshot.GetTerm(), Index: s.Snapshot.GetIndex(), State: catalog.New()}
-	if len(s.Snapshot.GetData()) > 0 {
-		if err := b.State.Restore(s.Snapshot.Data); err != nil {
+	b = &Backup{Term: stored.Snapshot.GetTerm(), Index: stored.Snapshot.GetIndex(), State: catalog.New()}
+	if len(stored.Snapshot.GetData()) > 0 {
+		if err := b.State.Restore(stored.Snapshot.Data); err != nil {
 			return nil, 0, err
 		}
 	}
-	for _, e := range s.Entries {
-		b.Term, b.Index = e.Term, e.Index
-		if e.Kind != wire.Entry_COMMAND {
+	for _, entry := range stored.Entries {
+		b.Term, b.Index = entry.Term, entry.Index
+		if entry.Kind != wire.Entry_COMMAND {
 			continue
 		}
 		cmd := new(wire.Command)
-		if err := proto.Unmarshal(e.Data, cmd); err != nil {
-			return nil, 0, fmt.Errorf("backup: entry %d: %w", e.Index, err)
+		if err := proto.Unmarshal(entry.Data, cmd); err != nil {
+			return nil, 0, fmt.Errorf("backup: decoding entry %d: %w", entry.Index, err)
 		}
-		b.State.Apply(cmd) // an error was its sender's
-		beyond++
+		b.State.Apply(cmd) // a rejected command changes nothing
+		afterSnapshot++
 	}
-	return b, beyond, nil
+	return b, afterSnapshot, nil
 }
 
-// Encode returns the backup as a file's bytes.
+// Encode returns the content of a backup file.
 func (b *Backup) Encode() ([]byte, error) {
 	snapshot, err := b.State.Snapshot()
 	if err != nil {
@@ -84,40 +84,40 @@
 	return append(encoded, body...), nil
 }
 
-// Decode decodes a backup, completely or not at all.
+// Decode decodes the content of a backup file and verifies its checksum.
 func Decode(data []byte) (*Backup, error) {
 	rest, ok := bytes.CutPrefix(data, magic)
 	switch {
 	case !ok && bytes.HasPrefix(data, magic[:len(magic)-1]) && len(data) > len(magic):
-		return nil, fmt.Errorf("backup: format %d, and this version knows format %d", data[len(magic)-1], magic[len(magic)-1])
+		return nil, fmt.Errorf("backup: format %d is not supported, this version supports format %d", data[len(magic)-1], magic[len(magic)-1])
 	case !ok || len(rest) < 4:
-		return nil, errors.New("backup: this is not a backup")
+		return nil, errors.New("backup: the data is not a backup or is truncated")
 	case binary.BigEndian.Uint32(rest) != crc32.Checksum(rest[4:], castagnoli):
-		return nil, errors.New("backup: its checksum does not match")
+		return nil, errors.New("backup: checksum mismatch")
 	}
-	var m wire.Backup
-	if err := proto.Unmarshal(rest[4:], &m); err != nil {
+	var message wire.Backup
+	if err := proto.Unmarshal(rest[4:], &message); err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
 	}
-	b := &Backup{Term: m.Term, Index: m.Index, State: catalog.New()}
-	if err := b.State.Restore(m.Snapshot); err != nil {
+	b := &Backup{Term: message.Term, Index: message.Index, State: catalog.New()}
+	if err := b.State.Restore(message.Snapshot); err != nil {
 		return nil, err
 	}
 	return b, nil
 }
 
-// Save writes the backup to a new file, and syncs it.
+// Save writes the backup to a new file and syncs it. It returns an error if the file exists.
 func (b *Backup) Save(path string) error {
 	data, err := b.Encode()
 	if err != nil {
 		return err
 	}
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("backup: %w", err)
 	}
-	_, err = f.Write(data)
-	err = errors.Join(err, f.Sync(), f.Close(), syncFolder(filepath.Dir(path)))
+	_, err = file.Write(data)
+	err = errors.Join(err, file.Sync(), file.Close(), syncFolder(filepath.Dir(path)))
 	if err != nil {
 		os.Remove(path)
 		return fmt.Errorf("backup: writing %s: %w", path, err)
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// syncFolder makes the names in a folder durable.
+// syncFolder makes the creation of files in a folder durable.
 func syncFolder(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Load reads a backup's file.
+// Load reads and decodes a backup file.
 func Load(path string) (*Backup, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -147,47 +147,48 @@
 	return b, nil
 }
 
-// Summary describes a backup in a line.
+// Summary describes a backup in one line.
 func (b *Backup) Summary() string {
 	return fmt.Sprintf("revision %d and %d servers, at entry %d of term %d", b.State.Revision(), len(b.State.Servers()), b.Index, b.Term)
 }
 
-// Loss describes what a restore into a folder would lose; empty: the folder has nothing newer.
+// Loss describes what would be lost if the backup replaced the state in a member's folder. It returns an empty string if the
+// folder is empty or has no entries after the backup's index.
 func (b *Backup) Loss(dir string) (string, error) {
 	if empty, err := isEmpty(dir); err != nil || empty {
 		return "", err
 	}
-	there, _, err := OfStore(dir)
+	existing, _, err := OfStore(dir)
 	if err != nil {
 		return "", err
 	}
-	if there.Index <= b.Index {
+	if existing.Index <= b.Index {
 		return "", nil
 	}
-	return fmt.Sprintf("%s holds %s: %d entries more than the backup, whose %s", dir, there.Summary(), there.Index-b.Index, b.Summary()), nil
+	return fmt.Sprintf("%s holds %s: %d entries more than the backup, which holds %s", dir, existing.Summary(), existing.Index-b.Index, b.Summary()), nil
 }
 
 func isEmpty(dir string) (bool, error) {
-	list, err := os.ReadDir(dir)
+	dirEntries, err := os.ReadDir(dir)
 	if errors.Is(err, os.ErrNotExist) {
 		return true, nil
 	}
 	if err != nil {
 		return false, fmt.Errorf("backup: %w", err)
 	}
-	return len(list) == 0, nil
+	return len(dirEntries) == 0, nil
 }
 
-// Restore makes an empty folder the first member of a new quorum, which all others join. address is its internal address and
-// control that of its operators' interface. A folder that is not empty is rejected.
-func (b *Backup) Restore(dir, address, control string, rng *rand.Rand) error {
-	if address == "" || control == "" {
-		return errors.New("backup: the machine's addresses for nodes and for operators have to be given")
+// Restore writes the store of a new quorum's first member, which all others join, to an empty or missing folder. address is
+// the member's address for nodes, and controlAddress its address for operators.
+func (b *Backup) Restore(dir, address, controlAddress string, rng *rand.Rand) error {
+	if address == "" || controlAddress == "" {
+		return errors.New("backup: the member's addresses for nodes and for operators are required")
 	}
 	if empty, err := isEmpty(dir); err != nil {
 		return err
 	} else if !empty {
-		return fmt.Errorf("backup: %s is not empty; move what is in it elsewhere first", dir)
+		return fmt.Errorf("backup: folder %s is not empty; move its content elsewhere first", dir)
 	}
 	state := catalog.New()
 	snapshot, err := b.State.Snapshot()
@@ -197,22 +198,22 @@
 	if err := state.Restore(snapshot); err != nil {
 		return err
 	}
-	state.Advance(updatesAhead) // servers that have ended meanwhile are found lost as ever
+	state.Advance(restoredIndexOffset) // servers that have stopped since the backup are removed as usual
 	data, err := state.Snapshot()
 	if err != nil {
 		return err
 	}
-	s, err := store.Open(dir, rng)
+	target, err := store.Open(dir, rng)
 	if err != nil {
 		return err
 	}
-	peers := &wire.Peers{Peers: []*wire.Peer{{Id: s.ID, Address: address, ControlAddress: control, Voter: true}}}
-	err = s.Save(store.Batch{
+	peers := &wire.Peers{Peers: []*wire.Peer{{Id: target.ID, Address: address, ControlAddress: controlAddress, Voter: true}}}
+	err = target.Save(store.Batch{
 		Snapshot: &wire.RaftSnapshot{Term: b.Term + 1, Index: b.Index + 1, Peers: peers, Data: data}, ReplacesLog: true,
 		HardState: &wire.HardState{Term: b.Term + 1},
 	})
-	if err = errors.Join(err, s.Close()); err != nil {
-		return fmt.Errorf("backup: %s: %w", filepath.Join(dir, "log"), err)
+	if err = errors.Join(err, target.Close()); err != nil {
+		return fmt.Errorf("backup: writing the store in %s: %w", filepath.Join(dir, "log"), err)
 	}
 	return nil
 }
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -18,89 +18,89 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// folder is a machine's, with so many configurations behind each other and a server.
-func folder(t *testing.T, revisions uint64) string {
+// newStoreDir returns a member's folder whose log holds a server and the given number of successive configurations.
+func newStoreDir(t *testing.T, revisions uint64) string {
 	t.Helper()
 	dir := t.TempDir()
-	s, err := store.Open(dir, rng())
+	member, err := store.Open(dir, rng())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer member.Close()
 	commands := []*wire.Command{{Change: &wire.Command_Server{Server: &wire.Server{Member: "i-1", Service: "s", Node: "n"}}}}
-	for r := range revisions {
-		body, err := msgpack.Marshal(&meshconfig.Config{Revision: r + 1, Backends: []meshconfig.Backend{{Name: "s"}}})
+	for revision := range revisions {
+		body, err := msgpack.Marshal(&meshconfig.Config{Revision: revision + 1, Backends: []meshconfig.Backend{{Name: "s"}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		commands = append(commands, &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: r, Body: body}}})
+		commands = append(commands, &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: revision, Body: body}}})
 	}
 	var entries []*wire.Entry
-	for i, c := range commands {
-		data, err := proto.Marshal(c)
+	for i, command := range commands {
+		data, err := proto.Marshal(command)
 		if err != nil {
 			t.Fatal(err)
 		}
 		entries = append(entries, &wire.Entry{Term: 3, Index: uint64(i + 1), Data: data})
 	}
-	if err := s.Save(store.Batch{HardState: &wire.HardState{Term: 3}, Entries: entries}); err != nil {
+	if err := member.Save(store.Batch{HardState: &wire.HardState{Term: 3}, Entries: entries}); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-// TestRoundTrip: what a folder holds is in its backup, in the file, and in the folder that is made of it; what would be
-// lost is told; nothing that is there is written over.
+// TestRoundTrip checks that a backup of a folder survives saving, loading and restoring, that Loss reports newer entries, and
+// that Save and Restore overwrite nothing.
 func TestRoundTrip(t *testing.T) {
-	dir := folder(t, 4)
-	b, beyond, err := OfStore(dir)
-	if err != nil || beyond != 5 || b.State.Revision() != 4 || b.Index != 5 {
-		t.Fatalf("%+v, %d beyond, %v", b, beyond, err)
+	dir := newStoreDir(t, 4)
+	b, afterSnapshot, err := OfStore(dir)
+	if err != nil || afterSnapshot != 5 || b.State.Revision() != 4 || b.Index != 5 {
+		t.Fatalf("%+v, %d commands after the snapshot, %v", b, afterSnapshot, err)
 	}
 	file := filepath.Join(t.TempDir(), "b")
 	if err := b.Save(file); err != nil {
 		t.Fatal(err)
 	}
 	if err := b.Save(file); err == nil {
-		t.Error("a file was written over")
+		t.Error("Save overwrote a file")
 	}
-	read, err := Load(file)
-	if err != nil || read.Summary() != b.Summary() {
-		t.Fatalf("%v, %v", read, err)
+	loaded, err := Load(file)
+	if err != nil || loaded.Summary() != b.Summary() {
+		t.Fatalf("%v, %v", loaded, err)
 	}
-	made := filepath.Join(t.TempDir(), "new")
-	if err := read.Restore(made, "1.2.3.4:5", "1.2.3.4:6", rng()); err != nil {
+	restoredDir := filepath.Join(t.TempDir(), "new")
+	if err := loaded.Restore(restoredDir, "1.2.3.4:5", "1.2.3.4:6", rng()); err != nil {
 		t.Fatal(err)
 	}
-	s, err := store.Inspect(made)
+	inspected, err := store.Inspect(restoredDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers := s.Snapshot.GetPeers().GetPeers()
-	if len(peers) != 1 || peers[0].Id != s.ID || !peers[0].Voter || peers[0].Address != "1.2.3.4:5" || s.HardState.GetTerm() <= b.Term || s.Snapshot.Index <= b.Index {
-		t.Errorf("members %v, term %d, index %d", peers, s.HardState.GetTerm(), s.Snapshot.Index)
+	peers := inspected.Snapshot.GetPeers().GetPeers()
+	if len(peers) != 1 || peers[0].Id != inspected.ID || !peers[0].Voter || peers[0].Address != "1.2.3.4:5" || inspected.HardState.GetTerm() <= b.Term || inspected.Snapshot.Index <= b.Index {
+		t.Errorf("members %v, term %d, index %d", peers, inspected.HardState.GetTerm(), inspected.Snapshot.Index)
 	}
-	again, _, err := OfStore(made)
-	if err != nil || again.State.Revision() != 4 || len(again.State.Servers()) != 1 || again.State.Servers()[0].Member != "i-1" || again.State.Index() <= b.State.Index() {
-		t.Errorf("%+v, %v", again, err)
+	restored, _, err := OfStore(restoredDir)
+	if err != nil || restored.State.Revision() != 4 || len(restored.State.Servers()) != 1 || restored.State.Servers()[0].Member != "i-1" || restored.State.Index() <= b.State.Index() {
+		t.Errorf("%+v, %v", restored, err)
 	}
-	if err := read.Restore(made, "a", "b", rng()); err == nil || !strings.Contains(err.Error(), "not empty") {
-		t.Errorf("into a folder that is in use: %v", err)
+	if err := loaded.Restore(restoredDir, "a", "b", rng()); err == nil || !strings.Contains(err.Error(), "not empty") {
+		t.Errorf("Restore into a folder that is not empty: %v", err)
 	}
-	if err := read.Restore(t.TempDir(), "", "b", rng()); err == nil {
-		t.Error("without an address")
+	if err := loaded.Restore(t.TempDir(), "", "b", rng()); err == nil {
+		t.Error("Restore without an address returned no error")
 	}
 	for revisions, lost := range map[uint64]bool{3: false, 4: false, 6: true} {
-		loss, err := b.Loss(folder(t, revisions))
+		loss, err := b.Loss(newStoreDir(t, revisions))
 		if err != nil || (loss != "") != lost || lost && !strings.Contains(loss, "2 entries more") {
-			t.Errorf("beside a folder of revision %d: %q, %v", revisions, loss, err)
+			t.Errorf("Loss with a folder of revision %d: %q, %v", revisions, loss, err)
 		}
 	}
 }
 
-// TestDamagedFiles: a backup is read whole or not at all.
+// TestDamagedFiles checks that Decode rejects truncated data, any byte with a flipped bit, and newer formats.
 func TestDamagedFiles(t *testing.T) {
-	b, _, err := OfStore(folder(t, 2))
+	b, _, err := OfStore(newStoreDir(t, 2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,21 +109,21 @@
 		t.Fatal(err)
 	}
 	for i := range data {
-		turned := bytes.Clone(data)
-		turned[i] ^= 0x40
-		if _, err := Decode(turned); err == nil {
-			t.Fatalf("read with byte %d turned", i)
+		corrupted := bytes.Clone(data)
+		corrupted[i] ^= 0x40
+		if _, err := Decode(corrupted); err == nil {
+			t.Fatalf("decoded with a flipped bit in byte %d", i)
 		}
 		if _, err := Decode(data[:i]); err == nil {
-			t.Fatalf("read with %d of %d bytes", i, len(data))
+			t.Fatalf("decoded %d of %d bytes", i, len(data))
 		}
 	}
 	newer := bytes.Clone(data)
 	newer[len(magic)-1] = 9
 	if _, err := Decode(newer); err == nil || !strings.Contains(err.Error(), "format 9") {
-		t.Errorf("a newer format: %v", err)
+		t.Errorf("newer format: %v", err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) && err == nil {
-		t.Error("no file was read")
+		t.Error("Load of a missing file returned no error")
 	}
 }
--- a/internal/controlplane/backup/compatibility_test.go
+++ b/internal/controlplane/backup/compatibility_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestLoadEarlierVersion: a backup, and the folder that it was made of, are read as the version before the messages and
-// packages were renamed has written them.
+// TestLoadEarlierVersion loads a backup file of the version before the messages and packages were renamed, and the folder
+// that it was made from.
 func TestLoadEarlierVersion(t *testing.T) {
 	fromFile, err := Load("testdata/earlier-version.backup")
 	if err != nil {
@@ -27,7 +27,7 @@
 			}
 			servers := b.State.Servers()
 			if len(servers) != 2 || servers[0].Member != "s-2" || !servers[0].Draining || servers[1].Member != "s-3" || servers[1].Draining {
-				t.Errorf("the servers are %v", servers)
+				t.Errorf("servers are %v", servers)
 			}
 		})
 	}
