--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -97,7 +97,7 @@
 	}
 	var message wire.Backup
 	if err := proto.Unmarshal(rest[4:], &message); err != nil {
-		return nil, fmt.Errorf("backup: %w", err)
+		return nil, fmt.Errorf("backup: decoding: %w", err)
 	}
 	b := &Backup{Term: message.Term, Index: message.Index, State: catalog.New()}
 	if err := b.State.Restore(message.Snapshot); err != nil {
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -66,7 +66,7 @@
 	}
 	loaded, err := Load(file)
 	if err != nil || loaded.Summary() != b.Summary() {
-		t.Fatalf("%v, %v", loaded, err)
+		t.Fatalf("loaded backup: %v, %v", loaded, err)
 	}
 	restoredDir := filepath.Join(t.TempDir(), "new")
 	if err := loaded.Restore(restoredDir, "1.2.3.4:5", "1.2.3.4:6", rng()); err != nil {
@@ -82,7 +82,7 @@
 	}
 	restored, _, err := OfStore(restoredDir)
 	if err != nil || restored.State.Revision() != 4 || len(restored.State.Servers()) != 1 || restored.State.Servers()[0].Member != "i-1" || restored.State.Index() <= b.State.Index() {
-		t.Errorf("%+v, %v", restored, err)
+		t.Errorf("backup of the restored folder: %+v, %v", restored, err)
 	}
 	if err := loaded.Restore(restoredDir, "a", "b", rng()); err == nil || !strings.Contains(err.Error(), "not empty") {
 		t.Errorf("Restore into a folder that is not empty: %v", err)
--- a/internal/controlplane/catalog/accepted_test.go
+++ b/internal/controlplane/catalog/accepted_test.go
@@ -38,17 +38,17 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]*Catalog{"original": c, "restored": restored} {
-		known := 0
+		recognized := 0
 		for i := range bodies {
 			switch err := resend(c, i); {
 			case err == nil:
-				known++
+				recognized++
 			case !errors.Is(err, ErrOutcomeUnknown):
 				t.Fatalf("%s: change %d resent: %v", name, i, err)
 			}
 		}
-		if known < maxAccepted*3/4 || known > maxAccepted {
-			t.Errorf("%s: %d resent changes were recognized, want between 3/4 of maxAccepted and maxAccepted", name, known)
+		if recognized < maxAccepted*3/4 || recognized > maxAccepted {
+			t.Errorf("%s: %d resent changes were recognized, want between 3/4 of maxAccepted and maxAccepted", name, recognized)
 		}
 		// Changes that were never accepted are rejected as stale or invalid, whatever their age.
 		current := uint64(changes * step)
--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -21,10 +21,10 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// maxServers bounds the number of registered servers. It is twice the number of nodes that a mesh is designed for.
+// maxServers bounds the number of registered servers, and with it the size of the state.
 const maxServers = 60000
 
-// Errors of Apply. The answers to operators contain the texts of those for configurations.
+// Errors of Apply. Answers to operators contain the texts of configuration errors.
 var (
 	// ErrStale is returned for a configuration whose base is not the current revision or body.
 	ErrStale = errors.New("another version is in place")
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	if !proto.Equal(c.FullChanges(), restored.FullChanges()) || restored.Revision() != 3 || !bytes.Equal(restored.Body(), body) {
-		t.Errorf("%v and %v", c.FullChanges(), restored.FullChanges())
+		t.Errorf("state before the snapshot is %v, and %v after the restore", c.FullChanges(), restored.FullChanges())
 	}
 	if changes, err := restored.Apply(put(0, body)); changes != nil || err != nil {
 		t.Errorf("resend after a restore: %v, %v", changes, err)
--- a/internal/controlplane/catalog/search_test.go
+++ b/internal/controlplane/catalog/search_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestSearchBelowFloor removes more servers than tombstones are kept, while children lag at random. The source is restored
-// from its current snapshot, or from an older one with a new history. A child that applies the source's changes equals it.
+// TestSearchBelowFloor removes more servers than maxTombstones, while children lag at random. The source is restored from
+// its current snapshot, or from an older one with a new history. A child that applies the source's changes equals it.
 func TestSearchBelowFloor(t *testing.T) {
 	const batch = maxTombstones / 3
 	fullStates := 0
@@ -124,7 +124,7 @@
 // TestSearchOfDeltas makes commands on one state and applies them to another that has a different body with the same
 // revision, as after a restore. The body after an accepted command is the one that was sent.
 func TestSearchOfDeltas(t *testing.T) {
-	accepted, refused := 0, 0
+	accepted, rejected := 0, 0
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0xde17a))
 		drawBody := func(revision uint64) []byte {
@@ -148,7 +148,7 @@
 				_, err = c.Apply(origin.Command(c.Revision(), parsed, body))
 				switch {
 				case err != nil:
-					refused++
+					rejected++
 				case !bytes.Equal(c.Body(), body):
 					t.Fatalf("seed %d: revision %d was accepted with another body", seed, revision)
 				default:
@@ -157,8 +157,8 @@
 			}
 		}
 	}
-	if accepted < 500 || refused < 100 {
-		t.Errorf("%d accepted, %d rejected, want at least 500 and 100: too few cases", accepted, refused)
+	if accepted < 500 || rejected < 100 {
+		t.Errorf("%d accepted, %d rejected, want at least 500 and 100: too few cases", accepted, rejected)
 	}
-	t.Logf("%d accepted, %d rejected", accepted, refused)
+	t.Logf("%d accepted, %d rejected", accepted, rejected)
 }
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -314,7 +314,7 @@
 			local.Apply(source.Changes(local.Index()))
 			want := source.ServersOn(func(node string) bool { return node == "n1" })
 			if !slices.Equal(local.Servers(), want) {
-				t.Fatalf("%v, want %v", local.Servers(), want)
+				t.Fatalf("servers of the node are %v, want %v", local.Servers(), want)
 			}
 		}
 	}
--- a/internal/controlplane/store/fuzz_test.go
+++ b/internal/controlplane/store/fuzz_test.go
@@ -25,7 +25,7 @@
 	s.Close()
 	names, err := filepath.Glob(filepath.Join(origin, "log", "*"))
 	if err != nil || len(names) < 3 {
-		f.Fatalf("%v, %v", names, err)
+		f.Fatalf("want at least 3 files, got %v, %v", names, err)
 	}
 	f.Add(uint8(0), uint16(10), uint8(0), uint8(0))
 	f.Add(uint8(1), uint16(3), uint8(1), uint8(0xff))
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -80,10 +80,10 @@
 	// Lost records can't be distinguished from records that were never written. The member starts empty with a new identity,
 	// and the corrupted folder is kept for inspection.
 	if err := os.RemoveAll(damagedDir); err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: removing the previous corrupted folder: %w", err)
 	}
 	if err := os.Rename(dir, damagedDir); err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: renaming the corrupted folder: %w", err)
 	}
 	if err := makeFolder(dir); err != nil {
 		return nil, err
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -51,10 +51,10 @@
 	s.Close()
 	s = open(t, dir)
 	if s.Fresh || s.ID != id || s.HardState.GetVote() != 9 || s.Snapshot.GetIndex() != 3 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("loaded store: %+v", s)
 	}
 	if len(s.Entries) != 3 || s.Entries[0].Index != 4 || s.Entries[2].Index != 6 || s.Entries[2].Term != 2 {
-		t.Fatalf("%v", s.Entries)
+		t.Fatalf("loaded entries: %v", s.Entries)
 	}
 	s.Close()
 	if inspected, err := Inspect(dir); err != nil || inspected.ID != id || len(inspected.Entries) != 3 {
@@ -132,7 +132,7 @@
 	file := filepath.Join(t.TempDir(), "x")
 	os.WriteFile(file, nil, 0o644)
 	if _, err := Open(file, rand.New(rand.NewPCG(1, 1))); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+		t.Errorf("Open below a regular file: %v, want an error of one line", err)
 	}
 }
 
@@ -186,7 +186,7 @@
 	for range 2 { // the first open upgrades the folder
 		s := open(t, firstFormat)
 		if s.ID != 7 || s.Fresh || s.Damaged != nil || s.HardState.GetVote() != 7 || len(s.Entries) != 2 || s.noChecksums {
-			t.Errorf("%+v", s)
+			t.Errorf("upgraded store: %+v", s)
 		}
 		s.Close()
 	}
