--- a/internal/cluster/membership/agreement_test.go
+++ b/internal/cluster/membership/agreement_test.go
@@ -8,87 +8,87 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// agreed reports whether all groups have one view.
-func (f *fleet) agreed() bool {
-	first := f.groups["n0"].Digest()
-	for _, g := range f.groups {
-		if g.Digest() != first || len(g.Members()) != len(f.groups) {
+// converged reports whether all nodes list every node and have the same digest.
+func (c *simulatedCluster) converged() bool {
+	first := c.nodes["n0"].Digest()
+	for _, node := range c.nodes {
+		if node.Digest() != first || len(node.Members()) != len(c.nodes) {
 			return false
 		}
 	}
 	return true
 }
 
-// untilAgreed plays until all groups have one view, and returns how long that took.
-func (f *fleet) untilAgreed(bound time.Duration) time.Duration {
-	began := f.now
-	for f.now < began+bound && !f.agreed() {
-		f.run(250 * time.Millisecond)
+// runUntilConverged runs the simulation until all nodes converge or the timeout passes, and returns the time it took.
+func (c *simulatedCluster) runUntilConverged(timeout time.Duration) time.Duration {
+	start := c.now
+	for c.now < start+timeout && !c.converged() {
+		c.run(250 * time.Millisecond)
 	}
-	return f.now - began
+	return c.now - start
 }
 
-// TestManyNodesConverge: nodes that all start at once know each other within seconds, and so they do behind a restart and
-// a loss of a tenth, although updates of the start still wait to be passed on.
+// TestManyNodesConverge guards against slow convergence after a simultaneous start, a restart, and a loss of a tenth of the
+// nodes, while updates from the start are still queued for broadcast.
 func TestManyNodesConverge(t *testing.T) {
 	const nodes = 300
-	f := newFleet(t, 1)
-	f.loss = 0.01
+	c := newSimulatedCluster(t, 1)
+	c.loss = 0.01
 	for i := 1; i < nodes; i++ {
 		name := fmt.Sprint("n", i)
-		f.groups[name] = New(&wire.Member{Name: name, Address: name, Generation: 1}, uint64(i), 0)
+		c.nodes[name] = New(&wire.Member{Name: name, Address: name, Generation: 1}, uint64(i), 0)
 	}
-	check := func(what string, bound time.Duration) {
+	check := func(event string, bound time.Duration) {
 		t.Helper()
-		took := f.untilAgreed(time.Minute)
-		t.Logf("%s: all agree after %v", what, took)
+		took := c.runUntilConverged(time.Minute)
+		t.Logf("%s: converged after %v", event, took)
 		if took > bound {
-			t.Errorf("%s: all agree after %v, want %v at most", what, took, bound)
+			t.Errorf("%s: converged after %v, want at most %v", event, took, bound)
 		}
 	}
-	check("a start", 10*time.Second)
-	f.groups["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 1007, f.now)
-	check("a restart", 10*time.Second)
+	check("simultaneous start", 10*time.Second)
+	c.nodes["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 1007, c.now)
+	check("restart of one node", 10*time.Second)
 	for i := 10; i < 10+nodes/10; i++ {
-		delete(f.groups, fmt.Sprint("n", i))
+		delete(c.nodes, fmt.Sprint("n", i))
 	}
-	check("a loss of a tenth", 15*time.Second)
+	check("loss of a tenth of the nodes", 15*time.Second)
 	for i := 10; i < 10+nodes/10; i++ {
 		name := fmt.Sprint("n", i)
-		f.groups[name] = New(&wire.Member{Name: name, Address: name, Generation: 2}, uint64(2000+i), f.now)
+		c.nodes[name] = New(&wire.Member{Name: name, Address: name, Generation: 2}, uint64(2000+i), c.now)
 	}
-	check("their return", 10*time.Second)
+	check("return of the lost nodes", 10*time.Second)
 }
 
-// TestMissedUpdateArrivesByPushPull: nodes that lack a change which all others know, and would compare their views long
-// after it, are asked by one of the others soon, and look into it.
+// TestMissedUpdateArrivesByPushPull guards against nodes that stay behind after they missed an update: a push/pull from an
+// up-to-date node must move their own next push/pull forward.
 func TestMissedUpdateArrivesByPushPull(t *testing.T) {
 	const (
 		nodes  = 300
 		missed = 20
-		bound  = 25 * time.Second // the others compare their views each 20 s at the latest
+		bound  = 25 * time.Second // the up-to-date nodes start a push/pull at least every 20 s
 	)
-	f := newFleet(t, nodes)
-	f.untilAgreed(time.Minute)
-	f.run(time.Minute)
-	f.groups["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 1007, f.now)
-	f.untilAgreed(time.Minute)
-	for name, g := range f.groups { // probes tell of it no more
-		if m := g.members["n7"]; name != "n7" {
+	c := newSimulatedCluster(t, nodes)
+	c.runUntilConverged(time.Minute)
+	c.run(time.Minute)
+	c.nodes["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 1007, c.now)
+	c.runUntilConverged(time.Minute)
+	for name, node := range c.nodes { // stop the broadcast of the update
+		if m := node.members["n7"]; name != "n7" {
 			m.transmits = transmitLimitReached
 		}
 	}
 	for i := 100; i < 100+missed; i++ {
-		g := f.groups[fmt.Sprint("n", i)]
-		m := g.members["n7"]
-		g.toggleDigest(m.Member)
+		node := c.nodes[fmt.Sprint("n", i)]
+		m := node.members["n7"]
+		node.toggleDigest(m.Member)
 		m.Member = &wire.Member{Name: "n7", Address: "n7", Generation: 1}
-		g.toggleDigest(m.Member)
-		g.nextPushPullAt = f.now + time.Hour
+		node.toggleDigest(m.Member)
+		node.nextPushPullAt = c.now + time.Hour
 	}
-	if took := f.untilAgreed(time.Minute); took > bound {
-		t.Errorf("%d nodes that missed a change know of it after %v, want %v", missed, took, bound)
+	if took := c.runUntilConverged(time.Minute); took > bound {
+		t.Errorf("%d nodes that missed an update received it after %v, want at most %v", missed, took, bound)
 	} else {
-		t.Logf("after %v", took)
+		t.Logf("converged after %v", took)
 	}
 }
--- a/internal/cluster/membership/broadcast.go
+++ b/internal/cluster/membership/broadcast.go
@@ -8,11 +8,11 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// nextBroadcasts returns the updates to be piggybacked on the next message: this node's own state, and those that were
-// transmitted least often. Of equally often transmitted ones the newest goes first: after a start of many nodes, the
-// updates of hundreds of them wait for minutes.
+// nextBroadcasts returns the updates to piggyback on the next message: this node's own entry, then the updates with the
+// fewest transmits. Among equals the newest goes first, because after many nodes start at once hundreds of updates are
+// queued for minutes.
 func (l *Memberlist) nextBroadcasts() []*wire.Member {
-	limit := uint8(3) // transmits of an update, more in a larger cluster
+	limit := uint8(3) // transmits per update, plus one for each doubling of the cluster
 	for n := len(l.members) + 1; n > 1; n /= 2 {
 		limit++
 	}
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -6,27 +6,27 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// rangeDigests are the digests of the reachable members, by range of the finest division.
+// rangeDigests holds, for each of maxRanges ranges, the XOR of the digests of its reachable members.
 type rangeDigests [maxRanges]uint64
 
-// nameHash is alike on all nodes.
+// nameHash returns the FNV-1a hash of a name. All nodes must compute the same value.
 func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// digestOfHash mixes a name's hash with a generation.
+// digestOfHash combines the hash of a member's name with its generation.
 func digestOfHash(hash, generation uint64) uint64 {
 	return (hash ^ generation*0x9e3779b97f4a7c15) * 0xff51afd7ed558ccd
 }
 
-// finestRange is a member's range of maxRanges, by the hash of its name.
+// finestRange returns a member's range out of maxRanges, given the hash of its name.
 func finestRange(hash uint64) uint16 {
-	return uint16(digestOfHash(hash, 0) >> 54) // the upper ten bits
+	return uint16(digestOfHash(hash, 0) >> 54) // the upper log2(maxRanges) = 10 bits
 }
 
-// digest is the digest of a member; 0: it is dead or has left.
+// digest returns the digest of a member, or zero if the member is dead or has left.
 func digest(m *wire.Member) uint64 {
 	if !reachable(m.State) {
 		return 0
@@ -34,7 +34,7 @@
 	return digestOfHash(nameHash(m.Name), m.Generation)
 }
 
-// toggleDigest adds a member to the digests, or removes it from them.
+// toggleDigest adds a reachable member to the digests, or removes it if they include it.
 func (l *Memberlist) toggleDigest(m *wire.Member) {
 	if !reachable(m.State) {
 		return
@@ -45,7 +45,7 @@
 	l.ranges[finestRange(hash)] ^= d
 }
 
-// rangesFor returns into how many ranges a view of so many members is divided; 0: it is sent whole.
+// rangesFor returns the number of ranges for a view of the given size. It returns zero if the view is sent whole.
 func rangesFor(members int) uint32 {
 	if members <= maxFullViewMembers {
 		return 0
@@ -57,10 +57,10 @@
 	return n
 }
 
-// validRanges reports whether another node may request so many ranges.
+// validRanges reports whether n, the number of ranges in another node's request, is a power of two up to maxRanges.
 func validRanges(n uint32) bool { return n > 0 && n <= maxRanges && n&(n-1) == 0 }
 
-// digestsOf returns the digests of n ranges, with this node's own entry.
+// digestsOf returns the digests of n ranges, including this node's own entry.
 func (l *Memberlist) digestsOf(n uint32) []uint64 {
 	merged := make([]uint64, n)
 	width := maxRanges / n
@@ -71,5 +71,6 @@
 	return merged
 }
 
-// Digest is equal at two nodes with the same view, generations included.
+// Digest returns the digest of the reachable members, including this node. It is equal on nodes that list the same names
+// and generations.
 func (l *Memberlist) Digest() uint64 { return l.digest ^ digest(l.self) }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,15 +1,16 @@
-// Package membership is the cluster membership and failure detection of all nodes, after SWIM (Das, Gupta, Motivala:
-// "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002): each node probes the
-// others in random rounds, has other members probe one that does not answer (indirect probes), and suspects it before it
-// declares it dead. A suspected node refutes with a higher incarnation. Updates are piggybacked on probes and their
-// answers; a push/pull compares whole views from time to time.
+// Package membership implements cluster membership and failure detection after SWIM (Das, Gupta, Motivala: "SWIM:
+// Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002). Each node probes the other
+// members in random rounds. If a member does not respond, the node sends indirect probes through other members, marks the
+// member as suspect, and after a timeout declares it dead. A suspected node refutes with a higher incarnation. Updates are
+// piggybacked on probes and their responses, and a periodic push/pull compares whole views.
 //
-//	membership.go  Memberlist: the view, and what it shows
-//	state.go       how updates change a member's state; refutation
+//	membership.go  Memberlist and its accessors
+//	state.go       state changes and refutation
 //	probe.go       direct and indirect probes
-//	suspicion.go   from suspect to dead, from dead to forgotten
-//	broadcast.go   which updates are piggybacked
-//	push_pull.go   comparison of views; digest.go its digests
+//	suspicion.go   expiry of suspect and dead members
+//	broadcast.go   selection of the piggybacked updates
+//	push_pull.go   comparison of views
+//	digest.go      digests of views
 //
 // Memberlist is a pure state machine: it takes the time and events, and returns the probes to send. It opens no socket
 // and reads no clock. Package gossip drives it in processes, package lab in simulations.
@@ -29,82 +30,82 @@
 // Timing and bounds of the protocol.
 const (
 	ProbeInterval        = 500 * time.Millisecond
-	ProbeTimeout         = 400 * time.Millisecond // of a direct probe; an indirect one takes twice as long
-	pushPullTimeout      = 2 * time.Second        // it may bring a full view
+	ProbeTimeout         = 400 * time.Millisecond // of a direct probe; an indirect probe gets twice as long
+	pushPullTimeout      = 2 * time.Second        // the response may contain a full view
 	suspicionTimeout     = 1800 * time.Millisecond
-	deadRetention        = 30 * time.Second // dead members are remembered for so long, lest late updates revive them
-	indirectProbes       = 2                // members that are asked for one
-	maxPiggyback         = 8                // updates sent along with a probe
-	transmitLimitReached = 255              // transmits of an update that is not broadcast any more
-	maxMembers           = 65_536           // over twice the 28,000 nodes that a mesh is designed for
-
-	deadNodeLostAfter    = 1500 * time.Millisecond // since a node was declared dead
-	unknownNodeLostAfter = 10 * time.Second        // of a watch in which a node was never a member
-
-	joinInterval              = 300 * time.Millisecond // between push/pulls with seeds while no other member is known
-	minPushPullInterval       = 2 * time.Second        // between push/pulls where a view has changed or differs ...
-	maxPushPullBytesPerSecond = 512                    // ... but not so often that digests take more than this
-	pushPullInterval          = 5 * time.Second        // between push/pulls that find no difference, doubled up to this ...
-	pushPullScale             = 100                    // ... for each so many nodes ...
-	maxPushPullInterval       = time.Minute            // ... but no longer than this
-	pushPullsPerSeedPushPull  = 8                      // in a cluster of more than pushPullScale nodes, one in so many is with seeds
+	deadRetention        = 30 * time.Second // dead members are kept this long, so that late updates do not revive them
+	indirectProbes       = 2                // members through which an unresponsive member is probed
+	maxPiggyback         = 8                // updates per message, besides the sender's own entry
+	transmitLimitReached = 255              // value of member.transmits that stops the broadcast
+	maxMembers           = 65_536           // over twice the design limit of 28,000 nodes
+
+	deadNodeLostAfter    = 1500 * time.Millisecond // since the node was declared dead
+	unknownNodeLostAfter = 10 * time.Second        // since the caller began to observe, if the node was never a member
+
+	joinInterval              = 300 * time.Millisecond // between push/pulls with seeds while the list has no other member
+	minPushPullInterval       = 2 * time.Second        // between push/pulls after a change or a difference
+	maxPushPullBytesPerSecond = 512                    // limit of the digest traffic; lengthens minPushPullInterval in a large cluster
+	pushPullInterval          = 5 * time.Second        // longest interval per pushPullScale members
+	pushPullScale             = 100                    // in members
+	maxPushPullInterval       = time.Minute            // longest interval in a cluster of any size
+	pushPullsPerSeedPushPull  = 8                      // above pushPullScale members, one push/pull in this many is with seeds
 )
 
-// member is another node.
+// member is the state kept for another node.
 type member struct {
-	*wire.Member // replaced, never changed: callers have it too
+	*wire.Member // replaced, never modified: callers hold references to it
 
-	stateChangedAt  time.Duration // when it entered its state
-	transmits       uint8         // times that its newest state was broadcast
-	pendingIndirect uint8         // indirect probes without a result
+	stateChangedAt  time.Duration // time of the latest state update
+	transmits       uint8         // number of times the latest update was sent
+	pendingIndirect uint8         // indirect probes that are still running
 	probing         bool
-	broadcasting    bool // it is in Memberlist.broadcasts
-	unreachable     bool // it is in Memberlist.unreachable
+	broadcasting    bool // is in Memberlist.broadcasts
+	unreachable     bool // is in Memberlist.unreachable
 	finestRange     uint16
 }
 
-// Memberlist is one node's view of all others. In a large cluster, the cost of a probe depends on what has changed
-// lately, not on the number of members. It belongs to one goroutine, or to the holder of a lock.
+// Memberlist is one node's view of the cluster. The cost of a probe depends on the number of recent changes, not on the
+// number of members. A Memberlist is not safe for concurrent use.
 type Memberlist struct {
 	self             *wire.Member
 	rng              *rand.Rand
 	now              time.Duration
 	members          map[string]*member
-	sortedMembers    []*member // sorted by name unless unsorted is set
-	broadcasts       []*member // whose newest state has to be broadcast
+	sortedMembers    []*member // sorted by name unless needsSort is set
+	broadcasts       []*member // members whose latest update is still broadcast
 	unreachable      []*member // suspect, dead or left
-	probeRound       []*member // rest of the round of probes
+	probeRound       []*member // members not yet probed in this round
 	nextTickAt       time.Duration
-	nextPushPullAt   time.Duration // the next push/pull ...
-	lastPushPullAt   time.Duration // ... the last one ...
-	pushPullInterval time.Duration // ... and the time between two
+	nextPushPullAt   time.Duration
+	lastPushPullAt   time.Duration
+	pushPullInterval time.Duration // current interval between push/pulls
 	version          uint64
-	digest           uint64 // of the reachable members, without this node
+	digest           uint64 // of the reachable members, excluding this node
 	ranges           rangeDigests
-	pushPulls        int // that were begun
+	pushPulls        int // number of push/pulls started
 
 	needsSort     bool
-	listedMembers []*wire.Member // what Members returned at version listed
+	listedMembers []*wire.Member // result of Members at listedVersion
 	listedVersion uint64
 }
 
-// New returns the membership list of a node with only itself in it. Its generation should be above that of any earlier process of the
-// same name. If it is not, as after a clock was set back, the node learns that from the first view that it receives, and
-// raises its generation: see refute.
-func New(self *wire.Member, seed uint64, now time.Duration) *Memberlist {
+// New returns a Memberlist that contains only self. Its generation should be higher than that of every earlier process of
+// the same name. If it is not, for example because the clock was set back, the node raises its generation when it receives
+// the earlier process's entry: see refute.
+func New(self *wire.Member, rngSeed uint64, now time.Duration) *Memberlist {
 	return &Memberlist{
-		self: proto.CloneOf(self), rng: rand.New(rand.NewPCG(seed, 7)), now: now, members: map[string]*member{},
+		self: proto.CloneOf(self), rng: rand.New(rand.NewPCG(rngSeed, 7)), now: now, members: map[string]*member{},
 		nextTickAt: now, nextPushPullAt: now, version: 1,
 	}
 }
 
-// Self returns this node as others see it. The caller must not change it.
+// Self returns this node's own entry. The caller must not modify it.
 func (l *Memberlist) Self() *wire.Member { return l.self }
 
-// Version rises with every change that Members shows.
+// Version returns a number that increases whenever the result of Members changes.
 func (l *Memberlist) Version() uint64 { return l.version }
 
-// Members returns the reachable nodes, this one among them, by name. The caller must not change the list or its
+// Members returns the reachable nodes, including this one, sorted by name. The caller must not modify the list or its
 // elements.
 func (l *Memberlist) Members() []*wire.Member {
 	if l.listedVersion == l.version {
@@ -127,7 +128,7 @@
 	return list
 }
 
-// Load adds nodes as alive, as from a view that all nodes have: nothing of it is broadcast.
+// Load adds nodes from a view that all nodes already share, without broadcasting them. The nodes must be alive.
 func (l *Memberlist) Load(now time.Duration, all []*wire.Member) {
 	l.now = now
 	slab := make([]member, 0, len(all))
@@ -147,7 +148,7 @@
 	l.version++
 }
 
-// sorted returns all members, by name.
+// sorted returns all other members, including dead ones, sorted by name.
 func (l *Memberlist) sorted() []*member {
 	if l.needsSort {
 		slices.SortFunc(l.sortedMembers, func(a, b *member) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -11,153 +11,159 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// fleet plays groups in simulated time; a message takes no time, or gets lost.
-type fleet struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Duration
-	groups map[string]*Memberlist
-	loss   float64
-	cut    func(a, b string) bool
+// simulatedCluster runs Memberlists in simulated time. Messages are delivered at once or lost.
+type simulatedCluster struct {
+	t           *testing.T
+	rng         *rand.Rand
+	now         time.Duration
+	nodes       map[string]*Memberlist // by name
+	loss        float64                // fraction of messages
+	partitioned func(from, to string) bool
 }
 
-func (f *fleet) reach(from, to string) bool {
-	return f.groups[to] != nil && (f.cut == nil || !f.cut(from, to)) && f.rng.Float64() >= f.loss
+// delivered reports whether a message arrives.
+func (c *simulatedCluster) delivered(from, to string) bool {
+	return c.nodes[to] != nil && (c.partitioned == nil || !c.partitioned(from, to)) && c.rng.Float64() >= c.loss
 }
 
-func (f *fleet) exchange(from, to string, p *wire.ProbeRequest) *wire.ProbeResponse {
-	if !f.reach(from, to) {
+// exchange sends a probe and merges the updates in the response. It returns nil if a message is lost.
+func (c *simulatedCluster) exchange(from, to string, request *wire.ProbeRequest) *wire.ProbeResponse {
+	if !c.delivered(from, to) {
 		return nil
 	}
-	g := f.groups[to]
-	g.Merge(f.now, p.From)
-	g.Merge(f.now, p.Updates...)
+	receiver := c.nodes[to]
+	receiver.Merge(c.now, request.From)
+	receiver.Merge(c.now, request.Updates...)
 	reached := true
-	if p.Target != nil {
-		reached = f.exchange(to, p.Target.Name, &wire.ProbeRequest{From: g.Self()}) != nil
+	if request.Target != nil {
+		reached = c.exchange(to, request.Target.Name, &wire.ProbeRequest{From: receiver.Self()}) != nil
 	}
-	answer := g.HandleProbe(p)
-	answer.Reached = reached
-	f.groups[from].Merge(f.now, answer.Updates...)
-	return answer
+	response := receiver.HandleProbe(request)
+	response.Reached = reached
+	c.nodes[from].Merge(c.now, response.Updates...)
+	return response
 }
 
-func (f *fleet) run(d time.Duration) {
-	for end := f.now + d; f.now < end; f.now += 50 * time.Millisecond {
-		for _, name := range slices.Sorted(maps.Keys(f.groups)) { // in one order, so that runs repeat
-			g := f.groups[name]
-			todo := g.Tick(f.now, []string{"n0"})
-			for len(todo) > 0 {
-				a := todo[0]
-				to := a.Target
+// run runs the simulation for the given time.
+func (c *simulatedCluster) run(duration time.Duration) {
+	for end := c.now + duration; c.now < end; c.now += 50 * time.Millisecond {
+		for _, name := range slices.Sorted(maps.Keys(c.nodes)) { // fixed order, so that runs are reproducible
+			node := c.nodes[name]
+			probes := node.Tick(c.now, []string{"n0"})
+			for len(probes) > 0 {
+				probe := probes[0]
+				to := probe.Target
 				switch {
-				case a.Via != "":
-					to = a.Via
+				case probe.Via != "":
+					to = probe.Via
 				case to == "":
-					to = a.Address
+					to = probe.Address
 				}
-				todo = append(todo[1:], g.HandleProbeResult(f.now, a, f.exchange(g.Self().Name, to, a.Request))...)
+				probes = append(probes[1:], node.HandleProbeResult(c.now, probe, c.exchange(node.Self().Name, to, probe.Request))...)
 			}
 		}
 	}
 }
 
-func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(1, 2)), groups: map[string]*Memberlist{}}
+// newSimulatedCluster returns a cluster of n nodes, n0 to n(n-1), that have joined through n0.
+func newSimulatedCluster(t *testing.T, n int) *simulatedCluster {
+	c := &simulatedCluster{t: t, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*Memberlist{}}
 	for i := range n {
 		name := fmt.Sprint("n", i)
-		f.groups[name] = New(&wire.Member{Name: name, Address: name, Generation: 1}, uint64(i), 0)
+		c.nodes[name] = New(&wire.Member{Name: name, Address: name, Generation: 1}, uint64(i), 0)
 	}
 	for i := 1; i < n; i++ {
-		f.exchange(fmt.Sprint("n", i), "n0", &wire.ProbeRequest{From: f.groups[fmt.Sprint("n", i)].Self(), FullView: true})
+		c.exchange(fmt.Sprint("n", i), "n0", &wire.ProbeRequest{From: c.nodes[fmt.Sprint("n", i)].Self(), FullView: true})
 	}
-	return f
+	return c
 }
 
-func (f *fleet) want(n int, when string) {
-	f.t.Helper()
-	for name, g := range f.groups {
+// checkAlive checks that every node lists the given number of alive members.
+func (c *simulatedCluster) checkAlive(want int, when string) {
+	c.t.Helper()
+	for name, node := range c.nodes {
 		alive := 0
-		for _, m := range g.Members() {
+		for _, m := range node.Members() {
 			if m.State == wire.Member_ALIVE {
 				alive++
 			}
 		}
-		if alive != n {
-			f.t.Errorf("%s: %s knows %d alive, want %d", when, name, alive, n)
+		if alive != want {
+			c.t.Errorf("%s: %s lists %d alive members, want %d", when, name, alive, want)
 		}
 	}
 }
 
+// TestDeathReachesAll guards against nodes that miss the failure, the return or the departure of another node.
 func TestDeathReachesAll(t *testing.T) {
-	f := newFleet(t, 20)
-	f.run(11 * time.Second)
-	f.want(20, "at first")
-	delete(f.groups, "n7")
-	f.run(20 * time.Second)
-	f.want(19, "after a death")
-	for name, g := range f.groups {
-		if g.DeadFor(f.now, "n7") == 0 {
-			t.Errorf("%s does not hold n7 for gone", name)
+	c := newSimulatedCluster(t, 20)
+	c.run(11 * time.Second)
+	c.checkAlive(20, "initially")
+	delete(c.nodes, "n7")
+	c.run(20 * time.Second)
+	c.checkAlive(19, "after the failure of n7")
+	for name, node := range c.nodes {
+		if node.DeadFor(c.now, "n7") == 0 {
+			t.Errorf("%s does not list n7 as dead", name)
 		}
 	}
-	// A new process is known again, though all have heard of the death.
-	f.groups["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 77, f.now)
-	f.exchange("n7", "n0", &wire.ProbeRequest{From: f.groups["n7"].Self(), FullView: true})
-	f.run(10 * time.Second)
-	f.want(20, "after its return")
-	g := f.groups["n3"]
-	g.Leave()
-	f.exchange("n3", "n4", &wire.ProbeRequest{From: g.Self(), Updates: []*wire.Member{g.Self()}})
-	delete(f.groups, "n3")
-	f.run(8 * time.Second)
-	f.want(19, "after it left")
+	// A new process of n7 is added although all nodes list the earlier one as dead.
+	c.nodes["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 77, c.now)
+	c.exchange("n7", "n0", &wire.ProbeRequest{From: c.nodes["n7"].Self(), FullView: true})
+	c.run(10 * time.Second)
+	c.checkAlive(20, "after the return of n7")
+	leaving := c.nodes["n3"]
+	leaving.Leave()
+	c.exchange("n3", "n4", &wire.ProbeRequest{From: leaving.Self(), Updates: []*wire.Member{leaving.Self()}})
+	delete(c.nodes, "n3")
+	c.run(8 * time.Second)
+	c.checkAlive(19, "after n3 left")
 }
 
-// TestMessageLossAndPartitionsAreNotDeath: third parties vouch for a node that some can't reach,
-// and a node refutes what is said of it.
+// TestMessageLossAndPartitionsAreNotDeath guards against false failure detection: indirect probes succeed where direct ones
+// are lost, and a suspected node refutes.
 func TestMessageLossAndPartitionsAreNotDeath(t *testing.T) {
-	f := newFleet(t, 12)
-	f.loss = 0.05
-	f.cut = func(a, b string) bool { return a == "n1" && b == "n2" || a == "n2" && b == "n1" }
-	f.run(60 * time.Second)
-	dead := 0
-	for _, g := range f.groups {
-		dead += len(f.groups) - len(g.Members())
+	c := newSimulatedCluster(t, 12)
+	c.loss = 0.05
+	c.partitioned = func(from, to string) bool { return from == "n1" && to == "n2" || from == "n2" && to == "n1" }
+	c.run(60 * time.Second)
+	missing := 0
+	for _, node := range c.nodes {
+		missing += len(c.nodes) - len(node.Members())
 	}
-	if dead > 0 {
-		t.Errorf("%d times a living node was taken for dead", dead)
+	if missing > 0 {
+		t.Errorf("%d entries of live nodes are missing from the member lists", missing)
 	}
-	g := f.groups["n5"]
-	f.loss, f.cut = 0, nil
-	f.groups["n0"].Merge(f.now, &wire.Member{Name: "n5", Address: "n5", Generation: 1, Incarnation: g.Self().Incarnation, State: wire.Member_SUSPECT})
-	f.run(10 * time.Second)
-	f.want(12, "after a slander")
+	suspected := c.nodes["n5"]
+	c.loss, c.partitioned = 0, nil
+	c.nodes["n0"].Merge(c.now, &wire.Member{Name: "n5", Address: "n5", Generation: 1, Incarnation: suspected.Self().Incarnation, State: wire.Member_SUSPECT})
+	c.run(10 * time.Second)
+	c.checkAlive(12, "after a false suspicion of n5")
 }
 
-// TestClockSetBack: a process that starts anew with a generation below that of its predecessor, as its clock was set back, is
-// known again: it raises its generation as soon as it sees the old one.
+// TestClockSetBack guards against a restarted node that cannot rejoin because its clock was set back: it must raise its
+// generation above that of its earlier process.
 func TestClockSetBack(t *testing.T) {
-	f := newFleet(t, 8)
-	f.groups["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 1000}, 70, 0)
-	f.exchange("n7", "n0", &wire.ProbeRequest{From: f.groups["n7"].Self(), FullView: true})
-	f.run(10 * time.Second)
-	delete(f.groups, "n7")
-	f.run(10 * time.Second)
-	f.groups["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 71, f.now)
-	f.run(10 * time.Second)
-	f.want(8, "after its return with an earlier clock")
+	c := newSimulatedCluster(t, 8)
+	c.nodes["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 1000}, 70, 0)
+	c.exchange("n7", "n0", &wire.ProbeRequest{From: c.nodes["n7"].Self(), FullView: true})
+	c.run(10 * time.Second)
+	delete(c.nodes, "n7")
+	c.run(10 * time.Second)
+	c.nodes["n7"] = New(&wire.Member{Name: "n7", Address: "n7", Generation: 2}, 71, c.now)
+	c.run(10 * time.Second)
+	c.checkAlive(8, "after the return of n7 with an earlier clock")
 }
 
-// TestTargetSizeFits: a view holds all nodes of the largest mesh that is designed for.
+// TestTargetSizeFits guards against a limit below the design size of 28,000 nodes.
 func TestTargetSizeFits(t *testing.T) {
 	const nodes = 28_000
-	g := New(&wire.Member{Name: "self", Address: "self", Generation: 1}, 1, 0)
+	list := New(&wire.Member{Name: "self", Address: "self", Generation: 1}, 1, 0)
 	for i := range nodes {
 		name := fmt.Sprint("n", i)
-		g.Merge(0, &wire.Member{Name: name, Address: name, Generation: 1})
+		list.Merge(0, &wire.Member{Name: name, Address: name, Generation: 1})
 	}
-	if got := len(g.Members()); got != nodes+1 {
+	if got := len(list.Members()); got != nodes+1 {
 		t.Errorf("%d members, want %d", got, nodes+1)
 	}
 }
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -7,31 +7,31 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Probe is a request that the driver has to send to Address: a direct probe of Target, an indirect one of Target through
-// Via, or, without a target, a push/pull. The driver answers with HandleProbeResult.
+// Probe is a request that the driver sends to Address: a direct probe of Target, an indirect probe of Target through Via
+// or, if Target is empty, a push/pull. The driver passes the result to HandleProbeResult.
 type Probe struct {
 	Target  string
 	Via     string
-	Address string // where to
+	Address string // of the receiver
 	Request *wire.ProbeRequest
 }
 
-// Timeout is how long the driver waits for the answer.
-func (a Probe) Timeout() time.Duration {
+// Timeout returns how long the driver waits for the response.
+func (p Probe) Timeout() time.Duration {
 	switch {
-	case a.Target == "":
+	case p.Target == "":
 		return pushPullTimeout
-	case a.Via != "":
+	case p.Via != "":
 		return 2 * ProbeTimeout
 	}
 	return ProbeTimeout
 }
 
-// NextTick is the time at which Tick is due.
+// NextTick returns the time at which Tick is due.
 func (l *Memberlist) NextTick() time.Duration { return l.nextTickAt }
 
-// Tick begins the next probe, ends suspicions that were not refuted in time, forgets the dead, and exchanges views with
-// others when that is due. seeds are addresses of nodes that may be members.
+// Tick starts the next probe, expires suspect and dead members, and starts a push/pull if one is due. It returns the probes
+// to send. seeds are the addresses of the seed nodes.
 func (l *Memberlist) Tick(now time.Duration, seeds []string) []Probe {
 	l.now = now
 	l.expireSuspicions()
@@ -48,7 +48,8 @@
 	return append(probes, l.pushPull(seeds)...)
 }
 
-// nextProbeTarget returns the next member of a round, in which each is probed once, in random order.
+// nextProbeTarget returns the next member to probe. Each round covers every member once, in random order. It returns nil if
+// no member can be probed.
 func (l *Memberlist) nextProbeTarget() *member {
 	for range 2 {
 		for len(l.probeRound) > 0 {
@@ -58,26 +59,26 @@
 				return m
 			}
 		}
-		l.probeRound = slices.Clone(l.sorted()) // a member that was forgotten meanwhile is not reachable
+		l.probeRound = slices.Clone(l.sorted()) // a member that is removed during the round is unreachable, and skipped
 		l.rng.Shuffle(len(l.probeRound), func(i, j int) { l.probeRound[i], l.probeRound[j] = l.probeRound[j], l.probeRound[i] })
 	}
 	return nil
 }
 
-// HandleProbeResult takes the answer to a probe (nil: none came in time) and returns the probes that follow. The updates
-// in the answer have to be passed to Merge before.
-func (l *Memberlist) HandleProbeResult(now time.Duration, probe Probe, answer *wire.ProbeResponse) []Probe {
+// HandleProbeResult processes the response to a probe, or nil if the probe timed out, and returns the follow-up probes. The
+// caller must first pass the updates in the response to Merge.
+func (l *Memberlist) HandleProbeResult(now time.Duration, probe Probe, response *wire.ProbeResponse) []Probe {
 	l.now = now
 	if probe.Target == "" {
-		return l.handlePushPull(probe, answer)
+		return l.handlePushPull(probe, response)
 	}
 	m := l.members[probe.Target]
 	if m == nil || !m.probing {
 		return nil
 	}
-	if answer != nil && answer.Reached {
+	if response != nil && response.Reached {
 		m.probing = false
-		if m.State == wire.Member_SUSPECT { // it will refute the suspicion itself; this only saves the time until then
+		if m.State == wire.Member_SUSPECT { // without waiting for its refutation
 			l.setState(m, wire.Member_ALIVE)
 		}
 		return nil
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// indirectProbes asks other members to probe one that has not answered.
+// indirectProbes returns probes of m through other members.
 func (l *Memberlist) indirectProbes(m *member) (probes []Probe) {
 	for _, via := range l.randomAliveMembers(m.Name) {
 		request := &wire.ProbeRequest{Target: m.Member, From: l.self, Updates: l.nextBroadcasts()}
@@ -106,11 +107,11 @@
 	return probes
 }
 
-// randomAliveMembers draws a few members that are alive, without one of them.
+// randomAliveMembers returns up to indirectProbes random members that are alive, excluding the one named except.
 func (l *Memberlist) randomAliveMembers(except string) []*member {
 	all := l.sorted()
 	var list []*member
-	for range 8 * indirectProbes { // enough, unless most are unreachable
+	for range 8 * indirectProbes { // enough draws unless most members are unreachable
 		m := all[l.rng.IntN(len(all))]
 		if m.Name != except && m.State == wire.Member_ALIVE && !slices.Contains(list, m) {
 			if list = append(list, m); len(list) == indirectProbes {
--- a/internal/cluster/membership/push_pull.go
+++ b/internal/cluster/membership/push_pull.go
@@ -7,53 +7,53 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// In a push/pull two nodes compare their views by digests of ranges, so that its cost follows the difference and not the
-// number of members: the node that begins gets the digests of the other's ranges, and then the members of the ranges that
-// differ. It sends none of its own, since a node that was partitioned would bring back the dead that all others have
-// forgotten. A member belongs to a range by the hash of its name; a range of a coarser division is the union of
-// neighbouring ones of a finer.
+// In a push/pull two nodes compare their views by digests of ranges of members, so that the cost depends on the difference
+// and not on the number of members. The initiator requests the digests of the peer's ranges, and then the members of the
+// ranges that differ. It sends no members itself: after a partition it would revive dead members that all others have
+// removed. The hash of a member's name determines its range. A range of a coarser division is the union of adjacent ranges
+// of a finer one.
 const (
 	maxRanges          = 1024 // a power of two
-	membersPerRange    = 16   // wanted, about
+	membersPerRange    = 16   // target average
 	maxFullViewMembers = 64   // smaller views are sent whole, which saves a round trip
 )
 
-// membersOf returns the members of some of n ranges, the dead among them.
-func (l *Memberlist) membersOf(n uint32, wanted []uint32) (list []*wire.Member) {
-	width := uint16(maxRanges / n)
-	var in [maxRanges]bool
+// membersOf returns the members of the wanted ranges out of rangeCount, including dead ones. It ignores ranges out of bounds.
+func (l *Memberlist) membersOf(rangeCount uint32, wanted []uint32) (list []*wire.Member) {
+	width := uint16(maxRanges / rangeCount)
+	var selected [maxRanges]bool
 	for _, r := range wanted {
-		if r < n {
-			in[r] = true
+		if r < rangeCount {
+			selected[r] = true
 		}
 	}
 	for _, m := range l.sorted() {
-		if in[m.finestRange/width] {
+		if selected[m.finestRange/width] {
 			list = append(list, m.Member)
 		}
 	}
 	return list
 }
 
-// HandleProbe returns the answer to a probe: updates or, for a push/pull that finds a difference, what the other node needs
-// to compare the views. The updates in the probe have to be passed to Merge before.
-func (l *Memberlist) HandleProbe(p *wire.ProbeRequest) *wire.ProbeResponse {
-	if !p.FullView || p.Digest == l.Digest() {
+// HandleProbe returns the response to a probe: piggybacked updates or, for a push/pull between different views, range
+// digests or members. The caller must first pass the updates in the request to Merge.
+func (l *Memberlist) HandleProbe(request *wire.ProbeRequest) *wire.ProbeResponse {
+	if !request.FullView || request.Digest == l.Digest() {
 		return &wire.ProbeResponse{Updates: l.nextBroadcasts()}
 	}
-	if len(p.Differing) == 0 {
+	if len(request.Differing) == 0 {
 		l.schedulePushPull()
 	}
 	switch {
-	case !validRanges(p.Ranges):
+	case !validRanges(request.Ranges):
 		return &wire.ProbeResponse{Updates: l.fullView()}
-	case len(p.Differing) == 0:
-		return &wire.ProbeResponse{Updates: l.nextBroadcasts(), RangeDigests: l.digestsOf(p.Ranges)}
+	case len(request.Differing) == 0:
+		return &wire.ProbeResponse{Updates: l.nextBroadcasts(), RangeDigests: l.digestsOf(request.Ranges)}
 	}
-	return &wire.ProbeResponse{Updates: append([]*wire.Member{l.self}, l.membersOf(p.Ranges, p.Differing)...)}
+	return &wire.ProbeResponse{Updates: append([]*wire.Member{l.self}, l.membersOf(request.Ranges, request.Differing)...)}
 }
 
-// fullView is the view with the dead.
+// fullView returns the entries of this node and all others, including dead ones.
 func (l *Memberlist) fullView() []*wire.Member {
 	view := []*wire.Member{l.self}
 	for _, m := range l.sorted() {
@@ -62,85 +62,86 @@
 	return view
 }
 
-// handlePushPull takes the answer to a push/pull. If it brings digests, the members of the ranges that differ are requested
-// next, or the full view if most differ.
-func (l *Memberlist) handlePushPull(probe Probe, answer *wire.ProbeResponse) []Probe {
-	n := probe.Request.Ranges
-	if answer == nil || !validRanges(n) || len(answer.RangeDigests) != int(n) {
+// handlePushPull processes the response to a push/pull. If it contains digests, the next probe requests the members of the
+// ranges that differ, or the full view if more than half differ.
+func (l *Memberlist) handlePushPull(probe Probe, response *wire.ProbeResponse) []Probe {
+	rangeCount := probe.Request.Ranges
+	if response == nil || !validRanges(rangeCount) || len(response.RangeDigests) != int(rangeCount) {
 		return nil
 	}
 	var differing []uint32
-	for i, d := range l.digestsOf(n) {
-		if d != answer.RangeDigests[i] {
+	for i, d := range l.digestsOf(rangeCount) {
+		if d != response.RangeDigests[i] {
 			differing = append(differing, uint32(i))
 		}
 	}
 	switch {
 	case len(differing) == 0:
 		return nil
-	case len(differing) > int(n/2):
+	case len(differing) > int(rangeCount/2):
 		return []Probe{l.pushPullProbe(probe.Address, 0)}
 	}
-	next := l.pushPullProbe(probe.Address, n)
+	next := l.pushPullProbe(probe.Address, rangeCount)
 	next.Request.Differing = differing
 	return []Probe{next}
 }
 
-// pushPullProbe begins to compare views by so many ranges; 0: it requests the full view.
+// pushPullProbe returns a push/pull request for the digests of the given number of ranges. Zero requests the full view.
 func (l *Memberlist) pushPullProbe(address string, ranges uint32) Probe {
 	return Probe{Address: address, Request: &wire.ProbeRequest{From: l.self, FullView: true, Digest: l.Digest(), Ranges: ranges}}
 }
 
-// minPushPullInterval bounds the cost of push/pulls while views change.
+// minPushPullInterval returns the shortest interval between push/pulls, which bounds their traffic while views change.
 func (l *Memberlist) minPushPullInterval() time.Duration {
 	const digestBytes = 8
 	bytes := digestBytes * rangesFor(len(l.members))
 	return max(minPushPullInterval, time.Duration(bytes)*time.Second/maxPushPullBytesPerSecond)
 }
 
-// maxPushPullInterval bounds how long a difference lasts that no node has noticed.
+// maxPushPullInterval returns the longest interval between push/pulls, which bounds how long a difference goes undetected.
 func (l *Memberlist) maxPushPullInterval() time.Duration {
-	inProportion := pushPullInterval * time.Duration(1+len(l.members)/pushPullScale)
-	return max(min(maxPushPullInterval, inProportion), l.minPushPullInterval())
+	scaled := pushPullInterval * time.Duration(1+len(l.members)/pushPullScale)
+	return max(min(maxPushPullInterval, scaled), l.minPushPullInterval())
 }
 
-// schedulePushPull brings the next push/pull forward, as the view has changed or differs from that of a node that has begun
-// one. A node that has missed a change is thus asked soon by one that has it, and then begins one as well.
+// schedulePushPull moves the next push/pull forward, after a change of the view or a push/pull from a node with a different
+// view. A node that missed a change thus soon receives a push/pull from an up-to-date node, and then starts its own.
 func (l *Memberlist) schedulePushPull() {
 	shortest := l.minPushPullInterval()
-	l.pushPullInterval = shortest / 2                      // which the next comparison doubles
-	spread := time.Duration(l.rng.Int64N(int64(shortest))) // a change reaches many nodes at about the same time
-	l.nextPushPullAt = min(l.nextPushPullAt, max(l.now+shortest/2+spread, l.lastPushPullAt+shortest))
+	l.pushPullInterval = shortest / 2 // doubled by the next push/pull
+	// A change reaches many nodes at about the same time: jitter keeps their push/pulls apart.
+	jitter := time.Duration(l.rng.Int64N(int64(shortest)))
+	l.nextPushPullAt = min(l.nextPushPullAt, max(l.now+shortest/2+jitter, l.lastPushPullAt+shortest))
 }
 
-// pushPullTargets returns the addresses of the next push/pull. In a large cluster that is most often a random member: the
-// seeds, which join what was partitioned, would have to answer all nodes.
+// pushPullTargets returns the addresses for the next push/pull. In a large cluster most push/pulls go to a random member, as
+// the seeds could not serve all nodes. The others go to seeds, to rejoin a cluster that was partitioned.
 func (l *Memberlist) pushPullTargets(seeds []string) []string {
 	l.pushPulls++
 	if len(l.members) > pushPullScale && l.pushPulls%pushPullsPerSeedPushPull != 1 {
-		if helpers := l.randomAliveMembers(""); len(helpers) > 0 {
-			return []string{helpers[0].Address}
+		if peers := l.randomAliveMembers(""); len(peers) > 0 {
+			return []string{peers[0].Address}
 		}
 	}
 	return l.randomSeeds(seeds)
 }
 
-// randomSeeds returns two random seeds: one may be unreachable.
-func (l *Memberlist) randomSeeds(seeds []string) (drawn []string) {
+// randomSeeds returns up to two random seeds other than this node, in case one is unreachable.
+func (l *Memberlist) randomSeeds(seeds []string) (selected []string) {
 	if len(seeds) == 0 {
 		return nil
 	}
-	at := l.rng.IntN(len(seeds))
+	start := l.rng.IntN(len(seeds))
 	for i := range seeds {
-		address := seeds[(at+i)%len(seeds)]
-		if address != l.self.Address && len(drawn) < 2 && !slices.Contains(drawn, address) {
-			drawn = append(drawn, address)
+		address := seeds[(start+i)%len(seeds)]
+		if address != l.self.Address && len(selected) < 2 && !slices.Contains(selected, address) {
+			selected = append(selected, address)
 		}
 	}
-	return drawn
+	return selected
 }
 
-// pushPull begins a push/pull, once it is due.
+// pushPull starts a push/pull if one is due. While the list has no other member, one is due at every tick.
 func (l *Memberlist) pushPull(seeds []string) (probes []Probe) {
 	alone := len(l.members) == 0
 	if alone {
--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -9,19 +9,19 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Leave marks this node as one that has left; Self then is the update for the others.
+// Leave marks this node as left. Self then returns the update to send to other nodes.
 func (l *Memberlist) Leave() {
 	l.updateSelf(func(m *wire.Member) { m.State = wire.Member_LEFT })
 }
 
-// updateSelf changes this node's own entry.
-func (l *Memberlist) updateSelf(f func(m *wire.Member)) {
+// updateSelf replaces this node's own entry with a modified copy.
+func (l *Memberlist) updateSelf(modify func(m *wire.Member)) {
 	l.self = proto.CloneOf(l.self)
-	f(l.self)
+	modify(l.self)
 	l.version++
 }
 
-// setState sets a member's state, which is then broadcast.
+// setState sets a member's state and queues it for broadcast, even if it is unchanged.
 func (l *Memberlist) setState(m *member, state wire.Member_State) {
 	if m.State != state {
 		l.toggleDigest(m.Member)
@@ -43,18 +43,19 @@
 	l.version++
 }
 
-// Merge applies the updates of another node, which the caller must not change afterwards. Updates in bulk, as a push/pull
-// brings them, are not broadcast: other push/pulls spread them, and they would delay newer ones.
+// Merge applies updates received from another node. The caller must not modify them afterwards. If more than maxPiggyback
+// members change, as in a push/pull, their updates are not broadcast: other push/pulls spread them, and they would delay
+// newer updates.
 func (l *Memberlist) Merge(now time.Duration, updates ...*wire.Member) {
 	l.now = now
 	var changed []*member
-	for _, n := range updates {
+	for _, update := range updates {
 		switch {
-		case n == nil || n.Name == "":
-		case n.Name == l.self.Name:
-			l.refute(n)
+		case update == nil || update.Name == "":
+		case update.Name == l.self.Name:
+			l.refute(update)
 		default:
-			if m := l.mergeMember(n); m != nil {
+			if m := l.mergeMember(update); m != nil {
 				changed = append(changed, m)
 			}
 		}
@@ -67,73 +68,74 @@
 	}
 }
 
-// mergeMember applies an update about a third node. It returns the member if the update was new.
-func (l *Memberlist) mergeMember(n *wire.Member) *member {
-	m := l.members[n.Name]
+// mergeMember applies an update about another node. It returns nil if the update changes nothing.
+func (l *Memberlist) mergeMember(update *wire.Member) *member {
+	m := l.members[update.Name]
 	switch {
 	case m == nil:
-		return l.add(n)
-	case !overrides(n, m.Member):
+		return l.add(update)
+	case !overrides(update, m.Member):
 		return nil
 	}
-	if n.Generation > m.Generation {
+	if update.Generation > m.Generation {
 		m.probing = false
 	}
 	l.toggleDigest(m.Member)
-	m.Member = n
+	m.Member = update
 	l.toggleDigest(m.Member)
-	l.setState(m, n.State)
+	l.setState(m, update.State)
 	return m
 }
 
-// add adds a node, unless it is dead or there are too many.
-func (l *Memberlist) add(n *wire.Member) *member {
-	if !reachable(n.State) || len(l.members) >= maxMembers {
+// add adds a node. It returns nil if the node is unreachable or the list has maxMembers.
+func (l *Memberlist) add(node *wire.Member) *member {
+	if !reachable(node.State) || len(l.members) >= maxMembers {
 		return nil
 	}
-	m := &member{Member: n, finestRange: finestRange(nameHash(n.Name))}
-	l.members[n.Name] = m
+	m := &member{Member: node, finestRange: finestRange(nameHash(node.Name))}
+	l.members[node.Name] = m
 	l.sortedMembers, l.needsSort = append(l.sortedMembers, m), true
-	l.toggleDigest(n)
-	l.setState(m, n.State)
-	// At a random position in the rest of the round, as SWIM has it: each node is probed within bounded time.
-	at := l.rng.IntN(len(l.probeRound) + 1)
-	l.probeRound = slices.Insert(l.probeRound, at, m)
+	l.toggleDigest(node)
+	l.setState(m, node.State)
+	// As in SWIM, a new member joins the current round at a random position, so that it is probed within bounded time.
+	position := l.rng.IntN(len(l.probeRound) + 1)
+	l.probeRound = slices.Insert(l.probeRound, position, m)
 	return m
 }
 
-// overrides reports whether an update takes precedence over what is known (SWIM, 4.2).
-func overrides(n, old *wire.Member) bool {
-	if n.Generation != old.Generation {
-		return n.Generation > old.Generation
+// overrides reports whether an update takes precedence over the current entry (SWIM, section 4.2).
+func overrides(update, current *wire.Member) bool {
+	if update.Generation != current.Generation {
+		return update.Generation > current.Generation
 	}
-	if old.State == wire.Member_LEFT {
+	if current.State == wire.Member_LEFT {
 		return false
 	}
-	if n.Incarnation != old.Incarnation {
-		return n.Incarnation > old.Incarnation
+	if update.Incarnation != current.Incarnation {
+		return update.Incarnation > current.Incarnation
 	}
-	return n.State > old.State
+	return update.State > current.State
 }
 
-// refute answers an update that says this node itself to be suspect, dead or of a later generation.
-func (l *Memberlist) refute(n *wire.Member) {
-	if n.Generation > l.self.Generation { // of an earlier process, whose clock was ahead
-		l.updateSelf(func(m *wire.Member) { m.Generation, m.Incarnation = n.Generation+1, 0 })
+// refute handles an update about this node. It raises the generation if the update has a higher one, and the incarnation if
+// the update marks this node as suspect, dead or left.
+func (l *Memberlist) refute(update *wire.Member) {
+	if update.Generation > l.self.Generation { // from an earlier process whose clock was ahead
+		l.updateSelf(func(m *wire.Member) { m.Generation, m.Incarnation = update.Generation+1, 0 })
 		return
 	}
-	if n.Generation != l.self.Generation || n.State == wire.Member_ALIVE || l.self.State == wire.Member_LEFT {
+	if update.Generation != l.self.Generation || update.State == wire.Member_ALIVE || l.self.State == wire.Member_LEFT {
 		return
 	}
-	if n.Incarnation >= l.self.Incarnation {
-		l.updateSelf(func(m *wire.Member) { m.Incarnation = n.Incarnation + 1 })
+	if update.Incarnation >= l.self.Incarnation {
+		l.updateSelf(func(m *wire.Member) { m.Incarnation = update.Incarnation + 1 })
 	}
 }
 
-// reachable reports whether a node of this state may answer.
+// reachable reports whether nodes in the given state are probed and returned by Members.
 func reachable(s wire.Member_State) bool { return s == wire.Member_ALIVE || s == wire.Member_SUSPECT }
 
-// DeadFor returns for how long a node has been dead or has left; 0: it is neither, or not known.
+// DeadFor returns how long ago a node died or left. It returns zero if the node is reachable or unknown.
 func (l *Memberlist) DeadFor(now time.Duration, name string) time.Duration {
 	m := l.members[name]
 	if m == nil || reachable(m.State) {
@@ -142,11 +144,11 @@
 	return max(1, now-m.stateChangedAt)
 }
 
-// Lost reports whether what runs on a node should be deregistered: the node has been dead for a while, or was not a member
-// in all the time that the caller has watched.
+// Lost reports whether the servers on a node should be deregistered: the node has been dead for over deadNodeLostAfter, or
+// is unknown after the caller has observed the membership for over unknownNodeLostAfter.
 func (l *Memberlist) Lost(now time.Duration, name string, watched time.Duration) bool {
-	return l.DeadFor(now, name) > deadNodeLostAfter || !l.Knows(name) && watched > unknownNodeLostAfter
+	return l.DeadFor(now, name) > deadNodeLostAfter || !l.Contains(name) && watched > unknownNodeLostAfter
 }
 
-// Knows reports whether a node is or was a member, as far as that is remembered.
-func (l *Memberlist) Knows(name string) bool { return name == l.self.Name || l.members[name] != nil }
+// Contains reports whether a node is in the list, including dead members that are not yet removed.
+func (l *Memberlist) Contains(name string) bool { return name == l.self.Name || l.members[name] != nil }
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -6,8 +6,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// expireSuspicions declares members dead whose suspicion was not refuted within suspicionTimeout, and forgets those
-// that have been dead, or have left, for deadRetention.
+// expireSuspicions declares suspects dead after suspicionTimeout, and removes members deadRetention after they died or
+// left.
 func (l *Memberlist) expireSuspicions() {
 	kept := l.unreachable[:0]
 	for _, m := range l.unreachable {
@@ -16,7 +16,7 @@
 			l.setState(m, wire.Member_DEAD)
 			kept = append(kept, m)
 		case !reachable(m.State) && l.now-m.stateChangedAt >= deadRetention:
-			l.forget(m)
+			l.remove(m)
 		case m.State == wire.Member_ALIVE:
 			m.unreachable = false
 		default:
@@ -27,8 +27,8 @@
 	l.unreachable = kept
 }
 
-// forget drops a member that is dead or has left.
-func (l *Memberlist) forget(m *member) {
+// remove removes a member that is dead or has left.
+func (l *Memberlist) remove(m *member) {
 	delete(l.members, m.Name)
 	l.sortedMembers = slices.DeleteFunc(l.sortedMembers, func(x *member) bool { return x == m })
 	m.unreachable = false
