--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	callTimeout      = time.Second
-	hedgeDelay       = 120 * time.Millisecond // without an answer from one quorum member, the next is called as well
-	leaderRetryPause = 100 * time.Millisecond // after a round of calls that has found no leader
-	maxLeaderCalls   = 6
+	callTimeout      = time.Second            // of a single call
+	hedgeDelay       = 120 * time.Millisecond // without a response for this long, the next quorum member is called as well
+	leaderRetryPause = 100 * time.Millisecond // after a round of calls that found no leader
+	maxLeaderCalls   = 6                      // per round
 )
 
-// quorumAddresses returns the addresses of quorum members, the leader first, and those without a connection last.
+// quorumAddresses returns the addresses of the quorum members and the seeds, the last known leader first, and those without
+// a connection last.
 func (a *Agent) quorumAddresses() []string {
 	var list, others []string
 	a.leaderMu.Lock()
@@ -46,72 +47,72 @@
 	a.leaderMu.Unlock()
 }
 
-// callLeader makes a call to the leader, and finds the leader if it has changed: f makes the call at an address and returns
-// whether that was the leader, and otherwise the leader's address if the answer named it. A member that does not answer
-// within hedgeDelay is not waited for before the next is called: after a loss of all power, some machines are up long
-// before others.
-func callLeader[T any](ctx context.Context, a *Agent, f func(ctx context.Context, address string) (answer T, done bool, leader string)) (answer T, ok bool) {
+// callLeader calls quorum members until one of them is the leader, and records the leader's address. send calls one address.
+// It returns done if the leader handled the call, and otherwise the leader's address if the response contained it. If a
+// member does not respond within hedgeDelay, the next one is called as well: after a power failure, some machines start
+// long before others.
+func callLeader[T any](ctx context.Context, a *Agent, send func(ctx context.Context, address string) (response T, done bool, leader string)) (response T, ok bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type reply struct {
 		address, leader string
-		answer          T
+		response        T
 		done            bool
 	}
-	todo, called, open := a.quorumAddresses(), map[string]bool{}, 0
+	pending, called, inFlight := a.quorumAddresses(), map[string]bool{}, 0
 	replies := make(chan reply, maxLeaderCalls)
-	next := func() {
-		for len(todo) > 0 && len(called) < maxLeaderCalls {
-			address := todo[0]
-			if todo = todo[1:]; called[address] {
+	callNext := func() {
+		for len(pending) > 0 && len(called) < maxLeaderCalls {
+			address := pending[0]
+			if pending = pending[1:]; called[address] {
 				continue
 			}
 			called[address] = true
-			open++
+			inFlight++
 			a.workers.Go(func() {
-				call, cancel := context.WithTimeout(ctx, callTimeout)
+				callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 				defer cancel()
 				r := reply{address: address}
-				r.answer, r.done, r.leader = f(call, address)
+				r.response, r.done, r.leader = send(callCtx, address)
 				replies <- r
 			})
 			return
 		}
 	}
-	next()
-	for open > 0 {
+	callNext()
+	for inFlight > 0 {
 		timer := time.NewTimer(hedgeDelay)
 		select {
 		case r := <-replies:
-			open--
+			inFlight--
 			if r.done {
 				timer.Stop()
 				a.setLeader(r.address)
-				return r.answer, true
+				return r.response, true
 			}
 			if r.leader != "" && !called[r.leader] {
-				todo = slices.Insert(todo, 0, r.leader)
+				pending = slices.Insert(pending, 0, r.leader)
 			}
-			next()
+			callNext()
 		case <-timer.C:
-			next()
+			callNext()
 		case <-ctx.Done():
 			timer.Stop()
-			return answer, false
+			return response, false
 		}
 		timer.Stop()
 	}
 	a.setLeader("")
-	return answer, false
+	return response, false
 }
 
-// LatestIndex asks the leader for the index of the latest update; ok is false if no leader has answered.
+// LatestIndex queries the leader for the index of the latest update. ok is false if no leader responded.
 func (a *Agent) LatestIndex(ctx context.Context) (index uint64, ok bool) {
 	return callLeader(ctx, a, func(ctx context.Context, address string) (uint64, bool, string) {
-		answer := new(wire.LatestResponse)
-		if err := a.Pool.Call(ctx, address, "latest", &wire.Empty{}, answer); err != nil {
+		response := new(wire.LatestResponse)
+		if err := a.Pool.Call(ctx, address, "latest", &wire.Empty{}, response); err != nil {
 			return 0, false, ""
 		}
-		return answer.Index, answer.Known, answer.Leader
+		return response.Index, response.Known, response.Leader
 	})
 }
--- a/internal/distribution/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	readinessInterval = 50 * time.Millisecond // between checks of the age of the state
-	slowQueryAfter    = 6 * time.Second       // without an answer for so long, the leader is asked less often
-	slowQueryPause    = time.Second
+	readinessInterval = 50 * time.Millisecond // between checks of the state's age
+	slowQueryAfter    = 6 * time.Second       // without a response for this long after the start, slowQueryPause applies
+	slowQueryPause    = time.Second           // between queries of the leader
 )
 
-// awaitReadiness waits until the node may serve by its state: see relay.Readiness.
+// awaitReadiness waits until the node may serve, then makes Ready report true. See relay.Readiness.
 func (a *Agent) awaitReadiness(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan uint64, 1)
-	a.workers.Go(func() { a.queryLatest(ctx, answers) })
+	latestIndex := make(chan uint64, 1)
+	a.workers.Go(func() { a.queryLatest(ctx, latestIndex) })
 	tick := time.NewTicker(readinessInterval)
 	defer tick.Stop()
 	var readiness relay.Readiness
@@ -33,7 +33,7 @@
 			return
 		}
 		select {
-		case latest := <-answers:
+		case latest := <-latestIndex:
 			readiness.Confirmed(latest)
 		case <-changed:
 		case <-tick.C:
@@ -42,32 +42,32 @@
 	}
 }
 
-// queryLatest asks the leader for the latest index, until it has an answer.
-func (a *Agent) queryLatest(ctx context.Context, answers chan<- uint64) {
+// queryLatest queries the leader until it responds, and sends the latest index to the channel.
+func (a *Agent) queryLatest(ctx context.Context, latestIndex chan<- uint64) {
 	for ctx.Err() == nil {
-		query, cancel := context.WithCancel(ctx)
-		if first := a.Hub.Changed(); a.Hub.Index() == 0 {
-			// The first updates show that there is a leader by now. The call in progress may be to a machine without power,
-			// whose dial takes long to fail.
+		queryCtx, cancel := context.WithCancel(ctx)
+		if firstUpdate := a.Hub.Changed(); a.Hub.Index() == 0 {
+			// The first update shows that a leader exists. The call in progress may be dialing a machine without power, which
+			// takes long to fail: cancel it.
 			a.workers.Go(func() {
 				select {
-				case <-first:
+				case <-firstUpdate:
 					cancel()
-				case <-query.Done():
+				case <-queryCtx.Done():
 				}
 			})
 		}
-		latest, known := a.LatestIndex(query)
+		latest, known := a.LatestIndex(queryCtx)
 		if known {
 			cancel()
-			answers <- latest
+			latestIndex <- latest
 			return
 		}
-		wait := leaderRetryPause
+		pause := leaderRetryPause
 		if time.Since(a.startedAt) > slowQueryAfter {
-			wait = slowQueryPause
+			pause = slowQueryPause
 		}
-		timerpool.Sleep(query, wait)
+		timerpool.Sleep(queryCtx, pause)
 		cancel()
 	}
 }
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	updateWait        = 300 * time.Millisecond // for an accepted change to come back as an update
-	compareInterval   = time.Second
-	proposeRetryPause = 100 * time.Millisecond
+	updateWait        = 300 * time.Millisecond // for a committed command to arrive as an update
+	compareInterval   = time.Second            // between comparisons while nothing changes
+	proposeRetryPause = 100 * time.Millisecond // after a command that was not committed
 )
 
-// register keeps the registry in line with the servers of this machine: it compares the updates with the servers, and
-// proposes the difference until they agree.
+// register keeps the registry consistent with the servers on this machine: it compares the registered servers with the
+// running ones, and proposes commands until they match.
 func (a *Agent) register(ctx context.Context) {
 	registered := catalog.NodeServers{Node: a.options.Settings().Node}
 	for ctx.Err() == nil {
@@ -44,21 +44,21 @@
 	}
 }
 
-// registryDifference returns the commands by which the registry gets in line.
+// registryDifference returns the commands that make the registry match the servers on this machine.
 func (a *Agent) registryDifference(registered []*wire.Server) []*wire.Command {
-	set := a.options.Settings()
-	m := localserver.Machine{Node: set.Node, Address: set.Internal(), Zone: set.Zone, Draining: a.options.Draining()}
-	return localserver.Difference(m, a.options.Servers(), registered, time.Since(a.startedAt) < 2*set.HeartbeatInterval)
+	settings := a.options.Settings()
+	machine := localserver.Machine{Node: settings.Node, Address: settings.Internal(), Zone: settings.Zone, Draining: a.options.Draining()}
+	return localserver.Difference(machine, a.options.Servers(), registered, time.Since(a.startedAt) < 2*settings.HeartbeatInterval)
 }
 
-// propose reports whether the leader has committed a command.
+// propose sends a command to the leader, and reports whether it was committed.
 func (a *Agent) propose(ctx context.Context, cmd *wire.Command) bool {
 	_, ok := callLeader(ctx, a, func(ctx context.Context, address string) (struct{}, bool, string) {
-		answer := new(wire.ProposeResponse)
-		if err := a.Pool.Call(ctx, address, "propose", &wire.ProposeRequest{Command: cmd}, answer); err != nil {
+		response := new(wire.ProposeResponse)
+		if err := a.Pool.Call(ctx, address, "propose", &wire.ProposeRequest{Command: cmd}, response); err != nil {
 			return struct{}{}, false, ""
 		}
-		return struct{}{}, answer.Committed, answer.Leader
+		return struct{}{}, response.Committed, response.Leader
 	})
 	return ok
 }
--- a/internal/distribution/relay/age.go
+++ b/internal/distribution/relay/age.go
@@ -7,44 +7,45 @@
 )
 
 const (
-	maxClockDriftDivisor = 2000                   // clocks of two machines differ in rate by one part of this at most
-	renewAfter           = 2 * time.Minute        // a subscription is renewed, so that the drift since then stays small
-	maxTransit           = 250 * time.Millisecond // the same, where a feed may have been on its way for longer ...
-	renewPause           = time.Second            // ... but not more often than this
-	ageUnknown           = 50 * 365 * 24 * time.Hour
-	maxReportedAge       = time.Hour // of Feed.age_ms, which is for people
+	maxClockDriftDivisor = 2000                      // the clocks of two machines drift apart by at most 1/2000 of the elapsed time
+	renewAfter           = 2 * time.Minute           // a longer subscription is renewed, to bound the drift
+	maxTransit           = 250 * time.Millisecond    // of a request and a feed together; if it may have been longer, the subscription is renewed
+	renewPause           = time.Second               // minimum age of a subscription that is renewed for its transit time
+	ageUnknown           = 50 * 365 * 24 * time.Hour // of a state that was never confirmed
+	maxReportedAge       = time.Hour                 // upper limit of Feed.age_ms
 )
 
-// Subscription relates a child's clock to its parent's. The parent received the request after the child had sent it, so a
-// moment so much before or after the receipt is at least as far before, and at most as far after, the sending. Times are
-// durations of the child's clock since a moment of the driver's choice.
+// Subscription relates a child's clock to its parent's. The parent receives the request no earlier than the child sends it,
+// so an event at a given offset from the receipt happens no earlier than RequestedAt plus that offset. Times are durations
+// on the child's clock since a start chosen by the driver.
 type Subscription struct {
 	RequestedAt time.Duration // before the request was sent
 }
 
-// ContactAt returns a moment at which a quorum had confirmed the state that a feed leads up to: all that was acknowledged
-// before then is in it, however long the feed was delayed. now is when it was received.
-func (s Subscription) ContactAt(now time.Duration, f *wire.Feed) time.Duration {
-	if f.ContactNs == nil { // a parent of the version before
-		return now - time.Duration(f.AgeMs)*time.Millisecond
+// ContactAt returns a time at which a quorum had confirmed the state up to a feed's latest index: the state contains all
+// changes acknowledged before then, however long the feed was delayed. now is the time of receipt.
+func (s Subscription) ContactAt(now time.Duration, feed *wire.Feed) time.Duration {
+	if feed.ContactNs == nil { // from a parent of the previous version
+		return now - time.Duration(feed.AgeMs)*time.Millisecond
 	}
-	offset := time.Duration(*f.ContactNs)
-	drift := offset.Abs() / (maxClockDriftDivisor - 1) // of a span that is itself measured by the faster clock
+	offset := time.Duration(*feed.ContactNs)
+	drift := offset.Abs() / (maxClockDriftDivisor - 1) // the offset may be measured by the faster clock
 	return s.RequestedAt + offset - drift
 }
 
-// NeedsRenewal reports whether the subscription is to be renewed because it no longer relates the two clocks well.
-func (s Subscription) NeedsRenewal(now time.Duration, f *wire.Feed) bool {
-	lasted := now - s.RequestedAt
-	transit := now - s.ContactAt(now, f) - time.Duration(f.AgeMs)*time.Millisecond
-	recent := f.AgeMs < uint32(maxReportedAge.Milliseconds())
-	return lasted > renewAfter || recent && transit > maxTransit && lasted > renewPause
+// NeedsRenewal reports whether the subscription should be renewed, because clock drift or the time in transit makes the
+// result of ContactAt imprecise.
+func (s Subscription) NeedsRenewal(now time.Duration, feed *wire.Feed) bool {
+	elapsed := now - s.RequestedAt
+	transit := now - s.ContactAt(now, feed) - time.Duration(feed.AgeMs)*time.Millisecond
+	recent := feed.AgeMs < uint32(maxReportedAge.Milliseconds())
+	return elapsed > renewAfter || recent && transit > maxTransit && elapsed > renewPause
 }
 
-// SetAge sets the age of a feed's state. All times are of the parent's clock: contactAt was read before the state, and
-// subscribedAt is the receipt of the child's request.
-func SetAge(f *wire.Feed, now, contactAt, subscribedAt time.Duration) {
-	f.AgeMs = uint32((min(now-contactAt, maxReportedAge) + time.Millisecond - 1) / time.Millisecond)
+// SetAge sets a feed's age fields. All times are on the parent's clock: contactAt is the last time at which a quorum confirmed
+// the state, and must be read before the state; subscribedAt is the receipt of the child's request.
+func SetAge(feed *wire.Feed, now, contactAt, subscribedAt time.Duration) {
+	feed.AgeMs = uint32((min(now-contactAt, maxReportedAge) + time.Millisecond - 1) / time.Millisecond)
 	offset := int64(contactAt - subscribedAt)
-	f.ContactNs = &offset
+	feed.ContactNs = &offset
 }
--- a/internal/distribution/relay/failure_search_test.go
+++ b/internal/distribution/relay/failure_search_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSearchOfStarts draws the changes that a quorum acknowledges, the contacts by which a node's state follows them, and
-// the moment of the node's start: when it may serve, it has all that was acknowledged before its start, or, behind a
-// wait, all that was acknowledged longer ago than the bound of an unproven state's age.
+// TestSearchOfStarts generates changes acknowledged by a quorum, contacts that update a node's state, and the node's start
+// time. It guards against a node that serves without the changes acknowledged before its start or, with an unconfirmed
+// state, without those acknowledged more than 20 s ago.
 func TestSearchOfStarts(t *testing.T) {
 	const (
 		end  = 2 * time.Minute
@@ -17,22 +17,22 @@
 	proofs := map[Proof]int{}
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0x57a7))
-		change := time.Duration(100+rng.IntN(5000)) * time.Millisecond // one is acknowledged in each of these
-		acknowledged := func(at time.Duration) uint64 { return uint64(max(0, at) / change) }
+		changeInterval := time.Duration(100+rng.IntN(5000)) * time.Millisecond // between acknowledged changes
+		acknowledged := func(at time.Duration) uint64 { return uint64(max(0, at) / changeInterval) }
 		start := time.Duration(rng.Int64N(int64(time.Minute)))
-		contactChance := []int{0, 1, 100, 1000}[rng.IntN(4)]                          // in 1,000 polls
-		answeredAt := start + time.Duration(rng.IntN(60_000)-20_000)*time.Millisecond // before the start: never
-		contact := time.Duration(rng.Int64N(int64(start + 1)))                        // that the relay above it had when the node subscribed
+		contactChance := []int{0, 1, 100, 1000}[rng.IntN(4)]                           // per 1,000 polls
+		respondedAt := start + time.Duration(rng.IntN(60_000)-20_000)*time.Millisecond // never if before the start
+		contact := time.Duration(rng.Int64N(int64(start + 1)))                         // of the parent, when the node subscribed
 		readiness := Readiness{}
 		for now := start; now < end; now += poll {
 			if rng.IntN(1000) < contactChance {
 				contact = now
 			}
-			if now >= answeredAt && answeredAt >= start && now-answeredAt < poll {
+			if now >= respondedAt && respondedAt >= start && now-respondedAt < poll {
 				readiness.Confirmed(acknowledged(now))
 			}
-			up, index := now-start, acknowledged(contact)
-			proof := readiness.Check(up, now-contact, index)
+			uptime, index := now-start, acknowledged(contact)
+			proof := readiness.Check(uptime, now-contact, index)
 			if proof == NoProof {
 				continue
 			}
@@ -41,25 +41,25 @@
 			if proof == Unconfirmed {
 				bound = acknowledged(now - 20*time.Second)
 			}
-			if index < bound || proof == Unconfirmed && up < 6*time.Second {
-				t.Fatalf("seed %d: %v behind the start, a node serves with %d of %d changes (%s)", seed, up, index, bound, proof)
+			if index < bound || proof == Unconfirmed && uptime < 6*time.Second {
+				t.Fatalf("seed %d: %v after its start, a node serves at index %d, want at least %d (proof %q)", seed, uptime, index, bound, proof)
 			}
 			break
 		}
 	}
 	if len(proofs) != 3 {
-		t.Errorf("proofs: %v", proofs)
+		t.Errorf("proofs seen: %v, want 3 kinds", proofs)
 	}
-	t.Logf("proofs: %v", proofs)
+	t.Logf("proofs seen: %v", proofs)
 }
 
-// drawnParent is up and down by turns.
-type drawnParent struct{ changes []time.Duration }
+// simulatedParent is up initially, and goes down or up at each transition.
+type simulatedParent struct{ transitions []time.Duration }
 
-func (p drawnParent) up(at time.Duration) bool {
+func (p simulatedParent) up(at time.Duration) bool {
 	up := true
-	for _, c := range p.changes {
-		if c > at {
+	for _, transition := range p.transitions {
+		if transition > at {
 			break
 		}
 		up = !up
@@ -67,21 +67,21 @@
 	return up
 }
 
-// downWithin reports whether a parent is down at some moment of a span.
-func (p drawnParent) downWithin(from, to time.Duration) bool {
+// downWithin reports whether the parent is down at any time between from and to.
+func (p simulatedParent) downWithin(from, to time.Duration) bool {
 	if !p.up(from) {
 		return true
 	}
-	for _, c := range p.changes {
-		if from < c && c <= to {
+	for _, transition := range p.transitions {
+		if from < transition && transition <= to {
 			return true
 		}
 	}
 	return false
 }
 
-// TestSearchOfParentFailures draws parents that go down, silently, and come back: a node without a parent that is up tries
-// each of those that are down once at most before it has found another one.
+// TestSearchOfParentFailures generates parents that go down without closing their connections, and return. It guards against
+// a node that tries a parent that is down more than once before it finds one that is up.
 func TestSearchOfParentFailures(t *testing.T) {
 	const (
 		step = 50 * time.Millisecond
@@ -91,17 +91,17 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 0xfa11))
 		names := []string{"first", "second", "third", "fourth"}[:2+rng.IntN(3)]
-		parents := map[string]drawnParent{}
+		parents := map[string]simulatedParent{}
 		for _, name := range names {
-			var p drawnParent
+			var p simulatedParent
 			for at := time.Duration(0); at < end; {
 				at += time.Duration(rng.Int64N(int64(time.Minute)))
-				p.changes = append(p.changes, at)
+				p.transitions = append(p.transitions, at)
 			}
 			parents[name] = p
 		}
 		var selector Selector
-		silentSince, alone := time.Duration(-1), time.Duration(-1)
+		silentSince, orphanedSince := time.Duration(-1), time.Duration(-1)
 		parent := ""
 		for now := time.Duration(0); now < end; now += step {
 			if parent == "" {
@@ -115,13 +115,13 @@
 			}
 			switch {
 			case parent == "" || silentSince >= 0:
-				if alone < 0 {
-					alone = now
+				if orphanedSince < 0 {
+					orphanedSince = now
 				}
-			case alone >= 0:
+			case orphanedSince >= 0:
 				outages++
-				checkOutage(t, seed, parents, alone, now)
-				alone = -1
+				checkOutage(t, seed, parents, orphanedSince, now)
+				orphanedSince = -1
 			}
 			switch {
 			case silentSince >= 0 && now-silentSince >= FeedTimeout:
@@ -137,12 +137,12 @@
 		}
 	}
 	if outages < 1000 {
-		t.Errorf("%d outages: hardly a search", outages)
+		t.Errorf("%d outages simulated, want at least 1000", outages)
 	}
 }
 
-// checkOutage fails where a node was without a parent that is up for longer than it takes to try each of the others.
-func checkOutage(t *testing.T, seed uint64, parents map[string]drawnParent, from, to time.Duration) {
+// checkOutage fails if a node had no live parent for longer than it takes to try each failed parent once.
+func checkOutage(t *testing.T, seed uint64, parents map[string]simulatedParent, from, to time.Duration) {
 	down := 0
 	for _, p := range parents {
 		if p.downWithin(from, to) {
@@ -150,10 +150,10 @@
 		}
 	}
 	if down == len(parents) {
-		return // there may have been none
+		return // possibly no parent was up
 	}
-	const slack = 200 * time.Millisecond // steps of this simulation, and the pause behind a round
+	const slack = 200 * time.Millisecond // simulation steps, and the pause after a round
 	if bound := time.Duration(down) * (FeedTimeout + slack); to-from > bound {
-		t.Errorf("seed %d: from %v on, a node has no parent that is up for %v; %d of %d were down", seed, from, to-from, down, len(parents))
+		t.Errorf("seed %d: from %v on, a node had no live parent for %v; %d of %d parents were down", seed, from, to-from, down, len(parents))
 	}
 }
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -14,46 +14,47 @@
 )
 
 const (
-	maxCached      = 16      // deltas that are cached for children at the same index
-	maxCachedBytes = 1 << 20 // a larger one is not cached, in encoded bytes
+	maxCached      = 16      // number of deltas
+	maxCachedBytes = 1 << 20 // in bytes; a delta that is larger when encoded is not cached
 )
 
-// Hub has a node's copy of the state, and sends its changes to the node's children.
+// Hub holds a node's copy of the replicated state, and sends changes to the node's children. Its methods are safe for
+// concurrent use.
 type Hub struct {
-	// Age is an upper bound of the time since a quorum confirmed the state here.
+	// Age returns an upper bound of the time since a quorum confirmed the state here.
 	Age func() time.Duration
 
 	mu        sync.Mutex
 	view      *catalog.View
 	changed   chan struct{}     // closed and replaced at each change
-	confirmed chan struct{}     // closed and replaced when a feed without changes brings a newer contact with the quorum
-	cached    map[uint64]*delta // to the latest index, by where they begin
-	depth     uint32
-	children  int
+	confirmed chan struct{}     // closed and replaced when a feed without changes confirms the state
+	cached    map[uint64]*delta // to the latest index, by their start index
+	depth     uint32            // see Depth
+	children  int               // number of subscriptions to this node
 }
 
-// delta has the changes from one index to the latest, made once for all children at that index.
+// delta holds the changes from one index to the latest. All children at that index share it.
 type delta struct {
 	changes *wire.Changes
 	once    sync.Once
-	encoded []byte // a Feed with nothing but the changes
+	encoded []byte // a serialized Feed that contains only the changes
 	err     error
 }
 
-// NewHub returns a hub without state.
+// NewHub returns a Hub with an empty state.
 func NewHub(age func() time.Duration) *Hub {
 	return &Hub{Age: age, view: catalog.NewView(), changed: make(chan struct{}), confirmed: make(chan struct{}), cached: map[uint64]*delta{}}
 }
 
-// notify wakes those who wait for a change; called with mu held.
+// notify wakes the goroutines that wait for a change, and clears the cache. The caller must hold mu.
 func (h *Hub) notify() {
 	clear(h.cached)
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// signals returns channels that are closed at the next change, and when the state here is next confirmed without one.
-func (h *Hub) signals() (changed, renewed <-chan struct{}) {
+// signals returns channels that are closed at the next change and at the next confirmation without a change.
+func (h *Hub) signals() (changed, confirmed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed, h.confirmed
@@ -66,60 +67,60 @@
 	return h.changed
 }
 
-// Index is the index of the latest update.
+// Index returns the index of the latest update.
 func (h *Hub) Index() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.view.Index()
 }
 
-// Server returns a registered server; nil: it is not registered.
+// Server returns a registered server, or nil if it is not registered.
 func (h *Hub) Server(member string) *wire.Server {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.view.Server(member)
 }
 
-// Config returns the configuration; nil: there is none yet.
+// Config returns the configuration, or nil if there is none yet.
 func (h *Hub) Config() *meshconfig.Config {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.view.Config()
 }
 
-// State returns what has changed since an index, and the configuration; nil changes: none.
+// State returns the changes since an index, or nil if there are none, and the configuration.
 func (h *Hub) State(since uint64) (*wire.Changes, *meshconfig.Config) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.view.Changes(since), h.view.Config()
 }
 
-// Apply applies changes. It reports false if they do not begin at the hub's index, so that those between have to be
-// requested; old ones are ignored.
-func (h *Hub) Apply(c *wire.Changes) bool {
+// Apply applies changes. It ignores changes up to an index that the hub has reached. It returns false if updates between the
+// hub's index and the changes are missing.
+func (h *Hub) Apply(changes *wire.Changes) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if c == nil {
+	if changes == nil {
 		return true
 	}
 	before := h.view.Index()
-	ok := h.view.Apply(c)
+	ok := h.view.Apply(changes)
 	if h.view.Index() != before {
 		h.notify()
 	}
 	return ok
 }
 
-// Receive applies a parent's feed. ok is false if changes are missing: the subscription has to be renewed. current says
-// that the parent has nothing newer than this node, so that the age of its state is that of this node's too; confirm is
-// then called, before the children are notified, to raise the moment from which Age counts.
-func (h *Hub) Receive(f *wire.Feed, confirm func()) (current, ok bool) {
+// Receive applies a parent's feed. ok is false if changes are missing, and the subscription must be renewed. current is true
+// if this node's state is as new as the parent's, so that the feed's age applies to it too. Receive then calls confirm, which
+// updates Age, before it notifies the children.
+func (h *Hub) Receive(feed *wire.Feed, confirm func()) (current, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	before := h.view.Index()
-	ok = f.Changes == nil || h.view.Apply(f.Changes)
-	h.depth = f.Depth + 1
-	current = ok && f.Latest == h.view.Index()
+	ok = feed.Changes == nil || h.view.Apply(feed.Changes)
+	h.depth = feed.Depth + 1
+	current = ok && feed.Latest == h.view.Index()
 	if current {
 		confirm()
 	}
@@ -133,34 +134,34 @@
 	return current, ok
 }
 
-// Depth is this node's level in the tree; quorum members are at 0.
+// Depth returns this node's level in the tree. Quorum members are at level 0.
 func (h *Hub) Depth() uint32 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.depth
 }
 
-// Feed returns what to send to a child that has the state at an index and whose subscription was received at subscribedAt,
-// by the caller's clock, and a channel that is closed at the next change. The age is read before the state, so that
-// updates in between make it no older.
+// Feed returns the feed for a child whose state is at index have, and a channel that is closed at the next change.
+// subscribedAt is the receipt of the child's subscription, on the same clock as now. The age is read before the state, so
+// that the state contains all changes acknowledged before the contact.
 func (h *Hub) Feed(have uint64, now, subscribedAt time.Duration) (*wire.Feed, <-chan struct{}) {
 	contactAt := now - h.Age()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f := h.heartbeat()
-	SetAge(f, now, contactAt, subscribedAt)
+	feed := h.heartbeat()
+	SetAge(feed, now, contactAt, subscribedAt)
 	if d := h.delta(have); d != nil {
-		f.Changes = d.changes
+		feed.Changes = d.changes
 	}
-	return f, h.changed
+	return feed, h.changed
 }
 
-// heartbeat is a feed without changes; called with mu held.
+// heartbeat returns a feed without changes. The caller must hold mu.
 func (h *Hub) heartbeat() *wire.Feed {
 	return &wire.Feed{Latest: h.view.Index(), Depth: h.depth, Format: Format}
 }
 
-// delta returns the changes from an index to the latest; nil: there are none. Called with mu held.
+// delta returns the changes from an index to the latest, or nil if there are none. The caller must hold mu.
 func (h *Hub) delta(have uint64) *delta {
 	if d := h.cached[have]; d != nil {
 		return d
@@ -176,24 +177,25 @@
 	return d
 }
 
-// encodedFeed is Feed in bytes. The changes are encoded once for all children at the same index, without the lock.
+// encodedFeed returns the serialized result of Feed. The changes are encoded once for all children at the same index,
+// without holding mu.
 func (h *Hub) encodedFeed(have uint64, now, subscribedAt time.Duration) (data []byte, latest uint64, err error) {
 	contactAt := now - h.Age()
 	h.mu.Lock()
-	f, d := h.heartbeat(), h.delta(have)
+	feed, d := h.heartbeat(), h.delta(have)
 	h.mu.Unlock()
-	SetAge(f, now, contactAt, subscribedAt)
-	if data, err = proto.Marshal(f); err != nil || d == nil {
-		return data, f.Latest, err
+	SetAge(feed, now, contactAt, subscribedAt)
+	if data, err = proto.Marshal(feed); err != nil || d == nil {
+		return data, feed.Latest, err
 	}
 	changes, err := d.encode()
 	if len(changes) > maxCachedBytes {
 		h.uncache(have, d)
 	}
-	return append(data, changes...), f.Latest, err // protobuf merges concatenated messages
+	return append(data, changes...), feed.Latest, err // protobuf merges concatenated messages
 }
 
-// encode returns the changes as the bytes of a feed.
+// encode returns a serialized Feed that contains only the changes.
 func (d *delta) encode() ([]byte, error) {
 	d.once.Do(func() {
 		var feed *wire.Feed
@@ -204,7 +206,7 @@
 	return d.encoded, d.err
 }
 
-// uncache keeps a large delta no longer than its receivers do.
+// uncache removes a delta from the cache, so that it is freed once it has been sent.
 func (h *Hub) uncache(have uint64, d *delta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -213,10 +215,10 @@
 	}
 }
 
-// ErrFull ends a subscription to a node that has MaxChildren.
+// ErrFull is returned for a subscription to a node that already has MaxChildren.
 var ErrFull = errors.New("relay: the node has enough children")
 
-// addChild counts a child, unless there are too many.
+// addChild counts a child. It returns false if the node already has MaxChildren.
 func (h *Hub) addChild() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -233,7 +235,7 @@
 	h.children--
 }
 
-// Serve is the RPC method "subscribe": it sends feeds to one child until the child leaves.
+// Serve handles the RPC method "subscribe": it sends feeds to one child until the stream ends.
 func (h *Hub) Serve(s *rpc.Stream) error {
 	request := new(wire.SubscribeRequest)
 	if err := s.Recv(request); err != nil {
@@ -250,13 +252,13 @@
 	return h.feedChild(s, request.Have, subscribedAt)
 }
 
-// feedChild sends feeds when Pacing says, until the child leaves.
+// feedChild sends feeds at the times determined by Pacing until the stream ends.
 func (h *Hub) feedChild(s *rpc.Stream, have uint64, subscribedAt time.Time) error {
 	var pacing Pacing
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		changed, renewed := h.signals() // before the feed: what comes after it is in the next one
+		changed, confirmed := h.signals() // read before the feed, so that the next feed includes any later change
 		data, latest, err := h.encodedFeed(have, time.Since(subscribedAt), 0)
 		if err != nil {
 			return err
@@ -273,8 +275,8 @@
 				changed = nil
 				pacing.MarkPending()
 				timer.Reset(pacing.Due(h.Depth()) - time.Since(subscribedAt))
-			case <-renewed:
-				renewed = nil
+			case <-confirmed:
+				confirmed = nil
 				pacing.MarkPending()
 				timer.Reset(pacing.Due(h.Depth()) - time.Since(subscribedAt))
 			case <-timer.C:
--- a/internal/distribution/relay/pacing.go
+++ b/internal/distribution/relay/pacing.go
@@ -3,32 +3,31 @@
 import "time"
 
 const (
-	// minFeedInterval is the minimal time between two feeds to a child, so that more frequent updates share one. The first
-	// after a pause is sent at once.
+	// minFeedInterval is the minimum time between two feeds to a child. Updates within it share a feed.
 	minFeedInterval = 25 * time.Millisecond
 
-	// relayHeartbeat is the time after which a relay sends a heartbeat although none has come from its own parent: a little
-	// more than Heartbeat, so that the heartbeats in the tree are those of the quorum member at its root.
+	// relayHeartbeat is the interval after which a relay sends a heartbeat if it has received none from its parent. It exceeds
+	// Heartbeat, so that relays normally forward the heartbeats of the quorum member at the root.
 	relayHeartbeat = Heartbeat + Heartbeat/4
 )
 
-// Pacing decides when a child receives its next feed: at once when there is a change or a newer contact with the quorum,
-// and else as a heartbeat. Heartbeats that each level sent by its own timer would age the state by up to one interval at
-// each level; forwarded as they come, they age it by their transit alone.
+// Pacing decides when a child receives its next feed: after a change or a newer contact with the quorum as soon as
+// minFeedInterval allows, otherwise as a periodic heartbeat. A forwarded heartbeat ages the state only by its transit time.
+// If each level sent heartbeats by its own timer, every level would add up to one interval.
 //
-// It is a pure state machine. Times are durations since a moment of the driver's choice.
+// Pacing is a pure state machine. Times are durations since a start chosen by the driver.
 type Pacing struct {
 	sentAt  time.Duration
-	pending bool // there is something to forward
+	pending bool // a change or a newer contact was not sent yet
 }
 
-// Sent notes that a feed was sent, with all that was pending.
+// Sent records that a feed was sent, which included everything pending.
 func (p *Pacing) Sent(now time.Duration) { p.sentAt, p.pending = now, false }
 
-// MarkPending notes a change, or a newer contact with the quorum.
+// MarkPending records a change or a newer contact with the quorum.
 func (p *Pacing) MarkPending() { p.pending = true }
 
-// Due returns when the next feed is to be sent. depth is this node's level in the tree; quorum members are at 0.
+// Due returns the time at which the next feed is due. depth is this node's level in the tree; quorum members are at 0.
 func (p *Pacing) Due(depth uint32) time.Duration {
 	switch {
 	case p.pending:
--- a/internal/distribution/relay/pack.go
+++ b/internal/distribution/relay/pack.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	packAbove   = 2 << 10  // smaller changes are sent as they are
-	maxUnpacked = 64 << 20 // of changes: 28,000 servers take 2 MB, a configuration 8 MB at most
+	packAbove   = 2 << 10  // in bytes; smaller changes are sent uncompressed
+	maxUnpacked = 64 << 20 // in bytes of decompressed changes; 28,000 servers take 2 MB, a configuration at most 8 MB
 )
 
-// errUnpack is the end of a subscription whose feed can't be read.
-var errUnpack = errors.New("relay: packed changes are not readable")
+// errUnpack ends the subscription to a parent whose packed changes cannot be decoded.
+var errUnpack = errors.New("relay: cannot decode packed changes")
 
-// pack returns the feed that carries changes. Large ones are compressed: resources are much alike, and a node's link may be
-// what a large change waits for.
+// pack returns a feed that contains the changes. Large changes are compressed, as resources resemble each other and a slow
+// link would delay them.
 func pack(changes *wire.Changes) (*wire.Feed, error) {
 	plain := &wire.Feed{Changes: changes}
 	if proto.Size(changes) < packAbove {
@@ -45,24 +45,24 @@
 	return &wire.Feed{Packed: packed.Bytes()}, nil
 }
 
-// unpack puts a feed's changes in their place.
-func unpack(f *wire.Feed) error {
-	if len(f.Packed) == 0 {
+// unpack decompresses a feed's packed changes and moves them to feed.Changes. Other feeds stay unchanged.
+func unpack(feed *wire.Feed) error {
+	if len(feed.Packed) == 0 {
 		return nil
 	}
-	r := flate.NewReader(bytes.NewReader(f.Packed))
+	r := flate.NewReader(bytes.NewReader(feed.Packed))
 	defer r.Close()
 	data, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUnpack, err)
 	}
 	if len(data) > maxUnpacked {
-		return fmt.Errorf("%w: over %d bytes", errUnpack, maxUnpacked)
+		return fmt.Errorf("%w: decompressed size exceeds %d bytes", errUnpack, maxUnpacked)
 	}
 	changes := new(wire.Changes)
 	if err := proto.Unmarshal(data, changes); err != nil {
 		return fmt.Errorf("%w: %w", errUnpack, err)
 	}
-	f.Changes, f.Packed = changes, nil
+	feed.Changes, feed.Packed = changes, nil
 	return nil
 }
--- a/internal/distribution/relay/pack_test.go
+++ b/internal/distribution/relay/pack_test.go
@@ -12,7 +12,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestPackedChanges: small and large changes arrive as they were, and large ones take fewer bytes.
+// TestPackedChanges guards against changes that differ after pack and unpack, and against large ones that are not compressed.
 func TestPackedChanges(t *testing.T) {
 	for _, servers := range []int{1, 10, 1000} {
 		changes := &wire.Changes{To: 9}
@@ -25,15 +25,15 @@
 			t.Fatal(err)
 		}
 		if size, plain := proto.Size(feed), proto.Size(changes); servers == 1000 && size*3 > plain || size > plain+10 {
-			t.Errorf("%d servers: %d bytes of %d", servers, size, plain)
+			t.Errorf("%d servers: the feed has %d bytes, the changes have %d", servers, size, plain)
 		}
 		if err := unpack(feed); err != nil || !proto.Equal(feed.Changes, changes) {
-			t.Errorf("%d servers: %v", servers, err)
+			t.Errorf("%d servers: the unpacked changes differ, or unpack failed: %v", servers, err)
 		}
 	}
 }
 
-// TestMalformedFeeds: what is no compressed message, or too large, is refused.
+// TestMalformedFeeds guards against packed changes that are accepted although they are corrupt or too large.
 func TestMalformedFeeds(t *testing.T) {
 	compress := func(data []byte) []byte {
 		var b bytes.Buffer
@@ -43,11 +43,11 @@
 		return b.Bytes()
 	}
 	for name, packed := range map[string][]byte{
-		"no compressed data": []byte("plain"), "no message": compress([]byte{0xff}), "too large": compress(make([]byte, maxUnpacked+1)),
-		"cut short": compress(make([]byte, 1000))[:4],
+		"not compressed": []byte("plain"), "not a message": compress([]byte{0xff}), "too large": compress(make([]byte, maxUnpacked+1)),
+		"truncated": compress(make([]byte, 1000))[:4],
 	} {
 		if err := unpack(&wire.Feed{Packed: packed}); !errors.Is(err, errUnpack) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: unpack returned %v, want errUnpack", name, err)
 		}
 	}
 }
--- a/internal/distribution/relay/readiness.go
+++ b/internal/distribution/relay/readiness.go
@@ -3,42 +3,44 @@
 import "time"
 
 const (
-	// unprovenWait is the time after which a node starts by a state that is not proven to be as new as its start.
+	// unprovenWait is the time after its start at which a node may serve with a state that is not proven to be as new as
+	// the start.
 	unprovenWait = 6 * time.Second
-	// maxUnprovenAge is the age that such a state may have: so long a change may take to be in force on a node that is cut
-	// off from a part of the control plane, whoever serves.
+	// maxUnprovenAge is the maximum age of such a state. A change may take this long to apply on a node that is partitioned
+	// from part of the control plane.
 	maxUnprovenAge = 20 * time.Second
 )
 
-// Proof says why a node that has just started may serve.
+// Proof is the reason why a node that has just started may serve.
 type Proof string
 
-// The proofs.
+// Values of Proof.
 const (
-	NoProof     Proof = ""                // it may not yet
-	LeaderProof Proof = "leader"          // the leader, confirmed by a quorum, has named an index that is reached
-	AgeProof    Proof = "contact"         // a quorum has confirmed the state since the start
-	Unconfirmed Proof = "recent, no more" // a relay's state of a bounded age, after a wait
+	NoProof     Proof = ""            // the node may not serve yet
+	LeaderProof Proof = "leader"      // the state has reached the index reported by a leader that a quorum confirmed
+	AgeProof    Proof = "contact"     // a quorum has confirmed the state since the start
+	Unconfirmed Proof = "unconfirmed" // the state is at most maxUnprovenAge old, and unprovenWait has passed
 )
 
-// Readiness decides when a node that has just started may serve: once its state has all that was acknowledged before the
-// start. Where that can't be proven in time, a state of a bounded age will do; an older one never does.
+// Readiness decides when a node that has just started may serve: its state must contain all changes acknowledged before the
+// start. If that is not proven within unprovenWait, a state of at most maxUnprovenAge is accepted.
 type Readiness struct {
-	latest uint64
-	known  bool
+	latest uint64 // index reported by the leader
+	known  bool   // latest is set
 }
 
-// Confirmed takes the latest index, as the leader has given it after the start.
-func (f *Readiness) Confirmed(latest uint64) { f.latest, f.known = latest, true }
+// Confirmed records the latest index that the leader has reported after the start.
+func (r *Readiness) Confirmed(latest uint64) { r.latest, r.known = latest, true }
 
-// Check returns the proof at a moment: up is the time since the start, age the age of the state, read before its index.
-func (f *Readiness) Check(up, age time.Duration, index uint64) Proof {
+// Check returns the proof that the node may serve, or NoProof. uptime is the time since the start. age is the age of the
+// state, which must be read before index.
+func (r *Readiness) Check(uptime, age time.Duration, index uint64) Proof {
 	switch {
-	case f.known && index >= f.latest:
+	case r.known && index >= r.latest:
 		return LeaderProof
-	case age < up:
+	case age < uptime:
 		return AgeProof
-	case up >= unprovenWait && age <= maxUnprovenAge:
+	case uptime >= unprovenWait && age <= maxUnprovenAge:
 		return Unconfirmed
 	}
 	return NoProof
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -1,14 +1,13 @@
-// Package relay distributes the updates of the replicated state from the quorum members to all nodes, down a tree that the
-// nodes form among themselves: in each zone one node subscribes to a quorum member, and the others to nodes of their zone.
-// Every node computes its parent from the cluster membership (Parents). Where views differ for a while, the age of the
-// state shows a parent that is partitioned or subscribes to its own child, and the node turns to a quorum member.
+// Package relay distributes updates of the replicated state from the quorum members to all nodes along a tree: in each zone
+// one node subscribes to a quorum member, and the others subscribe to nodes of their zone. Every node computes its parent
+// from the cluster membership (Parents). While views of the membership differ, a parent may be partitioned or subscribe to
+// its own child. The node detects this by the age of the parent's state, and subscribes to a quorum member.
 //
-// A parent sends what has changed since the index that a child has. Changes that a child has not been sent yet are sent
-// as one, in which a later value of a resource replaces all earlier ones: a slow child, or one that was partitioned,
-// receives one difference and not a backlog.
+// A parent sends the changes since a child's index. Pending changes are merged, so that a later value of a resource replaces
+// earlier ones: a slow or partitioned child receives one delta instead of a backlog.
 //
-// Selector, Pacing, Readiness, Subscription and Parents are pure; Hub is a store with a lock; Follower and Hub.Serve do
-// the input and output. See docs/decisions/0008-distribution-tree.md.
+// Selector, Pacing, Readiness, Subscription and Parents are pure; Hub is a store with a lock; Follower and Hub.Serve
+// perform the I/O. See docs/decisions/0008-distribution-tree.md.
 package relay
 
 import (
@@ -24,38 +23,39 @@
 
 // Timing and shape of the tree.
 const (
-	Fanout      = 6                      // children of a node
-	Heartbeat   = 400 * time.Millisecond // between two messages to a child
-	Stale       = 1500 * time.Millisecond
-	FeedTimeout = 1200 * time.Millisecond // without a frame of the parent, the subscription ends
+	Fanout      = 6                       // maximum number of children of a node in its zone's tree
+	Heartbeat   = 400 * time.Millisecond  // heartbeat interval of a quorum member; see relayHeartbeat
+	Stale       = 1500 * time.Millisecond // age of a parent's state above which the child selects another parent
+	FeedTimeout = 1200 * time.Millisecond // without a frame from the parent for this long, the subscription fails
 
-	// MaxChildren bounds the subscriptions to a node. Until the tree is complete, nodes subscribe to quorum members: of a
-	// few hundred that start at once each member serves its share; of thousands the first, which serve the others.
+	// MaxChildren bounds the subscriptions to a node. Until the tree is complete, nodes subscribe to quorum members. If a few
+	// hundred nodes start at once, the quorum members serve all of them; if thousands do, they serve the first ones, which
+	// serve the others.
 	MaxChildren = 64
 
-	// Format is the version of feeds. Nodes of another one are rejected: an update across formats can't be rolling.
+	// Format is the version of the feed format. Nodes reject other versions, so a rolling update must not change it.
 	Format = 1
 )
 
-// ErrFormat is the end of a subscription between nodes of versions that do not understand each other's feeds.
+// ErrFormat is returned for a subscription between nodes with different feed formats.
 var ErrFormat = errors.New("relay: bring all nodes to one version")
 
-// CheckFormat returns ErrFormat, with the details, for feeds of another format than this node's.
-func CheckFormat(who string, format uint32) error {
+// CheckFormat returns an error that wraps ErrFormat if the format of a peer differs from this node's.
+func CheckFormat(peer string, format uint32) error {
 	if format == Format {
 		return nil
 	}
-	return fmt.Errorf("%w: %s has feeds of format %d, this node of format %d", ErrFormat, who, format, Format)
+	return fmt.Errorf("%w: %s has feeds of format %d, this node of format %d", ErrFormat, peer, format, Format)
 }
 
-// treeOrder orders the nodes of a zone, alike on all nodes.
+// treeOrder returns a node's sort key in its zone's tree. All nodes must compute the same value.
 func treeOrder(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// ParentCache caches the result of Parents for a version of the membership.
+// ParentCache caches the result of Parents for one version of the membership.
 type ParentCache struct {
 	Self, Zone string
 
@@ -63,7 +63,8 @@
 	parents []string
 }
 
-// Parents returns the parents by a version of the membership.
+// Parents returns the result of the function Parents for a version of the membership. It calls members only if the version
+// has changed.
 func (p *ParentCache) Parents(version uint64, members func() []*wire.Member) []string {
 	if p.version != version || p.parents == nil {
 		p.version, p.parents = version, Parents(p.Self, p.Zone, members())
@@ -71,7 +72,8 @@
 	return p.parents
 }
 
-// parentRank orders quorum members as parents in a zone: those that other nodes can't reach come last.
+// parentRank returns the rank of a quorum member as a parent in a zone. Lower ranks are preferred; suspected members come
+// last.
 func parentRank(m *wire.Member, zone string) int {
 	switch {
 	case m.State != wire.Member_ALIVE:
@@ -82,22 +84,22 @@
 	return 0
 }
 
-// Parents returns the addresses to which a node may subscribe, the best first: its parent in the zone's tree, then the
-// quorum members, those of its zone first.
+// Parents returns the addresses to which a node may subscribe, in order of preference: its parent in the zone's tree, then
+// the quorum members by parentRank.
 func Parents(self string, zone string, members []*wire.Member) []string {
 	type candidate struct {
-		order uint64
-		m     *wire.Member
+		order  uint64
+		member *wire.Member
 	}
 	byOrder := func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.m.Name, b.m.Name))
+		return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.member.Name, b.member.Name))
 	}
 	var zoneNodes, quorum []candidate
 	own := treeOrder(self)
 	for _, m := range members {
 		switch {
 		case m.QuorumMember:
-			// Zones without a quorum member of their own begin with different ones.
+			// The node's own key in the order spreads zones without a quorum member over different quorum members.
 			quorum = append(quorum, candidate{treeOrder(m.Name) ^ own, m})
 		case m.Zone == zone && (m.State == wire.Member_ALIVE || m.Name == self):
 			zoneNodes = append(zoneNodes, candidate{treeOrder(m.Name), m})
@@ -106,14 +108,14 @@
 	slices.SortFunc(zoneNodes, byOrder)
 	slices.SortFunc(quorum, byOrder)
 	slices.SortStableFunc(quorum, func(a, b candidate) int {
-		return cmp.Compare(parentRank(a.m, zone), parentRank(b.m, zone))
+		return cmp.Compare(parentRank(a.member, zone), parentRank(b.member, zone))
 	})
 	var addresses []string
-	if i := slices.IndexFunc(zoneNodes, func(p candidate) bool { return p.m.Name == self }); i > 0 {
-		addresses = append(addresses, zoneNodes[(i-1)/Fanout].m.Address)
+	if i := slices.IndexFunc(zoneNodes, func(c candidate) bool { return c.member.Name == self }); i > 0 {
+		addresses = append(addresses, zoneNodes[(i-1)/Fanout].member.Address)
 	}
-	for _, p := range quorum {
-		addresses = append(addresses, p.m.Address)
+	for _, c := range quorum {
+		addresses = append(addresses, c.member.Address)
 	}
 	return addresses
 }
--- a/internal/distribution/relay/search_test.go
+++ b/internal/distribution/relay/search_test.go
@@ -12,15 +12,15 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Bounds of the search.
+// Bounds of the exhaustive search.
 const (
-	searchHubs     = 2
-	searchFlight   = 2 // feeds under way to one hub
-	searchRestarts = 1
-	searchDepth    = 8
+	searchedHubs      = 2
+	maxSearchFeeds    = 2 // feeds in transit to one hub
+	maxSearchRestarts = 1
+	maxSearchDepth    = 8 // number of events
 )
 
-// searchUpdates are the updates of the source: two servers, of which one goes and comes again.
+// searchUpdates returns the updates of the source: two servers are added, and one is removed and added again.
 func searchUpdates() (list []*wire.Changes) {
 	for i, r := range []*wire.Resource{
 		{Value: &wire.Resource_Server{Server: &wire.Server{Member: "a", Service: "x"}}},
@@ -34,7 +34,7 @@
 	return list
 }
 
-// content is what a hub shows to its node.
+// content returns the servers in a hub's state as text.
 func content(h *Hub) string {
 	changes, _ := h.State(0)
 	text := ""
@@ -46,7 +46,7 @@
 	return text
 }
 
-// copyHub returns a hub that stands where another does.
+// copyHub returns a hub with the same state.
 func copyHub(h *Hub) *Hub {
 	c := NewHub(h.Age)
 	changes, _ := h.State(0)
@@ -54,20 +54,22 @@
 	return c
 }
 
-// searchState is a source that has published some updates, hubs that follow it or each other, and feeds under way.
+// searchState is a state of the search: the number of published updates and restarts, the hubs, and the feeds in transit to
+// each of them. trace lists the events that led to it.
 type searchState struct {
 	published int
 	restarts  int
-	hubs      [searchHubs]*Hub
-	flights   [searchHubs][]*wire.Feed
+	hubs      [searchedHubs]*Hub
+	inTransit [searchedHubs][]*wire.Feed
 	trace     []string
 }
 
+// key returns an identifier of the state, without its trace.
 func (s *searchState) key() string {
 	key := fmt.Sprint(s.published, s.restarts)
 	for i, h := range s.hubs {
 		var feeds []string
-		for _, f := range s.flights[i] {
+		for _, f := range s.inTransit[i] {
 			text, _ := proto.MarshalOptions{Deterministic: true}.Marshal(f)
 			feeds = append(feeds, string(text))
 		}
@@ -77,99 +79,99 @@
 	return key
 }
 
-// next returns a copy of the state, behind an event.
-func (s *searchState) next(event string, f func(n *searchState)) *searchState {
-	n := &searchState{published: s.published, restarts: s.restarts, hubs: s.hubs, flights: s.flights, trace: append(slices.Clone(s.trace), event)}
-	f(n)
+// next returns a copy of the state to which apply has applied an event.
+func (s *searchState) next(event string, apply func(n *searchState)) *searchState {
+	n := &searchState{published: s.published, restarts: s.restarts, hubs: s.hubs, inTransit: s.inTransit, trace: append(slices.Clone(s.trace), event)}
+	apply(n)
 	return n
 }
 
-// search is all histories of some hubs, in which feeds arrive in any order, late, twice or never, hubs turn from one
-// parent to another, a child of their own among them, and one of them starts anew.
+// search explores all histories in which feeds are reordered, delayed, duplicated or lost, hubs change between parents,
+// which may be their own children, and one hub restarts.
 type search struct {
 	t       *testing.T
-	sources []*Hub // by how many updates are published
+	sources []*Hub // by number of published updates
 }
 
-// successors are the states behind all events that may come next.
+// successors returns the states after every possible next event.
 func (q *search) successors(s *searchState) (list []*searchState) {
 	if s.published+1 < len(q.sources) {
-		list = append(list, s.next("an update", func(n *searchState) { n.published++ }))
+		list = append(list, s.next("update", func(n *searchState) { n.published++ }))
 	}
 	for child := range s.hubs {
-		if s.restarts < searchRestarts {
-			list = append(list, s.next(fmt.Sprintf("hub %d starts anew", child), func(n *searchState) {
+		if s.restarts < maxSearchRestarts {
+			list = append(list, s.next(fmt.Sprintf("hub %d restarts", child), func(n *searchState) {
 				n.restarts++
 				n.hubs[child] = NewHub(s.hubs[child].Age)
 			}))
 		}
-		if len(s.flights[child]) < searchFlight {
-			list = append(list, q.asks(s, child)...)
+		if len(s.inTransit[child]) < maxSearchFeeds {
+			list = append(list, q.subscriptions(s, child)...)
 		}
-		for place := range s.flights[child] {
-			for _, keep := range []bool{false, true} {
-				event := fmt.Sprintf("hub %d gets feed %v (again later: %v)", child, s.flights[child][place].Changes, keep)
-				list = append(list, s.next(event, func(n *searchState) { q.deliver(n, child, place, keep) }))
+		for index := range s.inTransit[child] {
+			for _, duplicate := range []bool{false, true} {
+				event := fmt.Sprintf("hub %d receives feed %v (duplicated: %v)", child, s.inTransit[child][index].Changes, duplicate)
+				list = append(list, s.next(event, func(n *searchState) { q.deliver(n, child, index, duplicate) }))
 			}
 		}
 	}
 	return list
 }
 
-// asks are the states in which a child has asked one parent or another, and the parent has answered.
-func (q *search) asks(s *searchState, child int) (list []*searchState) {
+// subscriptions returns the states in which a child has subscribed to each possible parent, and the parent has sent a feed.
+func (q *search) subscriptions(s *searchState, child int) (list []*searchState) {
 	parents := append([]*Hub{q.sources[s.published]}, s.hubs[:]...)
 	for i, parent := range parents {
 		if i == child+1 {
 			continue
 		}
-		f, _ := parent.Feed(s.hubs[child].Index(), 0, 0)
-		list = append(list, s.next(fmt.Sprintf("hub %d asks parent %d (0: the source)", child, i), func(n *searchState) {
-			n.flights[child] = append(slices.Clone(n.flights[child]), f)
+		feed, _ := parent.Feed(s.hubs[child].Index(), 0, 0)
+		list = append(list, s.next(fmt.Sprintf("hub %d subscribes to parent %d (0: the source)", child, i), func(n *searchState) {
+			n.inTransit[child] = append(slices.Clone(n.inTransit[child]), feed)
 		}))
 	}
 	return list
 }
 
-// deliver hands a feed to its hub, and checks what that makes of it.
-func (q *search) deliver(n *searchState, child, place int, keep bool) {
-	f := n.flights[child][place]
-	if !keep {
-		n.flights[child] = slices.Delete(slices.Clone(n.flights[child]), place, place+1)
+// deliver applies a feed in transit to its hub, and checks the result.
+func (q *search) deliver(state *searchState, child, position int, duplicate bool) {
+	feed := state.inTransit[child][position]
+	if !duplicate {
+		state.inTransit[child] = slices.Delete(slices.Clone(state.inTransit[child]), position, position+1)
 	}
-	h := copyHub(n.hubs[child])
-	n.hubs[child] = h
-	before := h.Index()
-	current, ok := h.Receive(f, func() {})
-	index := h.Index()
+	hub := copyHub(state.hubs[child])
+	state.hubs[child] = hub
+	before := hub.Index()
+	current, ok := hub.Receive(feed, func() {})
+	index := hub.Index()
 	switch {
 	case index < before:
-		q.t.Fatalf("hub %d went back from update %d to %d:\n%q", child, before, index, n.trace)
-	case index > uint64(n.published) || content(h) != content(q.sources[index]):
-		q.t.Fatalf("hub %d shows %q at update %d:\n%q", child, content(h), index, n.trace)
-	case !ok && index != before, current && index != f.Latest:
-		q.t.Fatalf("hub %d at update %d takes a feed up to %d as ok %v, current %v:\n%q", child, index, f.Latest, ok, current, n.trace)
+		q.t.Fatalf("the index of hub %d decreased from %d to %d:\n%q", child, before, index, state.trace)
+	case index > uint64(state.published) || content(hub) != content(q.sources[index]):
+		q.t.Fatalf("hub %d has the wrong content %q at index %d:\n%q", child, content(hub), index, state.trace)
+	case !ok && index != before, current && index != feed.Latest:
+		q.t.Fatalf("hub %d at index %d received a feed up to %d with ok %v, current %v:\n%q", child, index, feed.Latest, ok, current, state.trace)
 	}
 }
 
-// TestSearchOfFeeds goes through all histories of two hubs within some bounds: a hub shows what the source showed at the
-// same index, and never goes back.
+// TestSearchOfFeeds explores all histories of two hubs within the bounds. It guards against a hub whose state differs from the
+// source's at the same index, or whose index decreases.
 func TestSearchOfFeeds(t *testing.T) {
 	q := &search{t: t}
-	fresh := func() *Hub { return NewHub(func() time.Duration { return 0 }) }
-	source := fresh()
+	newHub := func() *Hub { return NewHub(func() time.Duration { return 0 }) }
+	source := newHub()
 	q.sources = append(q.sources, copyHub(source))
-	for _, c := range searchUpdates() {
-		source.Apply(c)
+	for _, changes := range searchUpdates() {
+		source.Apply(changes)
 		q.sources = append(q.sources, copyHub(source))
 	}
 	first := &searchState{}
 	for i := range first.hubs {
-		first.hubs[i] = fresh()
+		first.hubs[i] = newHub()
 	}
 	seen := map[string]bool{first.key(): true}
 	level := []*searchState{first}
-	for range searchDepth {
+	for range maxSearchDepth {
 		var next []*searchState
 		for _, s := range level {
 			for _, n := range q.successors(s) {
@@ -182,13 +184,13 @@
 		level = next
 	}
 	if len(seen) < 10_000 {
-		t.Errorf("%d states: hardly a search", len(seen))
+		t.Errorf("explored %d states, want at least 10000", len(seen))
 	}
-	t.Logf("%d states", len(seen))
+	t.Logf("explored %d states", len(seen))
 }
 
-// TestWalksOfFeeds plays long random histories of hubs that live on: a feed leads up to what its parent has, and brings a
-// child there that takes it as the next.
+// TestWalksOfFeeds runs long random histories without restarts. It guards against feeds that do not bring a child to its
+// parent's index, and against a child whose state differs from the source's.
 func TestWalksOfFeeds(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0xfeed))
@@ -199,39 +201,39 @@
 		history := []string{content(hubs[0])}
 		for range 400 {
 			if rng.IntN(3) == 0 {
-				at := hubs[0].Index()
+				index := hubs[0].Index()
 				server := &wire.Server{Member: fmt.Sprint(rng.IntN(6)), Service: fmt.Sprint(rng.IntN(3))}
-				hubs[0].Apply(&wire.Changes{From: at, To: at + 1, Resources: []*wire.Resource{{Index: at + 1, Value: &wire.Resource_Server{Server: server}}}})
+				hubs[0].Apply(&wire.Changes{From: index, To: index + 1, Resources: []*wire.Resource{{Index: index + 1, Value: &wire.Resource_Server{Server: server}}}})
 				history = append(history, content(hubs[0]))
 			}
 			child := 1 + rng.IntN(len(hubs)-1)
 			parent := hubs[rng.IntN(len(hubs))]
 			have := hubs[child].Index()
-			f, _ := parent.Feed(have, 0, 0)
-			if rng.IntN(10) == 0 { // the parent is of another version
-				f.Format = uint32(rng.IntN(4))
+			feed, _ := parent.Feed(have, 0, 0)
+			if rng.IntN(10) == 0 { // the parent may use another format
+				feed.Format = uint32(rng.IntN(4))
 			}
-			if err := CheckFormat("a parent", f.Format); (err == nil) != (f.Format == Format) {
-				t.Fatalf("seed %d: a feed of format %d: %v", seed, f.Format, err)
+			if err := CheckFormat("a parent", feed.Format); (err == nil) != (feed.Format == Format) {
+				t.Fatalf("seed %d: CheckFormat of format %d returned %v", seed, feed.Format, err)
 			} else if err != nil {
 				continue
 			}
-			if c := f.Changes; c != nil && c.To != f.Latest {
-				t.Fatalf("seed %d: a parent at %d sends a difference up to %d", seed, f.Latest, c.To)
+			if changes := feed.Changes; changes != nil && changes.To != feed.Latest {
+				t.Fatalf("seed %d: a parent at index %d sends changes up to %d", seed, feed.Latest, changes.To)
 			}
-			current, ok := hubs[child].Receive(f, func() {})
-			if index := hubs[child].Index(); !ok || index != max(have, f.Latest) || current != (index == f.Latest) {
-				t.Fatalf("seed %d: a child at %d is at %d behind a feed up to %d: ok %v, current %v", seed, have, index, f.Latest, ok, current)
+			current, ok := hubs[child].Receive(feed, func() {})
+			if index := hubs[child].Index(); !ok || index != max(have, feed.Latest) || current != (index == feed.Latest) {
+				t.Fatalf("seed %d: a child at index %d is at %d after a feed up to %d: ok %v, current %v", seed, have, index, feed.Latest, ok, current)
 			}
 			if got, want := content(hubs[child]), history[hubs[child].Index()]; got != want {
-				t.Fatalf("seed %d: a child shows %q, and its source showed %q", seed, got, want)
+				t.Fatalf("seed %d: the child's content is %q, the source's was %q", seed, got, want)
 			}
 		}
 	}
 }
 
-// TestSearchOfParents draws members, their zones and states: who follows the best parents ends at the quorum, and suspected
-// quorum members come behind all others.
+// TestSearchOfParents generates members with random zones and states. It guards against cycles of preferred parents, and
+// against suspected quorum members that are preferred to live ones.
 func TestSearchOfParents(t *testing.T) {
 	states := []wire.Member_State{wire.Member_ALIVE, wire.Member_ALIVE, wire.Member_SUSPECT}
 	for seed := range uint64(500) {
@@ -248,45 +250,45 @@
 			}
 			suspected := false
 			for _, name := range Parents(m.Name, m.Zone, all) {
-				p := byName[name]
-				if p.QuorumMember && p.State == wire.Member_ALIVE && suspected {
-					t.Fatalf("seed %d: %s turns to a suspected quorum member before %s", seed, m.Name, name)
+				parent := byName[name]
+				if parent.QuorumMember && parent.State == wire.Member_ALIVE && suspected {
+					t.Fatalf("seed %d: %s prefers a suspected quorum member to %s", seed, m.Name, name)
 				}
-				suspected = suspected || p.QuorumMember && p.State != wire.Member_ALIVE
+				suspected = suspected || parent.QuorumMember && parent.State != wire.Member_ALIVE
 			}
-			at, hops := m, 0
-			for ; !at.QuorumMember && hops <= len(all); hops++ {
-				at = byName[Parents(at.Name, at.Zone, all)[0]]
+			node, hops := m, 0
+			for ; !node.QuorumMember && hops <= len(all); hops++ {
+				node = byName[Parents(node.Name, node.Zone, all)[0]]
 			}
-			if !at.QuorumMember {
-				t.Fatalf("seed %d: %s follows parents that follow each other", seed, m.Name)
+			if !node.QuorumMember {
+				t.Fatalf("seed %d: the parents of %s form a cycle", seed, m.Name)
 			}
 		}
 	}
 }
 
-// TestSearchOfAges draws clocks that differ in time and rate, and the time that a request and a feed are on their way: a
-// child never takes a contact for a later one than it was.
+// TestSearchOfAges generates clocks that differ in time and rate, and transit times of a request and a feed. It guards against
+// a contact that looks later to the child than it was.
 func TestSearchOfAges(t *testing.T) {
 	for seed := range uint64(20_000) {
 		rng := rand.New(rand.NewPCG(seed, 0xa6e))
-		draw := func(most time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(most))) }
+		random := func(limit time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(limit))) }
 		clock := func() func(time.Duration) time.Duration {
-			offset, drift := draw(time.Hour), rng.Float64()*2-1
+			offset, drift := random(time.Hour), rng.Float64()*2-1
 			return func(at time.Duration) time.Duration {
 				return offset + at + time.Duration(drift*float64(at)/(2*maxClockDriftDivisor))
 			}
 		}
 		parent, child := clock(), clock()
-		asked := draw(time.Minute)
-		received := asked + draw(2*time.Second)
-		contact := received - draw(time.Minute) + draw(3*time.Minute)
-		sent := max(received, contact) + draw(time.Second)
-		taken := sent + draw(5*time.Second)
-		f := &wire.Feed{}
-		SetAge(f, parent(sent), parent(contact), parent(received))
-		if got := (Subscription{RequestedAt: child(asked)}).ContactAt(child(taken), f); got > child(contact)+time.Microsecond {
-			t.Fatalf("seed %d: a contact at %v of the child's clock is taken for one at %v", seed, child(contact), got)
+		requested := random(time.Minute)
+		received := requested + random(2*time.Second)
+		contact := received - random(time.Minute) + random(3*time.Minute)
+		sent := max(received, contact) + random(time.Second)
+		delivered := sent + random(5*time.Second)
+		feed := &wire.Feed{}
+		SetAge(feed, parent(sent), parent(contact), parent(received))
+		if got := (Subscription{RequestedAt: child(requested)}).ContactAt(child(delivered), feed); got > child(contact)+time.Microsecond {
+			t.Fatalf("seed %d: contact at %v on the child's clock computed as %v", seed, child(contact), got)
 		}
 	}
 }
--- a/internal/distribution/relay/selector.go
+++ b/internal/distribution/relay/selector.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	stableAfter = 5 * time.Second // a subscription that lasted so long counts as a success
-	fallbackFor = 3 * time.Second // time under a parent that is not the preferred one
-	retryPause  = 100 * time.Millisecond
+	stableAfter = 5 * time.Second        // a subscription that lasts longer counts as successful
+	fallbackFor = 3 * time.Second        // time with a parent that is not the preferred one, before the preferred one is tried again
+	retryPause  = 100 * time.Millisecond // after all candidates have failed, or while there are none
 )
 
-// EndReason says why a subscription has ended.
+// EndReason is the reason for the end of a subscription.
 type EndReason string
 
-// The reasons.
+// Values of EndReason.
 const (
-	Continue    EndReason = ""                           // it has not ended
-	Renew       EndReason = "renew"                      // it is to be renewed at once, or the node's place is elsewhere
-	ParentStale EndReason = "the parent is out of touch" // what the parent sends is too old
-	Failed      EndReason = "failed"                     // no connection, silence, a refusal, or a feed that can't be read
+	Continue    EndReason = ""             // the subscription has not ended
+	Renew       EndReason = "renew"        // the subscription should be renewed, or another parent is preferred
+	ParentStale EndReason = "stale parent" // the age of the parent's state exceeds Stale
+	Failed      EndReason = "failed"       // no connection, FeedTimeout, a rejection, or a feed that cannot be decoded
 )
 
-// Selector decides to which parent a node subscribes. It is a pure state machine: it takes the time and events, and
-// returns what to do. Times are durations since a moment of the driver's choice. The zero value has no parent.
+// Selector decides to which parent a node subscribes. It is a pure state machine: it takes the time and events, and returns
+// the actions. Times are durations since a start chosen by the driver. The zero value has no parent.
 type Selector struct {
-	attempts     int           // counts the candidates that were tried
-	candidates   int           // of how many
-	parent       string        // of the parent
-	preferred    bool          // it was the first of the candidates
-	subscribedAt time.Duration // of the subscription
-	pausedUntil  time.Duration // of the pause after all candidates have failed
+	attempts     int    // failed attempts since the last success; modulo candidates, the index of the next one
+	candidates   int    // number of candidates
+	parent       string // address of the current parent
+	preferred    bool   // the current parent is the first candidate
+	subscribedAt time.Duration
+	pausedUntil  time.Duration // end of the pause after all candidates have failed
 }
 
-// Next returns the parent to subscribe to, out of the candidates with the best first, or the time to wait before the next
-// call. The driver subscribes, and calls Ended when the subscription has ended.
+// Next returns the parent to subscribe to, or the time to wait before the next call. parents are the candidates in order of
+// preference. The driver subscribes, and calls Ended when the subscription has ended.
 func (s *Selector) Next(now time.Duration, parents []string) (addr string, wait time.Duration) {
 	if len(parents) == 0 {
 		return "", retryPause
@@ -40,12 +40,13 @@
 		return "", s.pausedUntil - now
 	}
 	s.candidates = len(parents)
-	at := s.attempts % s.candidates
-	s.parent, s.preferred, s.subscribedAt = parents[at], at == 0, now
+	index := s.attempts % s.candidates
+	s.parent, s.preferred, s.subscribedAt = parents[index], index == 0, now
 	return s.parent, 0
 }
 
-// Check returns ParentStale for a parent whose state is too old.
+// Check returns ParentStale if the age of the parent's state exceeds Stale. It allows any age for one Heartbeat after the
+// subscription.
 func (s *Selector) Check(now, age time.Duration) EndReason {
 	if age > Stale && now-s.subscribedAt > Heartbeat {
 		return ParentStale
@@ -53,7 +54,8 @@
 	return Continue
 }
 
-// ShouldMove reports whether another parent is the best one by now.
+// ShouldMove reports whether the node should subscribe again: if its parent is the preferred one, after that has changed,
+// otherwise after fallbackFor.
 func (s *Selector) ShouldMove(now time.Duration, parents []string) bool {
 	if !s.preferred {
 		return now-s.subscribedAt > fallbackFor
@@ -61,13 +63,14 @@
 	return len(parents) > 0 && parents[0] != s.parent
 }
 
-// Ended takes the end of a subscription, with its reason.
+// Ended records the end of a subscription and its reason.
 func (s *Selector) Ended(now time.Duration, reason EndReason) {
 	switch {
 	case reason == Renew, now-s.subscribedAt > stableAfter && !s.preferred:
 		s.attempts = 0
 	case now-s.subscribedAt > stableAfter:
-		// The preferred parent has failed: another attempt would take as long to fail as long as its connection seems fine.
+		// The preferred parent has failed. Skip it: while its connection seems alive, another attempt would take as long to
+		// fail.
 		s.attempts = 1
 	default:
 		if s.attempts++; s.attempts%s.candidates == 0 {
--- a/internal/distribution/relay/selector_test.go
+++ b/internal/distribution/relay/selector_test.go
@@ -8,25 +8,25 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestLongUsedParentFails is not the next one to be tried: its connection may take as long again to show that it is
-// dead. Another round begins with it.
+// TestLongUsedParentFails guards against a second attempt with a preferred parent that has failed after a long time: its
+// connection may seem alive until another timeout. It is tried again after the next parent.
 func TestLongUsedParentFails(t *testing.T) {
 	parents := []string{"first", "second", "third"}
 	for _, c := range []struct {
 		name   string
 		lasted time.Duration
-		why    EndReason
+		reason EndReason
 		next   string
 	}{
-		{"silent after long", time.Minute, Failed, "second"},
-		{"silent at once", time.Second, Failed, "second"},
+		{"failed after a minute", time.Minute, Failed, "second"},
+		{"failed after a second", time.Second, Failed, "second"},
 		{"renewed", time.Minute, Renew, "first"},
 	} {
 		var s Selector
 		s.Next(0, parents)
-		s.Ended(c.lasted, c.why)
+		s.Ended(c.lasted, c.reason)
 		if got, _ := s.Next(c.lasted, parents); got != c.next {
-			t.Errorf("%s: %s is tried next, want %s", c.name, got, c.next)
+			t.Errorf("%s: the next parent is %s, want %s", c.name, got, c.next)
 		}
 	}
 	var s Selector
@@ -38,11 +38,11 @@
 		s.Ended(now, Failed)
 	}
 	if want := []string{"first", "second", "first", "second"}; !slices.Equal(tried, want) {
-		t.Errorf("parents that fail after long are tried in the order %v, want %v", tried, want)
+		t.Errorf("parents that fail after 20 s are tried in the order %v, want %v", tried, want)
 	}
 }
 
-// TestSuspectMembersComeLast: a node does not lose time with a quorum member that others can't reach.
+// TestSuspectMembersComeLast guards against nodes that try a suspected quorum member before the others.
 func TestSuspectMembersComeLast(t *testing.T) {
 	all := members(1, 3)
 	before := Parents("node0", "0", all)
@@ -53,6 +53,6 @@
 	}
 	after := Parents("node0", "0", all)
 	if len(after) != 3 || after[0] != before[1] || after[2] != before[0] {
-		t.Errorf("%v, and with the first one suspected %v", before, after)
+		t.Errorf("parents are %v, and %v after the first one is suspected; want it last", before, after)
 	}
 }
