--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -60,10 +60,10 @@
 // validRanges reports whether n, the number of ranges in another node's request, is a power of two up to maxRanges.
 func validRanges(n uint32) bool { return n > 0 && n <= maxRanges && n&(n-1) == 0 }
 
-// digestsOf returns the digests of n ranges, including this node's own entry.
-func (l *Memberlist) digestsOf(n uint32) []uint64 {
-	merged := make([]uint64, n)
-	width := maxRanges / n
+// digestsOf returns the digests of rangeCount ranges, including this node's own entry.
+func (l *Memberlist) digestsOf(rangeCount uint32) []uint64 {
+	merged := make([]uint64, rangeCount)
+	width := maxRanges / rangeCount
 	for i, d := range l.ranges {
 		merged[uint32(i)/width] ^= d
 	}
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -129,20 +129,20 @@
 }
 
 // Load adds nodes from a view that all nodes already share, without broadcasting them. The nodes must be alive.
-func (l *Memberlist) Load(now time.Duration, all []*wire.Member) {
+func (l *Memberlist) Load(now time.Duration, nodes []*wire.Member) {
 	l.now = now
-	slab := make([]member, 0, len(all))
+	slab := make([]member, 0, len(nodes))
 	if len(l.members) == 0 {
-		l.members, l.sortedMembers = make(map[string]*member, len(all)), make([]*member, 0, len(all))
+		l.members, l.sortedMembers = make(map[string]*member, len(nodes)), make([]*member, 0, len(nodes))
 	}
-	for _, n := range all {
-		if n.Name == l.self.Name || l.members[n.Name] != nil {
+	for _, node := range nodes {
+		if node.Name == l.self.Name || l.members[node.Name] != nil {
 			continue
 		}
-		slab = append(slab, member{Member: n, stateChangedAt: now, transmits: transmitLimitReached, finestRange: finestRange(nameHash(n.Name))})
-		l.members[n.Name] = &slab[len(slab)-1]
+		slab = append(slab, member{Member: node, stateChangedAt: now, transmits: transmitLimitReached, finestRange: finestRange(nameHash(node.Name))})
+		l.members[node.Name] = &slab[len(slab)-1]
 		l.sortedMembers = append(l.sortedMembers, &slab[len(slab)-1])
-		l.toggleDigest(n)
+		l.toggleDigest(node)
 	}
 	l.needsSort = true
 	l.version++
