--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -1,6 +1,6 @@
-// Package identity authenticates processes and operators by certificates (X.509, RFC 5280; TLS 1.3, RFC 8446): each names
-// the role and the name of its holder, and is trusted by a bundle of authorities. Files may be replaced while a process
-// runs: new connections use the new ones, open connections stay.
+// Package identity authenticates processes and operators by certificates (X.509, RFC 5280; TLS 1.3, RFC 8446). A certificate
+// contains the role and the name of its holder, and is verified against a bundle of authorities. Files may be replaced while
+// a process runs: new connections use the new files, and open connections are kept.
 package identity
 
 import (
@@ -16,38 +16,38 @@
 	"time"
 )
 
-// Role decides what the holder of a certificate may do.
+// Role determines which methods the holder of a certificate may call.
 type Role string
 
-// The roles. A certificate has exactly one. Their texts are frozen, as they are in certificates.
+// The roles. A certificate has exactly one. The values are frozen, as certificates contain them.
 const (
-	QuorumMember Role = "core"     // a quorum member
-	Node         Role = "node"     // a sidecar machine
-	Operator     Role = "operator" // a person or tool that may change the configuration and read backups
+	QuorumMember Role = "core"     // member of the Raft quorum
+	Node         Role = "node"     // sidecar machine
+	Operator     Role = "operator" // person or tool that may change the configuration and read backups
 )
 
 var roles = []Role{QuorumMember, Node, Operator}
 
 const (
-	scheme        = "ivydeck" // of the URI in a certificate: ivydeck://ROLE/NAME
-	checkInterval = time.Second
+	scheme        = "ivydeck"   // of the URI in a certificate: ivydeck://ROLE/NAME
+	checkInterval = time.Second // of the check for changed files
 )
 
-// Name is the holder of a certificate.
+// Name identifies the holder of a certificate.
 type Name struct {
 	Role Role
-	Name string // node_name of the machine, or the operator's name
+	Name string // node_name of the machine, or name of the operator
 }
 
 func (n Name) String() string { return string(n.Role) + " " + n.Name }
 
-// URI is the name as a certificate has it.
+// URI returns the name in the form used in certificates, ivydeck://ROLE/NAME.
 func (n Name) URI() *url.URL {
 	return &url.URL{Scheme: scheme, Host: string(n.Role), Path: "/" + n.Name}
 }
 
-// Of reads the name in a certificate, which has to have exactly one.
-func Of(cert *x509.Certificate) (name Name, err error) {
+// nameOf returns the name in a certificate, which must contain exactly one.
+func nameOf(cert *x509.Certificate) (name Name, err error) {
 	found := 0
 	for _, u := range cert.URIs {
 		if u.Scheme != scheme {
@@ -70,38 +70,38 @@
 	return Name{}, fmt.Errorf("identity: the certificate's role is %q, none of %v", name.Role, roles)
 }
 
-// Files are where a process finds its identity, all in PEM.
+// Files are the paths of the PEM files of an identity.
 type Files struct {
-	Cert   string // its certificate, and those that lead up to an authority
-	Key    string // its private key
-	Bundle string // the authorities that it trusts
+	Cert   string // certificate, followed by the intermediates up to an authority
+	Key    string // private key of the certificate
+	Bundle string // trusted authorities
 }
 
-// credentials are the content of the files.
+// credentials are the parsed contents of Files.
 type credentials struct {
 	cert  *tls.Certificate
 	name  Name
 	roots *x509.CertPool
 }
 
-// Source is an identity that follows its files.
+// Source is an identity that reloads its files when they change. Its methods are safe for concurrent use.
 type Source struct {
 	files Files
 	log   *slog.Logger
 
 	mu          sync.Mutex
 	current     credentials
-	lastStamp   string    // of the files as they were read last, usable or not
-	nextCheckAt time.Time // the files are not checked before
+	lastStamp   string    // of the files at the last attempt to read them
+	nextCheckAt time.Time // earliest time of the next check for changed files
 }
 
-// Open reads an identity. The error says which file is at fault.
+// Open reads the files of an identity. Errors name the invalid file.
 func Open(files Files, log *slog.Logger) (*Source, error) {
-	h, err := read(files)
+	creds, err := read(files)
 	if err != nil {
 		return nil, err
 	}
-	return &Source{files: files, log: log, current: h, lastStamp: stamp(files), nextCheckAt: time.Now().Add(checkInterval)}, nil
+	return &Source{files: files, log: log, current: creds, lastStamp: stamp(files), nextCheckAt: time.Now().Add(checkInterval)}, nil
 }
 
 func read(files Files) (credentials, error) {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return credentials{}, fmt.Errorf("identity: %s with %s: %w", files.Cert, files.Key, err)
 	}
-	name, err := Of(cert.Leaf)
+	name, err := nameOf(cert.Leaf)
 	if err != nil {
 		return credentials{}, fmt.Errorf("%s: %w", files.Cert, err)
 	}
@@ -124,7 +124,7 @@
 	return credentials{&cert, name, roots}, nil
 }
 
-// stamp changes when one of the files does.
+// stamp returns the modification times and sizes of the files, to detect changes.
 func stamp(files Files) string {
 	var b strings.Builder
 	for _, path := range []string{files.Cert, files.Key, files.Bundle} {
@@ -137,8 +137,8 @@
 	return b.String()
 }
 
-// credentials returns the content of the files. Files that can't be used, such as a certificate whose key has not been
-// written yet, are logged, and what was read before stays in use.
+// credentials returns the current credentials. It reloads changed files at most every checkInterval. If a reload fails, for
+// example between the writes of a certificate and its key, it logs the error and keeps the previous credentials.
 func (s *Source) credentials() credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,24 +146,24 @@
 		s.nextCheckAt = now.Add(checkInterval)
 		if newStamp := stamp(s.files); newStamp != s.lastStamp {
 			s.lastStamp = newStamp
-			if h, err := read(s.files); err != nil {
+			if creds, err := read(s.files); err != nil {
 				s.log.Error("identity.reload_failed", "err", err)
 			} else {
-				s.current = h
-				s.log.Info("identity.reloaded", "name", h.name.String(), "not_after", h.cert.Leaf.NotAfter)
+				s.current = creds
+				s.log.Info("identity.reloaded", "name", creds.name.String(), "not_after", creds.cert.Leaf.NotAfter)
 			}
 		}
 	}
 	return s.current
 }
 
-// Name is the holder of the identity.
+// Name returns the name in the current certificate.
 func (s *Source) Name() Name { return s.credentials().name }
 
-// NotAfter is when the certificate expires.
+// NotAfter returns the expiry time of the current certificate.
 func (s *Source) NotAfter() time.Time { return s.credentials().cert.Leaf.NotAfter }
 
-// Remaining is the time until the certificate expires; without a source it is -1 s.
+// Remaining returns the time until the certificate expires, or -1 s if s is nil.
 func (s *Source) Remaining() time.Duration {
 	if s == nil {
 		return -time.Second
@@ -171,7 +171,8 @@
 	return time.Until(s.NotAfter())
 }
 
-// config is the part that both sides share. Sessions are not resumed: each connection is verified by the present bundle.
+// config returns the settings common to clients and servers. Session resumption is disabled, so that each connection is
+// verified against the current bundle.
 func (s *Source) config(use x509.ExtKeyUsage) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true,
@@ -179,22 +180,23 @@
 	}
 }
 
-// Server is the configuration of a side that accepts.
+// Server returns the TLS configuration for accepting connections.
 func (s *Source) Server() *tls.Config {
 	c := s.config(x509.ExtKeyUsageClientAuth)
-	c.ClientAuth = tls.RequireAnyClientCert // verified by the bundle, which may change
+	c.ClientAuth = tls.RequireAnyClientCert // VerifyConnection verifies it against the current bundle
 	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.credentials().cert, nil }
 	return c
 }
 
-// Client is the configuration of a side that connects.
+// Client returns the TLS configuration for dialing connections.
 func (s *Source) Client() *tls.Config {
 	c := s.config(x509.ExtKeyUsageServerAuth)
-	c.InsecureSkipVerify = true // of host names, which say nothing here: VerifyConnection does what counts
+	c.InsecureSkipVerify = true // VerifyConnection verifies the certificate; host names are not used
 	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.credentials().cert, nil }
 	return c
 }
 
+// verify verifies the peer's certificate chain against the current bundle, and that the certificate contains a valid name.
 func (s *Source) verify(cs tls.ConnectionState, use x509.ExtKeyUsage) error {
 	if len(cs.PeerCertificates) == 0 {
 		return errors.New("identity: the peer has no certificate")
@@ -207,15 +209,15 @@
 	if _, err := leaf.Verify(x509.VerifyOptions{Roots: s.credentials().roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
 		return fmt.Errorf("identity: the peer's certificate: %w", err)
 	}
-	_, err := Of(leaf)
+	_, err := nameOf(leaf)
 	return err
 }
 
-// PeerName is the holder of the certificate of a verified connection's other side.
+// PeerName returns the name in the peer's certificate of a verified connection.
 func PeerName(cs tls.ConnectionState) Name {
 	if len(cs.PeerCertificates) == 0 {
 		return Name{}
 	}
-	name, _ := Of(cs.PeerCertificates[0]) // verified in the handshake
+	name, _ := nameOf(cs.PeerCertificates[0]) // the handshake has verified the name
 	return name
 }
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -1,19 +1,20 @@
-// Package rpc carries protobuf messages between the processes of the mesh: many streams over one TCP connection to each
-// peer, with flow control by credit for each stream, so that a slow reader delays its own stream alone.
+// Package rpc carries protobuf messages between the processes of the mesh. It multiplexes streams over one TCP connection
+// to each peer. Each stream has credit-based flow control, so that a slow reader blocks only its own stream.
 //
-// A connection is a sequence of frames (wire.Frame), each after its length in four bytes, big-endian. The side that opens a
-// stream names a method and sends one message; the other side answers with one message or with many. A message may take
-// several frames. The form of frames and the names of methods are frozen.
+// A connection is a sequence of frames (wire.Frame), each prefixed with its length in bytes (4 bytes, big-endian). The side
+// that opens a stream names a method and sends one message. The other side responds with one or more messages. A message
+// may span several frames. The frame format and the method names are frozen.
 //
-//	conn.go      a connection: frames in and out
-//	stream.go    a stream: messages, credit, deadlines
-//	pool.go      the calling side: connections by address
-//	rpc.go       the accepting side: Server, handlers
-//	liveness.go  pings, and peers that do not answer
+//	conn.go      connections: reading and writing frames
+//	stream.go    streams: messages, credit, deadlines
+//	pool.go      client: connections by address
+//	rpc.go       server: listener, handlers
+//	liveness.go  pings and detection of unresponsive peers
 //	traffic.go   counters
 //
-// Errors: ErrNotSent says that the peer has not received the message, which may be sent elsewhere; a PeerError is the
-// handler's; context.DeadlineExceeded says that no answer came in time, and nothing about what the peer has done.
+// Errors: ErrNotSent means that the peer did not receive the complete message, which may be sent to another peer. A
+// PeerError is an error of the peer's handler. After context.DeadlineExceeded it is unknown whether the peer executed the
+// call.
 package rpc
 
 import (
@@ -37,58 +38,59 @@
 )
 
 const (
-	maxFrame          = 64 << 10 // bytes of a frame; a longer one is not of this protocol
-	maxChunk          = 32 << 10 // bytes of a message in one frame
-	window            = 256 << 10
-	maxMessage        = 72 << 20 // bytes of a complete message
-	maxStreams        = 4096     // open on one connection
-	maxPartialBytes   = 128 << 20
-	maxRetainedBuffer = 8 << 10 // bytes of a buffer that an idle connection keeps
-	pingInterval      = 600 * time.Millisecond
-	idlePingInterval  = 9 * time.Second         // the same without a stream: Pool.Live checks before it opens one
-	minPingWait       = time.Second             // a peer has at least this time to answer a ping
-	peerTimeout       = 1800 * time.Millisecond // a connection without a frame for this long is closed
-	livenessWindow    = 250 * time.Millisecond  // a peer counts as live for so long after a frame
-	pongTimeout       = 250 * time.Millisecond  // for the answer to a ping
+	maxFrame          = 64 << 10                // in bytes, without the length prefix; a longer frame is a protocol error
+	maxChunk          = 32 << 10                // message bytes per frame
+	window            = 256 << 10               // initial credit of a stream, in bytes
+	maxMessage        = 72 << 20                // in bytes
+	maxStreams        = 4096                    // open streams per connection
+	maxPartialBytes   = 128 << 20               // total size of incomplete messages in the process
+	maxRetainedBuffer = 8 << 10                 // in bytes; larger buffers are not reused
+	pingInterval      = 600 * time.Millisecond  // of liveness checks, and of pings to a quiet peer with open streams
+	idlePingInterval  = 9 * time.Second         // without open streams; Pool.Live pings before it returns such a connection
+	minPingWait       = time.Second             // minimum time to answer a ping before the connection is closed
+	peerTimeout       = 1800 * time.Millisecond // a connection that receives no frame for this long is closed
+	livenessWindow    = 250 * time.Millisecond  // a peer is considered live for this long after its last frame
+	pongTimeout       = 250 * time.Millisecond  // for the answer to a ping in Pool.Live
 	writeTimeout      = 3 * time.Second
 )
 
-// ErrNotSent says that the peer has not received the complete message, so that it can't have had an effect.
+// ErrNotSent means that the peer did not receive the complete message, and so cannot have acted on it.
 var ErrNotSent = errors.New("not sent")
 
-// errFrameMaybeComplete is a failed write after which the peer may have the complete frame all the same.
+// errFrameMaybeComplete means that a write failed, but the peer may have received the complete frame.
 var errFrameMaybeComplete = errors.New("the frame may have arrived completely")
 
-// ErrTooLarge says that a message, or all incomplete messages of the process together, are over the bound.
+// ErrTooLarge means that a message exceeds maxMessage, or the incomplete messages of the process exceed maxPartialBytes.
 var ErrTooLarge = errors.New("message too large")
 
-// partialBytes counts the bytes of incomplete messages in this process.
+// partialBytes is the size of all incomplete messages in this process.
 var partialBytes atomic.Int64
 
-// conn is a connection, on either side.
+// conn is a connection, on the client or the server side.
 type conn struct {
 	nc              net.Conn
-	peer            identity.Name // where identities are in use
-	server          *Server       // set on the accepting side
+	peer            identity.Name // zero without TLS
+	server          *Server       // nil on the client side
 	ctx             context.Context
 	cancel          context.CancelCauseFunc
-	lastReceived    atomic.Int64 // last frame, in ms of the steady clock
-	lastPing        atomic.Int64 // first ping since then, in ms of the steady clock
-	livenessWaiters atomic.Int32 // goroutines in awaitLive
-	pinging         atomic.Bool  // a ping is being sent
+	lastReceived    atomic.Int64 // time of the last received frame, by steadyMs
+	lastPing        atomic.Int64 // time of the first ping since lastReceived, by steadyMs
+	livenessWaiters atomic.Int32 // number of goroutines in awaitLive
+	pinging         atomic.Bool  // checkLiveness is sending a ping
 	writeMu         sync.Mutex
 	writeBuffer     []byte     // reused; guarded by writeMu
-	dataFrame       wire.Frame // the same: for data frames
+	dataFrame       wire.Frame // reused for data frames; guarded by writeMu
 
 	mu         sync.Mutex
 	streams    map[uint32]*Stream
 	nextStream uint32
 	closed     bool
-	nextFrame  chan struct{} // closed and replaced with the next frame, if someone waits for it
+	nextFrame  chan struct{} // closed and replaced on the next frame if livenessWaiters > 0
 }
 
 var start = time.Now()
 
+// steadyMs returns the monotonic time since process start, in milliseconds.
 func steadyMs() int64 { return time.Since(start).Milliseconds() }
 
 func newConn(parent context.Context, nc net.Conn, server *Server) *conn {
@@ -99,13 +101,13 @@
 	if secure, ok := nc.(*tls.Conn); ok {
 		raw, c.peer = secure.NetConn(), identity.PeerName(secure.ConnectionState())
 		if server == nil {
-			// The handshake does not show the connecting side whether its certificate was accepted: the peer does not count
-			// as live before its first frame.
+			// A TLS 1.3 client completes the handshake before the server verifies its certificate, so that the peer is not
+			// considered live before its first frame.
 			c.lastReceived.Store(steadyMs() - livenessWindow.Milliseconds())
 		}
 	}
-	// Pings find an unresponsive peer sooner than the kernel's keep-alive. Connections with unacknowledged bytes end at the same
-	// time, rather than after minutes.
+	// Pings detect an unresponsive peer sooner than TCP keep-alive. TCP_USER_TIMEOUT applies the same timeout to
+	// unacknowledged data.
 	if tc, ok := raw.(*net.TCPConn); ok {
 		tc.SetKeepAlive(false)
 		sock.UserTimeout(tc, peerTimeout)
@@ -113,34 +115,34 @@
 	return c
 }
 
-// write sends a frame, or ends the connection.
+// write sends a frame. A failed write closes the connection.
 func (c *conn) write(f *wire.Frame) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return c.writeLocked(f)
 }
 
-// dataChunk is what one frame carries of a message.
+// dataChunk is the content of a data frame.
 type dataChunk struct {
 	stream    uint32
-	method    string // with the first
-	timeoutMs uint32 // the same
+	method    string // set in the first frame of a stream
+	timeoutMs uint32 // set in the first frame of a stream; zero means no deadline
 	data      []byte
-	last, fin bool
+	last, fin bool // end of the message; end of the stream
 }
 
-// writeChunk sends a data frame, as write does.
-func (c *conn) writeChunk(p dataChunk) error {
+// writeChunk is write for a data frame; it reuses the frame struct.
+func (c *conn) writeChunk(chunk dataChunk) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	f := &c.dataFrame
-	f.Stream, f.Method, f.TimeoutMs, f.Data, f.Last, f.Fin = p.stream, p.method, p.timeoutMs, p.data, p.last, p.fin
+	f.Stream, f.Method, f.TimeoutMs, f.Data, f.Last, f.Fin = chunk.stream, chunk.method, chunk.timeoutMs, chunk.data, chunk.last, chunk.fin
 	err := c.writeLocked(f)
 	f.Data = nil
 	return err
 }
 
-// writeLocked is write with writeMu held.
+// writeLocked is write for callers that hold writeMu.
 func (c *conn) writeLocked(f *wire.Frame) error {
 	if c.ctx.Err() != nil {
 		return context.Cause(c.ctx)
@@ -168,7 +170,7 @@
 	return err
 }
 
-// fail ends the connection and all of its streams.
+// fail closes the connection and ends all of its streams with err.
 func (c *conn) fail(err error) {
 	c.mu.Lock()
 	if c.closed {
@@ -186,7 +188,7 @@
 	}
 }
 
-// read handles frames until the connection ends.
+// read handles received frames until the connection fails.
 func (c *conn) read() error {
 	r := bufio.NewReaderSize(c.nc, 4<<10)
 	var buf []byte
@@ -226,6 +228,7 @@
 	}
 }
 
+// handle processes a received frame. An error is a protocol or write error and closes the connection.
 func (c *conn) handle(f *wire.Frame) error {
 	switch f.Kind {
 	case wire.Frame_PING:
@@ -246,14 +249,14 @@
 			s.deadline = time.Now().Add(time.Duration(f.TimeoutMs) * time.Millisecond)
 		}
 		c.streams[f.Stream] = s
-		c.server.running.Add(1)
-		// The handler starts after the first frame is received, which most often is the only one.
+		c.server.activeHandlers.Add(1)
+		// The handler starts after the first frame, which usually holds the complete message, is processed.
 		method := f.Method
 		defer c.server.workers.Go(func() { c.server.serve(s, method) })
 	}
 	c.mu.Unlock()
 	if s == nil {
-		return nil // it ended here while this frame was under way
+		return nil // the stream was closed locally while the frame was in flight
 	}
 	switch f.Kind {
 	case wire.Frame_CREDIT:
--- a/internal/transport/rpc/fuzz_test.go
+++ b/internal/transport/rpc/fuzz_test.go
@@ -14,22 +14,21 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// framed puts frames behind each other as they go over a connection.
+// framed encodes frames as they are sent over a connection.
 func framed(t testing.TB, frames ...*wire.Frame) []byte {
-	var out []byte
+	var encoded []byte
 	for _, f := range frames {
 		data, err := proto.Marshal(f)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out = append(binary.BigEndian.AppendUint32(out, uint32(len(data))), data...)
+		encoded = append(binary.BigEndian.AppendUint32(encoded, uint32(len(data))), data...)
 	}
-	return out
+	return encoded
 }
 
-// FuzzFrames sends a server whatever there may be, torn anywhere: it neither
-// panics nor hangs, it holds no bytes of the connection afterwards, and every
-// handler that it has begun ends.
+// FuzzFrames checks that a server that receives arbitrary bytes neither panics nor hangs, releases the partial messages of
+// the connection, and ends every handler.
 func FuzzFrames(f *testing.F) {
 	message, err := proto.Marshal(&wire.ProposeRequest{})
 	if err != nil {
@@ -47,30 +46,30 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		s.workers = workerpool.New(ctx)
-		here, there := net.Pipe()
+		client, server := net.Pipe()
 		before := partialBytes.Load()
-		c := newConn(context.Background(), there, s)
+		c := newConn(context.Background(), server, s)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			c.fail(c.read())
-			there.Close()
+			server.Close()
 		}()
-		go func() { // answers are taken, so that nobody waits for that
+		go func() { // reads the responses, so that writes do not block
 			buf := make([]byte, 4096)
 			for {
-				if _, err := here.Read(buf); err != nil {
+				if _, err := client.Read(buf); err != nil {
 					return
 				}
 			}
 		}()
-		here.SetWriteDeadline(time.Now().Add(10 * time.Second))
-		here.Write(data) // the server may have closed before its end
-		here.Close()
+		client.SetWriteDeadline(time.Now().Add(10 * time.Second))
+		client.Write(data) // fails if the server has closed the connection
+		client.Close()
 		<-ended
-		s.running.Wait()
+		s.activeHandlers.Wait()
 		if after := partialBytes.Load(); after != before {
-			t.Errorf("%d bytes are held for a connection that has ended", after-before)
+			t.Errorf("%d bytes of partial messages are counted after the connection ended", after-before)
 		}
 	})
 }
--- a/internal/transport/rpc/identity_test.go
+++ b/internal/transport/rpc/identity_test.go
@@ -14,8 +14,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestIdentities: who is not trusted never reaches a handler, and who is reaches those of its role. A call that was
-// refused has surely not been taken.
+// TestIdentities checks that untrusted callers reach no handler, and that trusted callers reach only the methods of their
+// role. A rejected call fails with ErrNotSent or a PeerError.
 func TestIdentities(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	source := func(a *identity.Authority, role identity.Role, bundle string) *identity.Source {
@@ -39,21 +39,21 @@
 			t.Fatal(err)
 		}
 	}
-	ours, other := authorities[0], authorities[1]
+	trusted, other := authorities[0], authorities[1]
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	server := NewServer(ServerOptions{Log: log, Identity: source(ours, identity.QuorumMember, "")})
-	var reached atomic.Int32
+	server := NewServer(ServerOptions{Log: log, Identity: source(trusted, identity.QuorumMember, "")})
+	var handled atomic.Int32
 	echo := Unary(func(ctx context.Context, p *wire.ForwardRequest) (*wire.ForwardResponse, error) {
-		reached.Add(1)
-		ctx, cancel := context.WithTimeout(ctx, time.Minute) // as handlers make of theirs
+		handled.Add(1)
+		ctx, cancel := context.WithTimeout(ctx, time.Minute) // Caller must also accept a derived context
 		defer cancel()
 		caller, ok := Caller(ctx)
 		if !ok {
-			return nil, errors.New("the caller is not known")
+			return nil, errors.New("the caller is unknown")
 		}
 		return &wire.ForwardResponse{Reason: string(caller.Role)}, nil
 	})
@@ -63,41 +63,41 @@
 	go func() { defer close(ended); server.Serve(ctx, l) }()
 	defer func() { cancel(); <-ended }()
 	for _, c := range []struct {
-		what, method string
-		who          *identity.Source
-		taken        bool
+		name, method string
+		identity     *identity.Source
+		allowed      bool
 	}{
-		{"a node", "all", source(ours, identity.Node, ""), true},
-		{"a quorum member", "core", source(ours, identity.QuorumMember, ""), true},
-		{"a node for what quorum members may", "core", source(ours, identity.Node, ""), false},
-		{"an operator", "all", source(ours, identity.Operator, ""), false},
-		{"a stranger that trusts us", "all", source(other, identity.QuorumMember, ours.Bundle()), false},
-		{"one that does not trust us", "all", source(ours, identity.Node, other.Bundle()), false},
-		{"one without an identity", "all", nil, false},
+		{"a node", "all", source(trusted, identity.Node, ""), true},
+		{"a quorum member", "core", source(trusted, identity.QuorumMember, ""), true},
+		{"a node calling a method of quorum members", "core", source(trusted, identity.Node, ""), false},
+		{"an operator", "all", source(trusted, identity.Operator, ""), false},
+		{"an untrusted client that trusts the server", "all", source(other, identity.QuorumMember, trusted.Bundle()), false},
+		{"a client that does not trust the server", "all", source(trusted, identity.Node, other.Bundle()), false},
+		{"a client without an identity", "all", nil, false},
 	} {
-		pool := NewPool(ctx, PoolOptions{Identity: c.who})
-		before, refused := reached.Load(), server.options.Rejected.Load()
-		until := time.Now().Add(10 * time.Second)
+		pool := NewPool(ctx, PoolOptions{Identity: c.identity})
+		before, rejected := handled.Load(), server.options.Rejected.Load()
+		deadline := time.Now().Add(10 * time.Second)
 		out := new(wire.ForwardResponse)
-		peer, err := pool.Live(ctx, until, l.Addr().String())
+		peer, err := pool.Live(ctx, deadline, l.Addr().String())
 		if err == nil {
-			err = peer.Call(ctx, until, c.method, &wire.ForwardRequest{}, out)
+			err = peer.Call(ctx, deadline, c.method, &wire.ForwardRequest{}, out)
 		}
-		if c.taken != (err == nil) || c.taken != (reached.Load() > before) {
-			t.Errorf("%s: %v, reached %v", c.what, err, reached.Load() > before)
+		if c.allowed != (err == nil) || c.allowed != (handled.Load() > before) {
+			t.Errorf("%s: %v, handled: %v", c.name, err, handled.Load() > before)
 		}
-		if err != nil && c.who != nil && !errors.Is(err, ErrNotSent) && !IsPeerError(err) {
-			t.Errorf("%s: %v leaves open whether the call was taken", c.what, err)
+		if err != nil && c.identity != nil && !errors.Is(err, ErrNotSent) && !IsPeerError(err) {
+			t.Errorf("%s: %v does not show that the call was not executed", c.name, err)
 		}
-		if c.taken && out.Reason == "" {
-			t.Errorf("%s: the handler does not know its caller", c.what)
+		if c.allowed && out.Reason == "" {
+			t.Errorf("%s: the handler could not identify its caller", c.name)
 		}
-		counted := !c.taken && c.what != "one that does not trust us"
-		for counted && server.options.Rejected.Load() == refused && time.Now().Before(until) {
-			runtime.Gosched() // the caller has its error before the server has counted it
+		counted := !c.allowed && c.name != "a client that does not trust the server"
+		for counted && server.options.Rejected.Load() == rejected && time.Now().Before(deadline) {
+			runtime.Gosched() // the client may fail before the server counts the rejection
 		}
-		if counted && server.options.Rejected.Load() == refused {
-			t.Errorf("%s: not counted", c.what)
+		if counted && server.options.Rejected.Load() == rejected {
+			t.Errorf("%s: the rejection was not counted", c.name)
 		}
 	}
 }
--- a/internal/transport/rpc/liveness.go
+++ b/internal/transport/rpc/liveness.go
@@ -10,13 +10,13 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// checkLiveness pings an idle peer, and closes the connection if it does not answer.
-func (c *conn) checkLiveness(wall time.Time) {
-	busy := c.expireStreams(wall)
-	now, received, pinged := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
+// checkLiveness pings a peer that has been quiet, and closes the connection if the peer does not answer.
+func (c *conn) checkLiveness(wallTime time.Time) {
+	busy := c.expireStreams(wallTime)
+	now, received, pingSent := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
 	quiet, pingAge := time.Duration(now-received)*time.Millisecond, time.Duration(0)
-	if pinged > received {
-		pingAge = time.Duration(now-pinged) * time.Millisecond
+	if pingSent > received {
+		pingAge = time.Duration(now-pingSent) * time.Millisecond
 	}
 	ping, dead := pingDecision(busy, quiet, pingAge)
 	if dead {
@@ -24,7 +24,7 @@
 		return
 	}
 	if ping && c.pinging.CompareAndSwap(false, true) {
-		// In a goroutine, as a write may block until its deadline, and must not delay other connections.
+		// A write may block for writeTimeout, and must not delay the checks of other connections.
 		go func() {
 			defer c.pinging.Store(false)
 			c.ping()
@@ -32,15 +32,15 @@
 	}
 }
 
-// watcher checks the liveness of connections, with one goroutine for all of them: a node may have one to each other node of
-// the mesh, most of them idle.
+// watcher checks the liveness of all connections in one goroutine. A node may have a connection to every other node of the
+// mesh, and most of them are idle.
 type watcher struct {
 	mu      sync.Mutex
 	conns   map[*conn]bool
 	running bool
 }
 
-// add adds a connection, until it ends.
+// add starts checking a connection until it is closed.
 func (w *watcher) add(c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// run checks all connections, until none is left.
+// run checks all connections every pingInterval until none is open.
 func (w *watcher) run() {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -72,7 +72,8 @@
 	}
 }
 
-// open lists the open connections. Without any the watcher stops.
+// open appends the open connections to list and removes the closed ones. Without an open connection it marks the watcher as
+// stopped.
 func (w *watcher) open(list []*conn) []*conn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,31 +88,32 @@
 	return list
 }
 
-// expireStreams ends the streams whose deadline has passed, and reports whether there are others. A caller cancels its
-// streams in time; this is for one that no longer can, so a delay does no harm.
+// expireStreams ends the streams whose deadline has passed, and reports whether other streams are open. Callers normally
+// cancel their streams; this handles those that failed to, so a delay is harmless.
 func (c *conn) expireStreams(now time.Time) (busy bool) {
 	c.mu.Lock()
-	var over []*Stream
+	var expired []*Stream
 	for _, s := range c.streams {
 		if !s.deadline.IsZero() && now.After(s.deadline) {
-			over = append(over, s)
+			expired = append(expired, s)
 		}
 	}
-	busy = len(c.streams) > len(over)
+	busy = len(c.streams) > len(expired)
 	c.mu.Unlock()
-	for _, s := range over {
+	for _, s := range expired {
 		s.end(context.DeadlineExceeded)
 	}
 	return busy
 }
 
-// recentlyLive reports whether a frame has come within livenessWindow.
+// recentlyLive reports whether a frame was received within livenessWindow.
 func (c *conn) recentlyLive() bool {
 	return steadyMs()-c.lastReceived.Load() < livenessWindow.Milliseconds()
 }
 
-// pingDecision decides on a connection from which nothing has come for the time quiet, with a ping that has been unanswered
-// for pingAge; 0: there is none. Most connections of a large mesh are idle, and pinged seldom.
+// pingDecision decides whether to ping a peer or to consider it dead. quiet is the time since the last received frame.
+// pingAge is the age of the unanswered ping, or zero without one. Connections without streams are pinged less often, as
+// most connections of a large mesh are idle.
 func pingDecision(busy bool, quiet, pingAge time.Duration) (ping, dead bool) {
 	if quiet >= peerTimeout && pingAge >= minPingWait {
 		return false, true
@@ -119,7 +121,7 @@
 	return quiet >= idlePingInterval || busy && quiet >= pingInterval/2 || pingAge > 0, false
 }
 
-// ping sends a ping, whose answer is a pong.
+// ping sends a ping, which the peer answers with a pong.
 func (c *conn) ping() error {
 	if c.lastPing.Load() <= c.lastReceived.Load() {
 		c.lastPing.Store(steadyMs())
@@ -127,7 +129,7 @@
 	return c.write(&wire.Frame{Kind: wire.Frame_PING})
 }
 
-// awaitLive reports whether the peer is live, and pings it if no frame has come lately.
+// awaitLive reports whether the peer is live. It pings the peer if no frame was received recently.
 func (c *conn) awaitLive(ctx context.Context) bool {
 	if c.recentlyLive() {
 		return true
@@ -135,7 +137,7 @@
 	c.livenessWaiters.Add(1)
 	defer c.livenessWaiters.Add(-1)
 	c.mu.Lock()
-	sign := c.nextFrame
+	nextFrame := c.nextFrame
 	c.mu.Unlock()
 	if c.ping() != nil {
 		return false
@@ -143,7 +145,7 @@
 	timer := timerpool.Get(pongTimeout)
 	defer timerpool.Put(timer)
 	select {
-	case <-sign:
+	case <-nextFrame:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -16,81 +16,82 @@
 
 // PoolOptions configure a Pool. The zero value is a pool of plain TCP connections.
 type PoolOptions struct {
-	// Identity secures the connections, and is shown to peers; nil: connections are not secured.
+	// Identity enables TLS and is presented to peers. If it is nil, connections are plain TCP.
 	Identity *identity.Source
-	// Dial makes a connection; nil: TCP, as by the host's network. Simulations have networks of their own.
+	// Dial opens a connection. If it is nil, the pool dials TCP. Simulations replace it.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool makes calls, over one connection to each address. Its methods may be called by any goroutine.
+// Pool makes calls over one connection per address. Its methods are safe for concurrent use.
 type Pool struct {
 	options PoolOptions
 	ctx     context.Context
 
 	mu    sync.Mutex
-	conns map[string]*dialResult // by address; sweep removes those that are not used
+	conns map[string]*poolEntry // by address; sweep removes unused ones
 	watch watcher
 }
 
-// dialResult is a connection, or an attempt to make one.
-type dialResult struct {
-	ready  chan struct{} // closed once c or err is set
-	c      *conn
-	err    error
-	failed time.Time
-	used   time.Time
+// poolEntry is a connection of a Pool, or the pending or failed attempt to dial it.
+type poolEntry struct {
+	ready    chan struct{} // closed once conn or err is set
+	conn     *conn
+	err      error
+	failedAt time.Time // set with err
+	usedAt   time.Time // last use; guarded by Pool.mu
 }
 
-// NewPool returns a pool whose connections end with ctx.
+// NewPool returns a pool. Its connections are closed when ctx is done.
 func NewPool(ctx context.Context, options PoolOptions) *Pool {
 	if options.Dial == nil {
 		options.Dial = dialTCP
 	}
-	return &Pool{options: options, ctx: ctx, conns: map[string]*dialResult{}}
+	return &Pool{options: options, ctx: ctx, conns: map[string]*poolEntry{}}
 }
 
-// Identity is the identity that the pool shows to peers; nil: connections are not secured.
+// Identity returns the identity that the pool presents to peers, or nil if connections are plain TCP.
 func (p *Pool) Identity() *identity.Source { return p.options.Identity }
 
-// get returns the connection to an address, and makes it if there is none.
+// get returns the connection to an address. It dials if there is no open connection, unless a dial is pending or failed less
+// than dialRetryPause ago.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	p.mu.Lock()
-	d := p.conns[addr]
-	stale := d == nil
-	if d != nil {
+	entry := p.conns[addr]
+	stale := entry == nil
+	if entry != nil {
 		select {
-		case <-d.ready:
-			stale = d.err != nil && time.Since(d.failed) >= dialRetryPause || d.err == nil && d.c.ctx.Err() != nil
+		case <-entry.ready:
+			stale = entry.err != nil && time.Since(entry.failedAt) >= dialRetryPause || entry.err == nil && entry.conn.ctx.Err() != nil
 		default:
 		}
 	}
 	if stale {
 		p.sweep()
-		d = &dialResult{ready: make(chan struct{})}
-		p.conns[addr] = d
-		go p.dial(d, addr)
+		entry = &poolEntry{ready: make(chan struct{})}
+		p.conns[addr] = entry
+		go p.dial(entry, addr)
 	}
-	d.used = time.Now()
+	entry.usedAt = time.Now()
 	p.mu.Unlock()
 	select {
-	case <-d.ready:
-		return d.c, d.err
+	case <-entry.ready:
+		return entry.conn, entry.err
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
 }
 
-// sweep closes and removes connections that have not been used for long; called with mu held.
+// sweep closes and removes entries that have not been used for a minute. The caller holds mu.
 func (p *Pool) sweep() {
-	for addr, d := range p.conns {
+	for addr, entry := range p.conns {
 		select {
-		case <-d.ready:
+		case <-entry.ready:
 		default:
 			continue
 		}
-		if time.Since(d.used) > time.Minute {
-			if d.c != nil {
-				go d.c.fail(errors.New("unused"))
+		if time.Since(entry.usedAt) > time.Minute {
+			if entry.conn != nil {
+				go entry.conn.fail(errors.New("unused"))
 			}
 			delete(p.conns, addr)
 		}
@@ -102,47 +103,48 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// dialTCP makes one attempt to connect.
+// dialTCP opens a TCP connection with a timeout of dialAttemptTimeout.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialAttemptTimeout, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-func (p *Pool) dial(d *dialResult, addr string) {
-	defer close(d.ready)
-	began := time.Now()
+// dial opens a connection and stores it, or the error, in entry. It repeats attempts that time out until dialTimeout.
+func (p *Pool) dial(entry *poolEntry, addr string) {
+	defer close(entry.ready)
+	startTime := time.Now()
 	nc, err := p.options.Dial(p.ctx, addr)
-	for isTimeout(err) && time.Since(began) < dialTimeout && p.ctx.Err() == nil { // the machine may be up by now
+	for isTimeout(err) && time.Since(startTime) < dialTimeout && p.ctx.Err() == nil { // the peer may have started meanwhile
 		nc, err = p.options.Dial(p.ctx, addr)
 	}
 	if err != nil {
-		d.err, d.failed = fmt.Errorf("dialing %s: %w", addr, err), time.Now()
+		entry.err, entry.failedAt = fmt.Errorf("dialing %s: %w", addr, err), time.Now()
 		return
 	}
 	if p.options.Identity != nil {
 		secure := tls.Client(nc, p.options.Identity.Client())
 		if err := handshake(p.ctx, secure); err != nil {
 			nc.Close()
-			d.err, d.failed = fmt.Errorf("dialing %s: %w", addr, err), time.Now()
+			entry.err, entry.failedAt = fmt.Errorf("dialing %s: %w", addr, err), time.Now()
 			return
 		}
 		nc = secure
 	}
 	c := newConn(p.ctx, nc, nil)
-	d.c = c
+	entry.conn = c
 	p.watch.add(c)
 	go func() { c.fail(c.read()) }()
 	context.AfterFunc(c.ctx, func() { nc.Close() })
 }
 
-// Peer is a connection to a process that was live a moment ago: see Pool.Live.
-type Peer struct{ c *conn }
+// Peer is a connection to a process that was recently live; see Pool.Live.
+type Peer struct{ conn *conn }
 
-// Live returns the connection to a process from which a frame has come within livenessWindow, after a ping if need be. The
-// error is ErrNotSent, at the deadline at the latest: a non-idempotent request is better not sent to a machine that may
-// have lost its power.
+// Live returns a connection on which a frame was received within livenessWindow; if necessary, it dials and pings first.
+// Otherwise it returns an ErrNotSent, by the deadline at the latest. This avoids sending a non-idempotent request to a
+// machine that may have failed.
 func (p *Pool) Live(ctx context.Context, deadline time.Time, addr string) (Peer, error) {
-	if c := p.up(addr); c != nil && c.recentlyLive() {
+	if c := p.openConn(addr); c != nil && c.recentlyLive() {
 		return Peer{c}, nil
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -157,38 +159,38 @@
 	return Peer{c}, nil
 }
 
-// Up reports whether there is a connection to an address.
+// Up reports whether the pool has an open connection to an address.
 func (p *Pool) Up(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := p.conns[addr]
-	return d != nil && d.up()
+	entry := p.conns[addr]
+	return entry != nil && entry.isOpen()
 }
 
-// up reports whether the connection is open.
-func (d *dialResult) up() bool {
+// isOpen reports whether the connection was established and has not failed.
+func (e *poolEntry) isOpen() bool {
 	select {
-	case <-d.ready:
-		return d.err == nil && d.c.ctx.Err() == nil
+	case <-e.ready:
+		return e.err == nil && e.conn.ctx.Err() == nil
 	default:
 		return false
 	}
 }
 
-// up returns the open connection to an address; nil: there is none.
-func (p *Pool) up(addr string) *conn {
+// openConn returns the open connection to an address, or nil.
+func (p *Pool) openConn(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := p.conns[addr]
-	if d == nil || !d.up() {
+	entry := p.conns[addr]
+	if entry == nil || !entry.isOpen() {
 		return nil
 	}
-	d.used = time.Now()
-	return d.c
+	entry.usedAt = time.Now()
+	return entry.conn
 }
 
-// Call sends a message and waits for the answer, until the deadline. An error that is ErrNotSent says that the peer has not
-// received the message.
+// Call sends a request and waits for the response until the deadline. An ErrNotSent means that the peer did not receive the
+// request.
 func (p Peer) Call(ctx context.Context, deadline time.Time, method string, req, resp proto.Message) error {
 	s, err := p.Begin(ctx, deadline, method, req)
 	if err != nil {
@@ -197,24 +199,24 @@
 	return s.Response(resp)
 }
 
-// Begin is the first half of Call. Stream.Response is the other half, and returns at once after Ready has received. One of
-// Response and Close has to follow.
+// Begin sends the request of a Call. Stream.Response waits for the response, and does not block once Ready has signaled. The
+// caller must call Response or Close.
 func (p Peer) Begin(ctx context.Context, deadline time.Time, method string, req proto.Message) (*Stream, error) {
-	// The caller's context is the stream's: if it ends, Recv returns.
-	return p.c.open(ctx, nil, deadline, method, req, true)
+	// The stream uses the caller's context: Recv returns when it is done.
+	return p.conn.open(ctx, nil, deadline, method, req, true)
 }
 
-// Response waits for the only message of a stream from Begin, and closes the stream.
+// Response waits for the response to Begin, and closes the stream.
 func (s *Stream) Response(resp proto.Message) error {
 	defer s.Close()
 	if err := s.Recv(resp); err != nil {
-		return fmt.Errorf("calling %s: %w", s.c.nc.RemoteAddr(), err)
+		return fmt.Errorf("calling %s: %w", s.conn.nc.RemoteAddr(), err)
 	}
 	return nil
 }
 
-// Ready receives once when Recv would return at once, other than by the end of the stream's deadline or context. It has to
-// be called before the first Recv.
+// Ready returns a channel that signals once when Recv would not block because of a message or the end of the stream. It does
+// not signal the end of the deadline or the context. It must be called before the first Recv.
 func (s *Stream) Ready() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +229,7 @@
 	return s.wake
 }
 
-// Open begins a stream with its first message. An error that is ErrNotSent says that the peer has not received it.
+// Open opens a stream and sends its first message. An ErrNotSent means that the peer did not receive the message.
 func (p *Pool) Open(ctx context.Context, addr, method string, req proto.Message) (*Stream, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
@@ -242,15 +244,15 @@
 	return s, err
 }
 
-// open begins a stream with a context, which the stream's end cancels by cancel. A zero deadline is none; fin: req is the
-// only message.
+// open opens a stream and sends req, which is its only message if fin is set. The stream calls cancel, unless it is nil, when
+// it ends. A zero deadline means none.
 func (c *conn) open(ctx context.Context, cancel context.CancelFunc, deadline time.Time, method string, req proto.Message, fin bool) (*Stream, error) {
 	c.mu.Lock()
 	if c.closed || len(c.streams) >= maxStreams {
 		c.mu.Unlock()
 		return nil, fmt.Errorf("%w: %s accepts no more streams", ErrNotSent, c.nc.RemoteAddr())
 	}
-	s := newStream(c, c.freeStream(), ctx, cancel)
+	s := newStream(c, c.allocateStreamID(), ctx, cancel)
 	s.deadline, s.meter = deadline, meterOf(method)
 	c.streams[s.id] = s
 	c.mu.Unlock()
@@ -265,9 +267,9 @@
 	return s, nil
 }
 
-// freeStream returns the number of the next stream. After 2^32 streams the numbers wrap, and some of the
-// first may still be in use: an answer must not reach another's stream. Called with mu held, with less than maxStreams.
-func (c *conn) freeStream() uint32 {
+// allocateStreamID returns an unused stream ID. IDs wrap after 2^32 streams, so it skips those still in use: a response must
+// not reach another stream. The caller holds mu, and fewer than maxStreams streams are open.
+func (c *conn) allocateStreamID() uint32 {
 	for c.nextStream == 0 || c.streams[c.nextStream] != nil {
 		c.nextStream++
 	}
@@ -276,7 +278,7 @@
 	return id
 }
 
-// Call is Peer.Call over the connection to an address, which is made if there is none, until ctx ends.
+// Call is Peer.Call over the connection to an address, which it dials if necessary, until ctx is done.
 func (p *Pool) Call(ctx context.Context, addr, method string, req, resp proto.Message) error {
 	c, err := p.get(ctx, addr)
 	if err != nil {
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -21,35 +21,35 @@
 
 const (
 	dialTimeout        = 800 * time.Millisecond
-	dialAttemptTimeout = 250 * time.Millisecond // of one attempt: the kernel repeats a lost SYN after a second only
-	dialRetryPause     = 150 * time.Millisecond // after a failed attempt
-	maxConns           = 1024                   // accepted at a time
+	dialAttemptTimeout = 250 * time.Millisecond // per attempt; the kernel retransmits a lost SYN only after a second
+	dialRetryPause     = 150 * time.Millisecond // minimum time between a failed dial and the next one
+	maxConns           = 1024                   // accepted connections per server
 	closeGrace         = time.Second
 )
 
-// Handler answers a stream. Its first Recv returns the caller's message; what it sends goes to the caller. An error that it
-// returns is a PeerError at the caller.
+// Handler serves a stream. Its first Recv returns the request, and it sends the responses with Send. The caller receives a
+// returned error as a PeerError.
 type Handler func(s *Stream) error
 
 // ServerOptions configure a Server.
 type ServerOptions struct {
 	Log *slog.Logger // required
-	// Identity secures the connections and authenticates callers; nil: connections are not secured.
+	// Identity enables TLS and authenticates callers. If it is nil, connections are plain TCP.
 	Identity *identity.Source
-	// Rejected counts connections and calls without a proper identity; nil: they are not counted.
+	// Rejected counts failed handshakes and unauthorized calls. It may be nil.
 	Rejected *atomic.Int64
 }
 
-// Server accepts connections of other processes.
+// Server accepts connections and runs the handlers of their streams.
 type Server struct {
-	options  ServerOptions
-	handlers map[string]method
-	running  sync.WaitGroup
-	workers  *workerpool.Pool // runs the handlers; made by Serve
-	watch    watcher
+	options        ServerOptions
+	handlers       map[string]method
+	activeHandlers sync.WaitGroup
+	workers        *workerpool.Pool // runs the handlers; created by Serve
+	watch          watcher
 }
 
-// NewServer returns a server without methods.
+// NewServer returns a server without methods; see Handle.
 func NewServer(options ServerOptions) *Server {
 	if options.Rejected == nil {
 		options.Rejected = new(atomic.Int64)
@@ -57,14 +57,14 @@
 	return &Server{options: options, handlers: map[string]method{}}
 }
 
-// method is a handler, with the roles that may call it.
+// method is a handler with the roles that are authorized to call it.
 type method struct {
 	run   Handler
 	roles []identity.Role
 }
 
-// Handle registers a method, before Serve. With identities, only callers of the roles may call it; without roles, quorum
-// members and nodes may.
+// Handle registers a method. It must be called before Serve. If the server has an identity, only callers with one of the
+// roles are authorized; the default is quorum members and nodes.
 func (s *Server) Handle(name string, h Handler, roles ...identity.Role) {
 	if len(roles) == 0 {
 		roles = []identity.Role{identity.QuorumMember, identity.Node}
@@ -72,16 +72,16 @@
 	s.handlers[name] = method{h, roles}
 }
 
-// Caller returns the authenticated caller of a handler's stream, by the stream's context or one derived from it; ok is false
-// without identities.
+// Caller returns the authenticated caller of a stream. ctx is the stream's context or derived from it. It reports false if
+// the connection is not authenticated.
 func Caller(ctx context.Context) (name identity.Name, ok bool) {
-	if s, is := ctx.Value(callerKey{}).(*Stream); is && s.c.peer.Role != "" {
-		return s.c.peer, true
+	if s, isStream := ctx.Value(callerKey{}).(*Stream); isStream && s.conn.peer.Role != "" {
+		return s.conn.peer, true
 	}
 	return identity.Name{}, false
 }
 
-// Unary makes a handler of a function from one message to another. The types are pointers to message structs.
+// Unary returns a Handler that receives one request, calls f and sends its response. Req and Resp are message structs.
 func Unary[Req, Resp any, PReq interface {
 	*Req
 	proto.Message
@@ -102,30 +102,30 @@
 	}
 }
 
-// serve runs the handler of a stream.
+// serve authorizes the caller of a stream and runs the handler.
 func (s *Server) serve(st *Stream, name string) {
-	defer s.running.Done()
+	defer s.activeHandlers.Done()
 	defer st.finish(context.Canceled)
 	var err error
 	m, known := s.handlers[name]
-	switch peer := st.c.peer; {
+	switch peer := st.conn.peer; {
 	case !known:
 		err = fmt.Errorf("no method %q", name)
 	case s.options.Identity != nil && !slices.Contains(m.roles, peer.Role):
 		s.options.Rejected.Add(1)
-		s.options.Log.Warn("rpc.rejected", "peer", peer.String(), "from", st.c.nc.RemoteAddr().String(), "method", name)
+		s.options.Log.Warn("rpc.rejected", "peer", peer.String(), "from", st.conn.nc.RemoteAddr().String(), "method", name)
 		err = fmt.Errorf("%s may not call %s", peer, name)
 	default:
 		err = m.run(st)
 	}
-	st.c.drop(st)
-	if err != nil && st.c.ctx.Err() == nil {
-		st.c.write(&wire.Frame{Stream: st.id, Fin: true, Error: err.Error()})
+	st.conn.drop(st)
+	if err != nil && st.conn.ctx.Err() == nil {
+		st.conn.write(&wire.Frame{Stream: st.id, Fin: true, Error: err.Error()})
 	}
 	st.end(nil)
 }
 
-// Serve accepts connections until ctx ends, and then waits for the handlers.
+// Serve accepts connections until ctx is done, and then waits for the handlers.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s.workers = workerpool.New(ctx)
@@ -151,7 +151,7 @@
 				return fmt.Errorf("accepting nodes: %w", err)
 			}
 			s.options.Log.Warn("rpc.accept_failed", "err", err)
-			select { // out of descriptors, most likely
+			select { // most likely out of file descriptors
 			case <-time.After(50 * time.Millisecond):
 			case <-ctx.Done():
 			}
@@ -170,7 +170,7 @@
 	}
 }
 
-// accept serves a connection until it ends.
+// accept performs the TLS handshake, if the server has an identity, and serves the connection until it fails.
 func (s *Server) accept(ctx context.Context, nc net.Conn) {
 	if s.options.Identity != nil {
 		secure := tls.Server(nc, s.options.Identity.Server())
@@ -188,7 +188,7 @@
 	c.fail(c.read())
 }
 
-// handshake makes the TLS handshake, within dialTimeout.
+// handshake performs the TLS handshake with a timeout of dialTimeout.
 func handshake(ctx context.Context, c *tls.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -14,26 +14,27 @@
 	"ivydeck/internal/transport/wire"
 )
 
-const largeChunks = 20 // of a message that takes many frames
+const largeChunks = 20 // number of chunks of a large message
 
-func serve(t testing.TB) (addr string, pool *Pool, hold chan struct{}) {
+// serve starts a server with test methods. The channel is closed when the handler of "hang" is cancelled.
+func serve(t testing.TB) (addr string, pool *Pool, cancelled chan struct{}) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	hold = make(chan struct{})
+	cancelled = make(chan struct{})
 	s := NewServer(ServerOptions{Log: slog.New(slog.DiscardHandler)})
 	s.Handle("echo", Unary(func(_ context.Context, q *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 		return &wire.ForwardResponse{Body: q.Body}, nil
 	}))
 	s.Handle("hang", Unary(func(ctx context.Context, _ *wire.Empty) (*wire.Empty, error) {
 		<-ctx.Done()
-		close(hold)
+		close(cancelled)
 		return nil, ctx.Err()
 	}))
-	s.Handle("flood", func(st *Stream) error { // more than the credit, to one that does not read
+	s.Handle("flood", func(st *Stream) error { // sends more than the credit to a client that does not read
 		if err := st.Recv(new(wire.Empty)); err != nil {
 			return err
 		}
@@ -43,7 +44,7 @@
 			}
 		}
 	})
-	s.Handle("large after ask", func(st *Stream) error {
+	s.Handle("large after request", func(st *Stream) error {
 		for range 2 {
 			if err := st.Recv(new(wire.Empty)); err != nil {
 				return err
@@ -54,10 +55,11 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); s.Serve(ctx, l) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	return l.Addr().String(), NewPool(ctx, PoolOptions{}), hold
+	return l.Addr().String(), NewPool(ctx, PoolOptions{}), cancelled
 }
 
-// TestTraffic: both sides of a call are in this process, so that each message is counted twice.
+// TestTraffic checks the traffic counters. Client and server share the process, so each message is counted as sent and as
+// received.
 func TestTraffic(t *testing.T) {
 	addr, pool, _ := serve(t)
 	dials := 0
@@ -72,38 +74,38 @@
 		t.Fatal(err)
 	}
 	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeerError(err) {
-		t.Errorf("a method that nobody has: %v", err)
+		t.Errorf("unknown method: %v, want a PeerError", err)
 	}
 	after := ReadTraffic()
-	echo, was := after.Methods["echo"], before.Methods["echo"]
-	if echo.MessagesSent-was.MessagesSent != 2 || echo.MessagesReceived-was.MessagesReceived != 2 {
-		t.Errorf("a call and its answer are %+v, after %+v", echo, was)
+	echo, echoBefore := after.Methods["echo"], before.Methods["echo"]
+	if echo.MessagesSent-echoBefore.MessagesSent != 2 || echo.MessagesReceived-echoBefore.MessagesReceived != 2 {
+		t.Errorf("after a call the counters of the method are %+v, before %+v; want two messages in each direction", echo, echoBefore)
 	}
-	for name, bytes := range map[string]uint64{"out": echo.BytesSent - was.BytesSent, "in": echo.BytesReceived - was.BytesReceived} {
+	for name, bytes := range map[string]uint64{"out": echo.BytesSent - echoBefore.BytesSent, "in": echo.BytesReceived - echoBefore.BytesReceived} {
 		if bytes < 6*window || bytes > 6*window+1000 {
-			t.Errorf("%d bytes %s, of a message of %d each way", bytes, name, 3*window)
+			t.Errorf("%d message bytes %s, want about twice %d", bytes, name, 3*window)
 		}
 	}
-	if whole := after.BytesReceived - before.BytesReceived; whole < 6*window || whole > 7*window || after.FramesReceived == before.FramesReceived {
-		t.Errorf("%d bytes on the connection", whole)
+	if connBytes := after.BytesReceived - before.BytesReceived; connBytes < 6*window || connBytes > 7*window || after.FramesReceived == before.FramesReceived {
+		t.Errorf("%d bytes on the connection", connBytes)
 	}
 	if after.Methods[unknownMethod].MessagesReceived == before.Methods[unknownMethod].MessagesReceived || dials != 1 {
-		t.Errorf("a method that nobody has is not counted as such; %d dials", dials)
+		t.Errorf("an unknown method was not counted, or the pool dialed %d times instead of once", dials)
 	}
 }
 
 func TestCalls(t *testing.T) {
-	addr, pool, hold := serve(t)
+	addr, pool, cancelled := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for _, size := range []int{0, 1, maxChunk, 3 * window} {
-		out := new(wire.ForwardResponse)
-		if err := pool.Call(ctx, addr, "echo", &wire.ForwardRequest{Body: make([]byte, size)}, out); err != nil || len(out.Body) != size {
-			t.Errorf("%d bytes: %d came back, %v", size, len(out.Body), err)
+		response := new(wire.ForwardResponse)
+		if err := pool.Call(ctx, addr, "echo", &wire.ForwardRequest{Body: make([]byte, size)}, response); err != nil || len(response.Body) != size {
+			t.Errorf("echo of %d bytes returned %d, %v", size, len(response.Body), err)
 		}
 	}
 	if err := pool.Call(ctx, addr, "nothing", &wire.Empty{}, new(wire.Empty)); !IsPeerError(err) {
-		t.Errorf("an unknown method: %v", err)
+		t.Errorf("unknown method: %v, want a PeerError", err)
 	}
 	short, stop := context.WithCancel(ctx)
 	go func() {
@@ -115,22 +117,21 @@
 		}
 	}()
 	select {
-	case <-hold: // the other side hears that nobody waits
+	case <-cancelled: // the handler is cancelled with the call
 	case <-ctx.Done():
-		t.Error("a call that was called off runs on")
+		t.Error("the handler of a cancelled call was not cancelled")
 	}
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	free.Close()
-	if err := pool.Call(ctx, free.Addr().String(), "echo", &wire.ForwardRequest{}, new(wire.ForwardResponse)); !errors.Is(err, ErrNotSent) {
-		t.Errorf("nobody there: %v, want ErrUnsent", err)
+	unused.Close()
+	if err := pool.Call(ctx, unused.Addr().String(), "echo", &wire.ForwardRequest{}, new(wire.ForwardResponse)); !errors.Is(err, ErrNotSent) {
+		t.Errorf("no listener: %v, want ErrNotSent", err)
 	}
 }
 
-// TestSlowReaderBlocksOnlyItsStream leaves a flood unread beside calls on the
-// same connection.
+// TestSlowReaderBlocksOnlyItsStream checks that a stream that is not read does not block calls on the same connection.
 func TestSlowReaderBlocksOnlyItsStream(t *testing.T) {
 	addr, pool, _ := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -146,23 +147,23 @@
 		}
 	}
 	flood.mu.Lock()
-	held := 0
+	unread := 0
 	for _, m := range flood.messages {
-		held += len(m)
+		unread += len(m)
 	}
 	flood.mu.Unlock()
-	if held > window {
-		t.Errorf("%d unread bytes are held, over the window of %d", held, window)
+	if unread > window {
+		t.Errorf("%d unread bytes are buffered, over the window of %d", unread, window)
 	}
 }
 
-// TestMalformedPeers must cost nothing but their connection.
+// TestMalformedPeers checks that invalid input closes its connection and leaves the server working.
 func TestMalformedPeers(t *testing.T) {
 	addr, pool, _ := serve(t)
 	for name, bytes := range map[string][]byte{
-		"HTTP":            []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"absurd length":   binary.BigEndian.AppendUint32(nil, 1<<31),
-		"a frame of junk": append(binary.BigEndian.AppendUint32(nil, 8), "\xff\xff\xff\xff\xff\xff\xff\xff"...),
+		"HTTP":           []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+		"frame too long": binary.BigEndian.AppendUint32(nil, 1<<31),
+		"invalid frame":  append(binary.BigEndian.AppendUint32(nil, 8), "\xff\xff\xff\xff\xff\xff\xff\xff"...),
 	} {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -171,67 +172,68 @@
 		nc.Write(bytes)
 		nc.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if _, err := io.ReadAll(nc); err != nil && !strings.Contains(err.Error(), "reset") {
-			t.Errorf("%s: the connection stays: %v", name, err)
+			t.Errorf("%s: the connection was not closed: %v", name, err)
 		}
 		nc.Close()
 	}
-	torn, err := net.Dial("tcp", addr)
+	truncated, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	torn.Write([]byte{0, 0, 0, 9, 1})
-	torn.Close()
+	truncated.Write([]byte{0, 0, 0, 9, 1})
+	truncated.Close()
 	if err := pool.Call(context.Background(), addr, "echo", &wire.ForwardRequest{}, new(wire.ForwardResponse)); err != nil {
-		t.Errorf("after all that: %v", err)
+		t.Errorf("call after the invalid connections: %v", err)
 	}
 }
 
-// TestPing: a peer that is cut off is given up in time whether or not there is work, and idle ones are asked seldom.
+// TestPing checks that an unreachable peer is detected in time, with and without open streams, and that idle peers are
+// pinged rarely.
 func TestPing(t *testing.T) {
 	for _, c := range []struct {
-		busy        bool
-		before      time.Duration // since the last sign of life, when the peer is cut off
-		pings       int           // at most, in ten seconds of a peer that answers at once
-		least, most time.Duration // from the cut to the end
+		busy               bool
+		quiet              time.Duration // time since the last frame when the peer becomes unreachable
+		pings              int           // maximum in ten seconds, for a peer that answers at once
+		minDelay, maxDelay time.Duration // from the loss of the peer to its detection
 	}{{true, 0, 17, time.Second, 2500 * time.Millisecond}, {false, 0, 1, 9 * time.Second, 11 * time.Second}, {false, 8900 * time.Millisecond, 1, time.Second, 2500 * time.Millisecond}} {
-		pings, heard := 0, time.Duration(0)
+		pings, lastReceived := 0, time.Duration(0)
 		for now := pingInterval; now < 10*time.Second; now += pingInterval {
-			ping, dead := pingDecision(c.busy, now-heard, 0)
+			ping, dead := pingDecision(c.busy, now-lastReceived, 0)
 			if dead {
-				t.Fatalf("%+v: a peer that answers is given up", c)
+				t.Fatalf("%+v: a peer that answers is considered dead", c)
 			}
 			if ping {
-				pings, heard = pings+1, now
+				pings, lastReceived = pings+1, now
 			}
 		}
 		if pings == 0 || pings > c.pings {
 			t.Errorf("%+v: %d pings in ten seconds", c, pings)
 		}
-		asked, end := time.Duration(-1), time.Duration(0)
-		for now := pingInterval; end == 0 && now < time.Minute; now += pingInterval {
-			open := time.Duration(0)
-			if asked >= 0 {
-				open = now - asked
+		pingedAt, deadAt := time.Duration(-1), time.Duration(0)
+		for now := pingInterval; deadAt == 0 && now < time.Minute; now += pingInterval {
+			pingAge := time.Duration(0)
+			if pingedAt >= 0 {
+				pingAge = now - pingedAt
 			}
-			switch ping, dead := pingDecision(c.busy, c.before+now, open); {
+			switch ping, dead := pingDecision(c.busy, c.quiet+now, pingAge); {
 			case dead:
-				end = now
-			case ping && asked < 0:
-				asked = now
+				deadAt = now
+			case ping && pingedAt < 0:
+				pingedAt = now
 			}
 		}
-		if end < c.least || end > c.most {
-			t.Errorf("%+v: given up after %v", c, end)
+		if deadAt < c.minDelay || deadAt > c.maxDelay {
+			t.Errorf("%+v: the peer was considered dead after %v", c, deadAt)
 		}
 	}
 }
 
-// TestFramesCountAsContact: each frame of a message is told of, before the message is whole.
+// TestFramesCountAsContact checks that OnFrame is called for each frame of a message.
 func TestFramesCountAsContact(t *testing.T) {
 	addr, pool, _ := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	s, err := pool.Open(ctx, addr, "large after ask", &wire.Empty{})
+	s, err := pool.Open(ctx, addr, "large after request", &wire.Empty{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,6 +247,6 @@
 		t.Fatal(err)
 	}
 	if n := len(frames); n < largeChunks {
-		t.Errorf("%d frames were told of, with a message of %d chunks", n, largeChunks)
+		t.Errorf("OnFrame was called %d times for a message of %d chunks", n, largeChunks)
 	}
 }
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -14,39 +14,39 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Stream is an exchange of messages over a connection. One goroutine may send while another receives. It is the context of
-// its handler as well: most streams end before anybody uses more than that, and derived contexts would cost a call a third
-// of its allocations.
+// Stream is an exchange of messages over a connection. One goroutine may send while another receives. On the server side it
+// is also the context.Context of its handler, which saves the allocations of a derived context.
 type Stream struct {
-	c      *conn
+	conn   *conn
 	id     uint32
-	ctx    context.Context    // of the caller; on the accepting side the stream itself
-	cancel context.CancelFunc // the caller's; nil: there is nothing to cancel
-	meter  *meter             // of the method
+	ctx    context.Context    // the caller's; on the server side the stream itself
+	cancel context.CancelFunc // cancels ctx when the stream ends; may be nil
+	meter  *meter             // counts the messages of the method
 
-	// The stream ends at the deadline; zero: by its context only. A peer that stops waiting sooner cancels the stream.
+	// deadline is zero if only ctx ends the stream. A caller that stops waiting earlier cancels the stream.
 	deadline time.Time
 
 	mu           sync.Mutex
-	wake         chan struct{} // with a capacity of one: something changed; made if someone waits for it
-	credit       int           // bytes that may still be sent
-	partial      []byte        // of the incomplete message
-	messages     [][]byte
-	firstMessage [1][]byte // space for messages: most streams have only one
-	fin          bool
-	err          error
-
-	creditWake chan struct{} // as wake, for credit
-	onFrame    func()        // called with each frame of a message that comes
-
-	endErr error         // of the stream as a context; nil: it has not ended
-	done   chan struct{} // closed then; made where someone asks for it
-	onEnd  func()        // called then
+	wake         chan struct{} // capacity 1; signals a message or the end of the stream to Recv; created on first use
+	credit       int           // bytes that may be sent
+	partial      []byte        // received data of an incomplete message
+	messages     [][]byte      // complete messages, not yet received by Recv
+	firstMessage [1][]byte     // initial backing array of messages, as most streams receive only one
+	fin          bool          // no more messages will be received
+	err          error         // returned by Recv after all messages
+
+	creditWake chan struct{} // capacity 1; signals more credit or the end of the stream; created on first use
+	onFrame    func()        // called for each received data frame
+
+	// State of the stream as a context.Context.
+	endErr error         // nil until the stream ends
+	done   chan struct{} // closed when the stream ends; created on first use
+	onEnd  func()        // called when the stream ends
 }
 
-// newStream returns a stream with a caller's context; nil: the peer has opened it.
+// newStream returns a stream. On the server side, ctx is nil and the stream becomes its own context.
 func newStream(c *conn, id uint32, ctx context.Context, cancel context.CancelFunc) *Stream {
-	s := &Stream{c: c, id: id, ctx: ctx, cancel: cancel, credit: window}
+	s := &Stream{conn: c, id: id, ctx: ctx, cancel: cancel, credit: window}
 	if ctx == nil {
 		s.ctx = s
 	}
@@ -54,13 +54,13 @@
 	return s
 }
 
-// Context ends with the stream.
+// Context returns the context of the stream, which is done when the stream ends.
 func (s *Stream) Context() context.Context { return s.ctx }
 
-// Deadline is the caller's deadline.
+// Deadline returns the caller's deadline. It implements context.Context.
 func (s *Stream) Deadline() (time.Time, bool) { return s.deadline, !s.deadline.IsZero() }
 
-// Done is closed once the peer has cancelled the stream, the connection has ended, or the handler has returned.
+// Done returns a channel that is closed when the peer cancels the stream, the connection fails or the handler returns.
 func (s *Stream) Done() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	return s.done
 }
 
-// Err returns why Done is closed.
+// Err returns nil until Done is closed, then context.Canceled or context.DeadlineExceeded.
 func (s *Stream) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,10 +83,10 @@
 	return s.endErr
 }
 
-// callerKey is the key of a handler's stream in derived contexts.
+// callerKey is the context key of a handler's stream.
 type callerKey struct{}
 
-// Value returns only the stream: see Caller.
+// Value returns the stream for callerKey and nil for any other key; see Caller.
 func (s *Stream) Value(key any) any {
 	if key == (callerKey{}) {
 		return s
@@ -94,37 +94,38 @@
 	return nil
 }
 
-// OnEnd sets the function that is called when Done is closed, unless ClearOnEnd comes before. It must not block.
+// OnEnd sets the function that is called when Done is closed, or calls it now if Done is already closed. ClearOnEnd removes
+// it. It must not block.
 func (s *Stream) OnEnd(f func()) {
 	s.mu.Lock()
-	over := s.endErr != nil
-	if !over {
+	ended := s.endErr != nil
+	if !ended {
 		s.onEnd = f
 	}
 	s.mu.Unlock()
-	if over {
+	if ended {
 		f()
 	}
 }
 
-// OnFrame sets the function that is called with each received data frame, also while the message is incomplete: a large one
-// on a slow link shows that the peer is live long before its end. It must not block.
+// OnFrame sets the function that is called for each received data frame. The frames of a large message on a slow link thus
+// show that the peer is live before the message is complete. It must not block.
 func (s *Stream) OnFrame(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onFrame = f
 }
 
-// ClearOnEnd removes the function of OnEnd. It reports false if that was called.
+// ClearOnEnd removes the function set by OnEnd. It reports false if there is none, as after the call.
 func (s *Stream) ClearOnEnd() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	has := s.onEnd != nil
+	removed := s.onEnd != nil
 	s.onEnd = nil
-	return has
+	return removed
 }
 
-// finish ends the stream as a context.
+// finish ends the stream as a context: it closes Done and calls the function set by OnEnd.
 func (s *Stream) finish(err error) {
 	s.mu.Lock()
 	if s.endErr != nil {
@@ -143,7 +144,7 @@
 	}
 }
 
-// signal wakes the receiver of a channel; nil: there is none.
+// signal sends to a channel of capacity 1 without blocking. The channel may be nil.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -154,12 +155,12 @@
 func (s *Stream) addCredit(n int) {
 	s.mu.Lock()
 	s.credit += n
-	waits := s.creditWake
+	wake := s.creditWake
 	s.mu.Unlock()
-	signal(waits)
+	signal(wake)
 }
 
-// end ends the stream with an error; nil: the peer has sent its last message.
+// end marks the stream as finished. If err is not nil, it also becomes the result of Recv and cancels the context.
 func (s *Stream) end(err error) {
 	s.mu.Lock()
 	if s.err == nil && err != nil {
@@ -180,11 +181,11 @@
 	}
 }
 
-// receiveData takes a data frame.
+// receiveData processes a data frame.
 func (s *Stream) receiveData(f *wire.Frame) error {
 	if f.Error != "" {
 		s.end(&PeerError{Text: f.Error})
-		s.c.drop(s)
+		s.conn.drop(s)
 		return nil
 	}
 	s.mu.Lock()
@@ -196,8 +197,8 @@
 		if len(s.partial)+len(f.Data) > maxMessage || partialBytes.Load()+int64(len(f.Data)) > maxPartialBytes {
 			s.mu.Unlock()
 			s.end(ErrTooLarge)
-			s.c.drop(s)
-			return s.c.write(&wire.Frame{Stream: s.id, Fin: true, Error: ErrTooLarge.Error()})
+			s.conn.drop(s)
+			return s.conn.write(&wire.Frame{Stream: s.id, Fin: true, Error: ErrTooLarge.Error()})
 		}
 		if f.Last {
 			s.meter.received(len(s.partial) + len(f.Data))
@@ -225,13 +226,13 @@
 	if f.Last || f.Fin {
 		signal(wake)
 	}
-	if !f.Last && !f.Fin && len(f.Data) > 0 { // credit for the rest of the message; that for complete ones comes with Recv
-		return s.c.write(&wire.Frame{Kind: wire.Frame_CREDIT, Stream: s.id, Credit: uint32(len(f.Data))})
+	if !f.Last && !f.Fin && len(f.Data) > 0 { // grant credit for the rest of the message; Recv grants it for complete messages
+		return s.conn.write(&wire.Frame{Kind: wire.Frame_CREDIT, Stream: s.id, Credit: uint32(len(f.Data))})
 	}
 	return nil
 }
 
-// Recv waits for the next message. It returns io.EOF after the peer's last one.
+// Recv waits for the next message and decodes it into m. It returns io.EOF after the last one.
 func (s *Stream) Recv(m proto.Message) error {
 	for {
 		s.mu.Lock()
@@ -245,7 +246,7 @@
 				return fmt.Errorf("decoding a message: %w", err)
 			}
 			if open && len(data) > 0 {
-				s.c.write(&wire.Frame{Kind: wire.Frame_CREDIT, Stream: s.id, Credit: uint32(min(len(data), maxChunk))})
+				s.conn.write(&wire.Frame{Kind: wire.Frame_CREDIT, Stream: s.id, Credit: uint32(min(len(data), maxChunk))})
 			}
 			return nil
 		}
@@ -266,17 +267,17 @@
 	}
 }
 
-// wait waits for one of the stream's channels, or its end.
+// wait waits for wake. It returns an error if the deadline passes or the context is done first.
 func (s *Stream) wait(wake <-chan struct{}) error {
-	var over <-chan time.Time
+	var expired <-chan time.Time
 	if !s.deadline.IsZero() {
 		timer := timerpool.Get(time.Until(s.deadline))
 		defer timerpool.Put(timer)
-		over = timer.C
+		expired = timer.C
 	}
 	select {
 	case <-wake:
-	case <-over:
+	case <-expired:
 		return context.DeadlineExceeded
 	case <-s.ctx.Done():
 		return s.cause()
@@ -284,7 +285,7 @@
 	return nil
 }
 
-// cause returns why the stream's context ended.
+// cause returns the error of the stream, or else the cause of its context.
 func (s *Stream) cause() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -297,7 +298,7 @@
 // encodeBuffers are reused for encoding messages.
 var encodeBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// Send sends a message; it waits for credit if the peer is slow.
+// Send sends a message. It blocks while the stream has no credit.
 func (s *Stream) Send(m proto.Message) error { return s.send(m, "", 0, false) }
 
 func (s *Stream) send(m proto.Message, method string, timeoutMs uint32, fin bool) error {
@@ -313,7 +314,7 @@
 	return s.sendData(data, method, timeoutMs, fin)
 }
 
-// SendEncoded is Send for an encoded message, so that many receivers can share the bytes.
+// SendEncoded is Send for a message that is already encoded, so that several streams can share the bytes.
 func (s *Stream) SendEncoded(data []byte) error { return s.sendData(data, "", 0, false) }
 
 func (s *Stream) sendData(data []byte, method string, timeoutMs uint32, fin bool) error {
@@ -331,8 +332,8 @@
 		if first {
 			p.method, p.timeoutMs = method, timeoutMs
 		}
-		if err := s.c.writeChunk(p); err != nil {
-			if p.last && errors.Is(err, errFrameMaybeComplete) { // the peer may have the complete message
+		if err := s.conn.writeChunk(p); err != nil {
+			if p.last && errors.Is(err, errFrameMaybeComplete) { // the peer may have received the complete message
 				return err
 			}
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -341,7 +342,7 @@
 	return nil
 }
 
-// waitCredit waits until n bytes may be sent, and uses them.
+// waitCredit blocks until the stream has n bytes of credit, and takes them.
 func (s *Stream) waitCredit(n int) error {
 	for {
 		s.mu.Lock()
@@ -365,19 +366,19 @@
 	}
 }
 
-// Close ends the stream on this side, and cancels it at the peer unless the peer has ended it.
+// Close ends the stream, and cancels it at the peer unless the peer has already ended it.
 func (s *Stream) Close() {
 	s.mu.Lock()
-	over := s.fin
+	peerFinished := s.fin
 	s.mu.Unlock()
-	s.c.drop(s)
+	s.conn.drop(s)
 	s.end(context.Canceled)
-	if !over {
-		s.c.write(&wire.Frame{Kind: wire.Frame_CANCEL, Stream: s.id})
+	if !peerFinished {
+		s.conn.write(&wire.Frame{Kind: wire.Frame_CANCEL, Stream: s.id})
 	}
 }
 
-// PeerError is an error of the peer's handler.
+// PeerError is an error returned by the peer's handler.
 type PeerError struct{ Text string }
 
 func (e *PeerError) Error() string { return "the peer says: " + e.Text }
--- a/internal/transport/rpc/traffic.go
+++ b/internal/transport/rpc/traffic.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// Traffic is what this process has exchanged with other processes since its start.
+// Traffic counts what this process has sent and received over rpc connections since its start.
 type Traffic struct {
-	BytesReceived, BytesSent   uint64 // on connections, below TLS where that is used
+	BytesReceived, BytesSent   uint64 // frames with their length prefix, without TLS overhead
 	FramesReceived, FramesSent uint64
 	Methods                    map[string]MethodTraffic
 }
 
-// MethodTraffic is the part of the traffic that belongs to one method: its messages, of requests and answers.
+// MethodTraffic counts the messages of one method, requests and responses.
 type MethodTraffic struct {
 	MessagesReceived, MessagesSent uint64
 	BytesReceived, BytesSent       uint64
@@ -33,16 +33,16 @@
 	m.bytesReceived.Add(uint64(bytes))
 }
 
-// unknownMethod is the meter of all methods that peers name and this process does not have.
+// unknownMethod counts the calls of methods that have no handler.
 const unknownMethod = "unknown"
 
 var (
 	framesReceived, framesSent       atomic.Uint64
 	wireBytesReceived, wireBytesSent atomic.Uint64
-	meters                           sync.Map // of *meter, by method
+	meters                           sync.Map // map[string]*meter, by method
 )
 
-// meterOf returns the counters of a method. Methods are few: names that peers make up share one meter.
+// meterOf returns the counters of a method. The counters are never removed.
 func meterOf(method string) *meter {
 	if m, ok := meters.Load(method); ok {
 		return m.(*meter)
@@ -51,7 +51,7 @@
 	return m.(*meter)
 }
 
-// meterOf returns the counters of a method that a peer has named.
+// meterOf returns the counters of a method named by a peer. All unknown names share a meter, which bounds their number.
 func (s *Server) meterOf(method string) *meter {
 	if _, known := s.handlers[method]; !known {
 		method = unknownMethod
@@ -59,7 +59,7 @@
 	return meterOf(method)
 }
 
-// ReadTraffic returns the counts of this process.
+// ReadTraffic returns the current counts. The counters are read one by one, not as a consistent snapshot.
 func ReadTraffic() Traffic {
 	t := Traffic{
 		BytesReceived: wireBytesReceived.Load(), BytesSent: wireBytesSent.Load(), FramesReceived: framesReceived.Load(), FramesSent: framesSent.Load(),
--- a/internal/transport/rpc/unsent_test.go
+++ b/internal/transport/rpc/unsent_test.go
@@ -14,68 +14,67 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// failingConn takes in a number of bytes, then every write fails.
+// failingConn accepts a limited number of bytes. Every Write returns an error.
 type failingConn struct {
 	net.Conn
-	left int
-	sent bytes.Buffer
+	remaining int
+	sent      bytes.Buffer
 }
 
 func (c *failingConn) Write(b []byte) (int, error) {
-	n := min(c.left, len(b))
-	c.left -= n
+	n := min(c.remaining, len(b))
+	c.remaining -= n
 	c.sent.Write(b[:n])
-	return n, errors.New("reset") // also where all was taken in
+	return n, errors.New("reset") // also if all bytes were accepted
 }
 
 func (c *failingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestNotSentAfterFailedWrite fails the write of a request behind each of its bytes: where the caller is told
-// that it was not sent, the peer can't read it whole.
+// TestNotSentAfterFailedWrite fails the write of a request after each possible number of bytes. The call may return
+// ErrNotSent only if the peer did not receive the complete frame.
 func TestNotSentAfterFailedWrite(t *testing.T) {
-	unsent, perhaps := 0, 0
-	for left := range 200 {
+	unsent, unknown := 0, 0
+	for accepted := range 200 {
 		a, b := net.Pipe()
-		nc := &failingConn{Conn: a, left: left}
+		nc := &failingConn{Conn: a, remaining: accepted}
 		c := newConn(context.Background(), nc, nil)
 		_, err := c.open(context.Background(), nil, time.Time{}, "forward", &wire.ForwardRequest{Attempt: "once", Body: make([]byte, 100)}, true)
 		sent := nc.sent.Bytes()
-		whole := len(sent) >= 4 && len(sent) >= 4+int(binary.BigEndian.Uint32(sent))
+		complete := len(sent) >= 4 && len(sent) >= 4+int(binary.BigEndian.Uint32(sent))
 		switch {
 		case err == nil:
-			t.Errorf("no error after %d bytes", left)
-		case errors.Is(err, ErrNotSent) && whole:
-			t.Errorf("told to be unsent, though the peer has all of it after %d bytes", left)
+			t.Errorf("no error after a write of %d bytes", accepted)
+		case errors.Is(err, ErrNotSent) && complete:
+			t.Errorf("ErrNotSent, although the peer received the complete frame after %d bytes", accepted)
 		case errors.Is(err, ErrNotSent):
 			unsent++
 		default:
-			perhaps++
+			unknown++
 		}
 		a.Close()
 		b.Close()
 	}
-	if unsent == 0 || perhaps == 0 {
-		t.Errorf("%d unsent and %d perhaps sent: the failures did not reach both", unsent, perhaps)
+	if unsent == 0 || unknown == 0 {
+		t.Errorf("%d calls were not sent and %d may have been sent, want both to occur", unsent, unknown)
 	}
 }
 
-// TestStreamNumbersInUseAreSkipped: after the last number the first ones follow, but for those in use.
+// TestStreamNumbersInUseAreSkipped checks that stream IDs wrap and skip those in use.
 func TestStreamNumbersInUseAreSkipped(t *testing.T) {
 	c := &conn{streams: map[uint32]*Stream{1: {}}, nextStream: math.MaxUint32}
-	if a, b := c.freeStream(), c.freeStream(); a != math.MaxUint32 || b != 2 {
-		t.Errorf("streams %d and %d, want the last number and then the first that is free", a, b)
+	if first, second := c.allocateStreamID(), c.allocateStreamID(); first != math.MaxUint32 || second != 2 {
+		t.Errorf("stream IDs %d and %d, want the maximum and then the first unused one", first, second)
 	}
 }
 
-// TestSearchOfStreamNumbers draws streams that are opened and ended, with the numbers coming to their end again and again:
-// none is 0 or in use.
+// TestSearchOfStreamNumbers opens and ends random streams while the IDs wrap repeatedly. No allocated ID may be 0 or in use.
 func TestSearchOfStreamNumbers(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 0x57e))
 		c := &conn{streams: map[uint32]*Stream{}, nextStream: 1}
 		for range 2000 {
 			switch rng.IntN(10) {
-			case 0: // many streams later
+			case 0: // shortly before the IDs wrap
 				c.nextStream = math.MaxUint32 - uint32(rng.IntN(20))
 			case 1, 2, 3, 4:
 				for id := range c.streams {
@@ -83,9 +82,9 @@
 					break
 				}
 			default:
-				id := c.freeStream()
+				id := c.allocateStreamID()
 				if id == 0 || c.streams[id] != nil {
-					t.Fatalf("seed %d: number %d is given, with %d streams open", seed, id, len(c.streams))
+					t.Fatalf("seed %d: stream ID %d was allocated with %d streams open", seed, id, len(c.streams))
 				}
 				c.streams[id] = &Stream{}
 			}
--- a/internal/transport/sock/sock.go
+++ b/internal/transport/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock has what the programs need of sockets beyond package net. The balancer's node and the mesh use it.
+// Package sock provides socket operations that package net lacks.
 package sock
 
 import (
@@ -9,41 +9,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// Inspector inspects a connection without reading from it. It belongs to one goroutine.
+// Inspector inspects a connection without consuming its data. It is not safe for concurrent use.
 type Inspector struct {
-	raw  syscall.RawConn
-	one  [1]byte
-	idle bool
-	read func(fd uintptr) bool // made once, as it is needed for each request
+	raw    syscall.RawConn
+	peeked [1]byte
+	idle   bool                  // result of the last read
+	read   func(fd uintptr) bool // created once, as Idle is called for each request
 }
 
-// NewInspector returns an Inspector of a connection.
+// NewInspector returns an Inspector for a connection.
 func NewInspector(raw syscall.RawConn) *Inspector {
-	l := &Inspector{raw: raw}
-	l.read = func(fd uintptr) bool {
-		_, _, err := syscall.Recvfrom(int(fd), l.one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		l.idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+	i := &Inspector{raw: raw}
+	i.read = func(fd uintptr) bool {
+		_, _, err := syscall.Recvfrom(int(fd), i.peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		i.idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	}
-	return l
+	return i
 }
 
-// Idle reports whether a connection has nothing to read, not even its end.
-// Its read deadline must not be past.
-func (l *Inspector) Idle() bool {
-	l.idle = false
-	return l.raw.Read(l.read) == nil && l.idle
+// Idle reports whether the connection is open and has no data to read. The read deadline must not have passed.
+func (i *Inspector) Idle() bool {
+	i.idle = false
+	return i.raw.Read(i.read) == nil && i.idle
 }
 
-// UserTimeout bounds how long the kernel waits for the peer to take in what was sent. A system that has no such bound
-// leaves the connection as it was.
+// UserTimeout sets TCP_USER_TIMEOUT, the time for which sent data may stay unacknowledged. Errors are ignored.
 func UserTimeout(c *net.TCPConn, d time.Duration) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
 	}
 	raw.Control(func(fd uintptr) {
-		// An error leaves the kernel's own time-out, which only is longer.
+		// On an error the kernel's default timeout applies, which is longer.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 	})
 }
