--- a/internal/config/meshconfig/fuzz_test.go
+++ b/internal/config/meshconfig/fuzz_test.go
@@ -21,13 +21,13 @@
 	return b
 }
 
-// TestErrorsHavePositions gives every kind of bad configuration.
+// TestErrorsHavePositions checks the error of each kind of invalid configuration.
 func TestErrorsHavePositions(t *testing.T) {
 	for want, change := range map[string]func(m, route map[string]any){
 		"revision is 0":            func(m, _ map[string]any) { m["revision"] = 0 },
 		"has no hostname":          func(_, r map[string]any) { r["hostname"] = "" },
 		"does not start and end":   func(_, r map[string]any) { r["path_prefix"] = "a" },
-		"route_type is":            func(_, r map[string]any) { r["route_type"] = "now and then" },
+		"route_type is":            func(_, r map[string]any) { r["route_type"] = "unknown" },
 		"timeout_ms is 0":          func(_, r map[string]any) { r["timeout_ms"] = 0 },
 		"a negative number":        func(_, r map[string]any) { r["priority"] = -1 },
 		`no service "x"`:           func(_, r map[string]any) { r["backend"] = "x" },
@@ -44,11 +44,11 @@
 		}
 	}
 	if _, err := Parse(append(body(t, nil), 0xc0)); err == nil {
-		t.Error("what follows behind the end was passed over")
+		t.Error("trailing bytes were accepted")
 	}
 }
 
-// FuzzConfig: what is read can be worked with, whatever it is.
+// FuzzConfig checks that a route of any accepted configuration names existing services and is found by its host and prefix.
 func FuzzConfig(f *testing.F) {
 	f.Add(body(f, nil), "h", "/a/b")
 	f.Add(body(f, func(m, r map[string]any) {
@@ -69,15 +69,15 @@
 			r := c.Routes[i]
 			for _, x := range []float64{0, 0.5, 0.999999} {
 				if s := r.Service(x); !known[s] {
-					t.Errorf("route %d goes to %q, which is no service", i, s)
+					t.Errorf("route %d selects %q, which is not a service", i, s)
 				}
 			}
 			if got := c.Find(r.Host, r.Prefix); got == nil || !strings.HasPrefix(r.Prefix, got.Prefix) {
-				t.Errorf("route %d is not found at its own place: %v", i, got)
+				t.Errorf("Find with the host and prefix of route %d returned %v", i, got)
 			}
 		}
 		if r := c.Find(host, path); r != nil && !strings.HasPrefix(path, r.Prefix) {
-			t.Errorf("%q %q goes to %q", host, path, r.Prefix)
+			t.Errorf("host %q and path %q match prefix %q", host, path, r.Prefix)
 		}
 	})
 }
--- a/internal/config/meshconfig/json_test.go
+++ b/internal/config/meshconfig/json_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestJSONKeys: programs of operators read the output of ivydeckctl config read --output json, so its keys are frozen.
+// TestJSONKeys checks the keys of ivydeckctl config read --output json, which are frozen because operators' programs read them.
 func TestJSONKeys(t *testing.T) {
 	keys := func(v any) []string {
 		t.Helper()
--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -1,5 +1,4 @@
-// Package meshconfig reads the operator's configuration, says what is wrong
-// with it, and finds the route of a request in it.
+// Package meshconfig parses and validates the operator's configuration, and finds the route of a request.
 package meshconfig
 
 import (
@@ -11,13 +10,13 @@
 	"ivydeck/internal/pkg/cowmap"
 )
 
-// Bounds on what an operator may send.
+// Bounds on a configuration.
 const (
-	MaxBytes  = 8 << 20
-	maxRoutes = 100_000
+	MaxBytes  = 8 << 20 // size of the encoded configuration
+	maxRoutes = 100_000 // applies to routes and to services
 )
 
-// Backend is a service.
+// Backend is a service, to which routes send requests.
 type Backend struct {
 	Name     string `msgpack:"name"`
 	Health   string `msgpack:"health_path"`
@@ -26,7 +25,7 @@
 	TLS      bool   `msgpack:"tls"`
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bound the size and the duration of client requests.
 type Limits struct {
 	HeaderBytes int     `msgpack:"max_header_bytes"`
 	BodyBytes   int64   `msgpack:"max_body_bytes"`
@@ -34,123 +33,123 @@
 	IdleMs      float64 `msgpack:"idle_timeout_ms"`
 }
 
-// Config is a whole configuration. It is not changed once made. The order of routes and backends says nothing: a request
-// goes by the longest prefix of its host, and no two routes have the same one.
+// Config is a complete configuration. It is immutable. The order of routes and backends is not significant: the route with
+// the longest matching prefix for the host applies, and no two routes have the same host and prefix.
 type Config struct {
 	Revision uint64    `msgpack:"revision"`
 	Routes   []*Route  `msgpack:"route_table"`
 	Backends []Backend `msgpack:"backend_table"`
 	Limits   Limits    `msgpack:"request_limits"`
 
-	rawBackends   []byte             // as they were parsed
-	raw           [][]byte           // of each route, as it was parsed; nil: it was not
-	index         cowmap.Map[*Route] // by Key.bytes
-	longestPrefix int                // of any route, or more
+	rawBackends   []byte             // bytes from which Backends was decoded
+	rawRoutes     [][]byte           // bytes from which each route was decoded; nil if Routes was not decoded route by route
+	index         cowmap.Map[*Route] // routes by Key.bytes
+	longestPrefix int                // upper bound of the length of all prefixes, in bytes
 }
 
-// fewRoutes are checked without an index of the services.
-const fewRoutes = 8
+// linearCheckLimit is the number of routes up to which services are searched without an index.
+const linearCheckLimit = 8
 
-// check finds all errors. Of the routes it checks only those at some indexes, and the services if asked to.
+// check returns all errors of the routes at the given indexes, and of the services if backends is set.
 func (c *Config) check(routes []int, backends bool) error {
-	var faults []error
-	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
+	var errs []error
+	addError := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	if c.Revision == 0 {
-		fault("revision is 0 or missing")
+		addError("revision is 0 or missing")
 	}
 	if len(c.Routes) > maxRoutes || len(c.Backends) > maxRoutes {
-		fault("more than %d routes or services", maxRoutes)
+		addError("more than %d routes or services", maxRoutes)
 	}
 	known := func(service string) bool {
 		return slices.ContainsFunc(c.Backends, func(b Backend) bool { return b.Name == service })
 	}
-	if backends || len(routes) > fewRoutes {
-		services := c.checkBackends(fault)
+	if backends || len(routes) > linearCheckLimit {
+		services := c.checkBackends(addError)
 		known = func(service string) bool { return services[service] }
 	}
 	keys := make(map[Key]bool, len(routes))
 	for _, i := range routes {
 		r := c.Routes[i]
-		faultOf := func(format string, args ...any) {
-			fault("route_table[%d] (%s)"+format, append([]any{i, r.Name}, args...)...)
+		addRouteError := func(format string, args ...any) {
+			addError("route_table[%d] (%s)"+format, append([]any{i, r.Name}, args...)...)
 		}
 		if keys[r.Key()] {
-			faultOf(": another route has host %q and prefix %q", r.Host, r.Prefix)
+			addRouteError(": another route has host %q and prefix %q", r.Host, r.Prefix)
 		}
 		keys[r.Key()] = true
-		r.check(faultOf)
-		r.checkServices(known, faultOf)
+		r.check(addRouteError)
+		r.checkServices(known, addRouteError)
 	}
 	if c.Limits.HeaderBytes < 0 || c.Limits.BodyBytes < 0 || c.Limits.HeaderMs < 0 || c.Limits.IdleMs < 0 {
-		fault("request_limits: a negative number")
+		addError("request_limits: a negative number")
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// checkBackends finds the faults of the services, and returns their names.
-func (c *Config) checkBackends(fault func(format string, args ...any)) (services map[string]bool) {
+// checkBackends reports the errors of the services and returns the set of their names.
+func (c *Config) checkBackends(addError func(format string, args ...any)) (services map[string]bool) {
 	services = make(map[string]bool, len(c.Backends))
 	for i, b := range c.Backends {
 		if b.Name == "" {
-			fault("backend_table[%d] has no name", i)
+			addError("backend_table[%d] has no name", i)
 		}
 		if services[b.Name] {
-			fault("backend_table[%d]: %q is there twice", i, b.Name)
+			addError("backend_table[%d]: %q is there twice", i, b.Name)
 		}
 		services[b.Name] = true
 	}
 	return services
 }
 
-// check finds the errors within a route.
-func (r *Route) check(fault func(format string, args ...any)) {
+// check reports the errors of a route that do not depend on the rest of the configuration.
+func (r *Route) check(addError func(format string, args ...any)) {
 	if r.Host == "" {
-		fault(" has no hostname")
+		addError(" has no hostname")
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		fault(": path_prefix %q does not start and end with a slash", r.Prefix)
+		addError(": path_prefix %q does not start and end with a slash", r.Prefix)
 	}
 	if r.Kind != Idempotent && r.Kind != NonIdempotent {
-		fault(": route_type is %q", r.Kind)
+		addError(": route_type is %q", r.Kind)
 	}
 	if !(r.TimeoutMs > 0) {
-		fault(": timeout_ms is %g", r.TimeoutMs)
+		addError(": timeout_ms is %g", r.TimeoutMs)
 	}
 	if r.TargetLatencyMs < 0 || r.Priority < 0 || r.MaxAttempts < 0 {
-		fault(": a negative number")
+		addError(": a negative number")
 	}
 	if r.Backend != "" {
 		if len(r.Backends) > 0 {
-			fault(": both backend and weighted_backends")
+			addError(": both backend and weighted_backends")
 		}
 		return
 	}
 	for _, w := range r.Backends {
 		if !(w.Weight >= 0) || w.Weight > 1e9 {
-			fault(": weight %g", w.Weight)
+			addError(": weight %g", w.Weight)
 		}
 	}
 	if !(r.total > 0) {
-		fault(": its weights add up to 0")
+		addError(": its weights add up to 0")
 	}
 }
 
-// checkServices finds services that a route names and the configuration lacks.
-func (r *Route) checkServices(known func(service string) bool, fault func(format string, args ...any)) {
+// checkServices reports the services of a route that the configuration does not contain.
+func (r *Route) checkServices(known func(service string) bool, addError func(format string, args ...any)) {
 	if r.Backend != "" {
 		if !known(r.Backend) {
-			fault(": no service %q", r.Backend)
+			addError(": no service %q", r.Backend)
 		}
 		return
 	}
 	for _, w := range r.Backends {
 		if !known(w.Backend) {
-			fault(": no service %q", w.Backend)
+			addError(": no service %q", w.Backend)
 		}
 	}
 }
 
-// buildIndex orders the routes for Find, beginning with the index of a configuration that may share most of them.
+// buildIndex builds the index for Find from the index of base, which may be nil. The cost depends on the difference.
 func (c *Config) buildIndex(base *Config) {
 	if base == nil {
 		base = &Config{}
@@ -172,7 +171,7 @@
 	c.index = edit.Map()
 }
 
-// Find returns the route for a Host header and a path, or nil.
+// Find returns the route with the longest matching prefix for a Host header and a path, or nil.
 func (c *Config) Find(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -191,39 +190,39 @@
 	}
 }
 
-// At returns the route of a place, or nil. The host is in lower case.
+// At returns the route with exactly this host, in lower case, and prefix, or nil.
 func (c *Config) At(host, prefix string) *Route {
 	var buffer [128]byte
 	r, _ := c.index.GetBytes(appendKey(buffer[:0], host, prefix))
 	return r
 }
 
-// Diff returns the routes that only one of two configurations has. One that was changed is in both lists. It costs little
-// where most routes stand at the same places.
-func Diff(old, now *Config) (added, removed []*Route) {
-	common := min(len(old.Routes), len(now.Routes))
+// Diff returns the routes that only one of two configurations has, compared by pointer. A changed route is in both lists. It
+// is cheap if most routes have the same index in both configurations.
+func Diff(old, updated *Config) (added, removed []*Route) {
+	common := min(len(old.Routes), len(updated.Routes))
 	for i := range common {
-		if old.Routes[i] != now.Routes[i] {
+		if old.Routes[i] != updated.Routes[i] {
 			removed = append(removed, old.Routes[i])
-			added = append(added, now.Routes[i])
+			added = append(added, updated.Routes[i])
 		}
 	}
 	removed = append(removed, old.Routes[common:]...)
-	added = append(added, now.Routes[common:]...)
+	added = append(added, updated.Routes[common:]...)
 	if len(added) == 0 || len(removed) == 0 {
 		return added, removed
 	}
-	return without(added, removed), without(removed, added)
+	return difference(added, removed), difference(removed, added)
 }
 
-// without returns the routes of one list that are not in another.
-func without(list, others []*Route) (rest []*Route) {
-	there := make(map[*Route]bool, len(others))
+// difference returns the routes of list that are not in others.
+func difference(list, others []*Route) (rest []*Route) {
+	excluded := make(map[*Route]bool, len(others))
 	for _, r := range others {
-		there[r] = true
+		excluded[r] = true
 	}
 	for _, r := range list {
-		if !there[r] {
+		if !excluded[r] {
 			rest = append(rest, r)
 		}
 	}
--- a/internal/config/meshconfig/parse.go
+++ b/internal/config/meshconfig/parse.go
@@ -12,25 +12,25 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Parse reads a configuration and checks all that does not depend on other state.
-// The error names every fault with its place.
+// Parse decodes and validates a configuration in MessagePack. The error lists all errors with their positions.
 func Parse(body []byte) (*Config, error) { return ParseNext(body, nil) }
 
-// ParseNext is Parse where another configuration has been parsed before: routes with the same bytes are taken from there,
-// without being decoded and checked again. The body is not to be changed afterwards.
+// ParseNext is Parse with a previously parsed base configuration, which may be nil. Routes whose bytes are equal to those in
+// the base are shared with it, and are neither decoded nor validated again. The result retains body, which must not be
+// modified.
 func ParseNext(body []byte, base *Config) (*Config, error) {
 	if len(body) > MaxBytes {
 		return nil, fmt.Errorf("configuration: %d bytes, the maximum is %d", len(body), MaxBytes)
 	}
-	p := parser{body: body, in: bytes.NewReader(body), base: base, config: &Config{}}
+	p := parser{body: body, reader: bytes.NewReader(body), base: base, config: &Config{}}
 	if base != nil {
-		p.used = make([]bool, len(base.raw))
+		p.reused = make([]bool, len(base.rawRoutes))
 	}
-	p.dec = msgpack.NewDecoder(p.in)
+	p.dec = msgpack.NewDecoder(p.reader)
 	if err := p.decode(); err != nil {
 		return nil, fmt.Errorf("configuration: not readable: %w", err)
 	}
-	if p.in.Len() > 0 {
+	if p.reader.Len() > 0 {
 		return nil, errors.New("configuration: there is more after its end")
 	}
 	c := p.config
@@ -41,19 +41,19 @@
 	return c, nil
 }
 
-// parser reads one body. The routes are taken one by one, so that those of the base can be used again.
+// parser decodes one body. It decodes the routes one by one, to reuse those of the base.
 type parser struct {
 	body   []byte
-	in     *bytes.Reader
+	reader *bytes.Reader
 	dec    *msgpack.Decoder
 	base   *Config
 	config *Config
 
-	next   int            // route of the base that most likely comes next
-	byHash map[uint64]int // routes of the base by their bytes; made when it is needed
-	seed   maphash.Seed
-	used   []bool // by place in the base: the route is a part of this configuration too
-	fresh  []int  // places of routes that were decoded
+	nextBase int            // index of the base route to compare with the next route
+	byHash   map[uint64]int // indexes of base routes by the hash of their bytes; created on first use
+	seed     maphash.Seed
+	reused   []bool // by index in the base: the route was reused
+	decoded  []int  // indexes of routes that were decoded
 }
 
 func (p *parser) decode() error {
@@ -84,7 +84,7 @@
 	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 }
 
-// decodePlain reads a body that is no map: the library also takes structures as arrays of their fields.
+// decodePlain decodes a body that is not a map. The library also accepts structs encoded as arrays of their fields.
 func (p *parser) decodePlain() error {
 	var plain struct {
 		Revision uint64    `msgpack:"revision"`
@@ -117,25 +117,25 @@
 	return p.dec.Skip()
 }
 
-// decodeBackends reads the services, which are those of the base where the bytes are.
+// decodeBackends decodes the services, or shares those of the base if the bytes are equal.
 func (p *parser) decodeBackends() error {
-	begin := p.offset()
-	if p.base != nil && len(p.base.rawBackends) > 0 && bytes.HasPrefix(p.body[begin:], p.base.rawBackends) {
+	start := p.offset()
+	if p.base != nil && len(p.base.rawBackends) > 0 && bytes.HasPrefix(p.body[start:], p.base.rawBackends) {
 		p.config.Backends = p.base.Backends
-		p.config.rawBackends = p.body[begin : begin+len(p.base.rawBackends)]
-		return p.seek(begin + len(p.base.rawBackends))
+		p.config.rawBackends = p.body[start : start+len(p.base.rawBackends)]
+		return p.seek(start + len(p.base.rawBackends))
 	}
 	p.config.Backends = nil
 	err := p.dec.Decode(&p.config.Backends)
-	p.config.rawBackends = p.body[begin:p.offset()]
+	p.config.rawBackends = p.body[start:p.offset()]
 	return err
 }
 
-// offset is how far the body has been read.
-func (p *parser) offset() int { return len(p.body) - p.in.Len() }
+// offset returns the number of bytes that were read from the body.
+func (p *parser) offset() int { return len(p.body) - p.reader.Len() }
 
 func (p *parser) seek(offset int) error {
-	_, err := p.in.Seek(int64(offset), io.SeekStart)
+	_, err := p.reader.Seek(int64(offset), io.SeekStart)
 	return err
 }
 
@@ -144,9 +144,9 @@
 	if err != nil {
 		return err
 	}
-	p.config.Routes, p.config.raw, p.fresh = nil, nil, nil
-	clear(p.used)
-	p.next = 0
+	p.config.Routes, p.config.rawRoutes, p.decoded = nil, nil, nil
+	clear(p.reused)
+	p.nextBase = 0
 	for i := range count {
 		route, raw, err := p.decodeRoute()
 		if err != nil {
@@ -158,52 +158,52 @@
 				return err
 			}
 			route.addWeights()
-			p.fresh = append(p.fresh, i)
+			p.decoded = append(p.decoded, i)
 		}
 		p.config.Routes = append(p.config.Routes, route)
-		p.config.raw = append(p.config.raw, raw)
+		p.config.rawRoutes = append(p.config.rawRoutes, raw)
 	}
 	return nil
 }
 
-// decodeRoute reads one route's bytes. The route is the one of the base that has them; nil: there is none.
+// decodeRoute reads the bytes of a route and returns the base route with the same bytes. The route is nil if there is none.
 func (p *parser) decodeRoute() (route *Route, raw []byte, err error) {
-	begin := p.offset()
-	// A value's bytes say where it ends: those of a known route are that route.
-	if p.base != nil && p.next < len(p.base.raw) && bytes.HasPrefix(p.body[begin:], p.base.raw[p.next]) {
-		end := begin + len(p.base.raw[p.next])
-		return p.reuse(p.next), p.body[begin:end], p.seek(end)
+	start := p.offset()
+	// MessagePack values are self-delimiting: if the body continues with the bytes of a base route, they are the whole route.
+	if p.base != nil && p.nextBase < len(p.base.rawRoutes) && bytes.HasPrefix(p.body[start:], p.base.rawRoutes[p.nextBase]) {
+		end := start + len(p.base.rawRoutes[p.nextBase])
+		return p.reuse(p.nextBase), p.body[start:end], p.seek(end)
 	}
 	if err := p.dec.Skip(); err != nil {
 		return nil, nil, err
 	}
-	raw = p.body[begin:p.offset()]
+	raw = p.body[start:p.offset()]
 	if p.base == nil {
 		return nil, raw, nil
 	}
-	if at, found := p.findUnchanged(raw); found {
-		return p.reuse(at), raw, nil
+	if index, found := p.findInBase(raw); found {
+		return p.reuse(index), raw, nil
 	}
-	p.next++ // most likely this one was changed where it stands
+	p.nextBase++ // assume that the route was changed in place
 	return nil, raw, nil
 }
 
-// reuse returns a route of the base, unless it has been used before: it occurs twice then, which the check reports.
-func (p *parser) reuse(at int) *Route {
-	p.next = at + 1
-	if p.used[at] {
+// reuse returns a route of the base, or nil if it was already reused. The route is then a duplicate, which check reports.
+func (p *parser) reuse(index int) *Route {
+	p.nextBase = index + 1
+	if p.reused[index] {
 		return nil
 	}
-	p.used[at] = true
-	return p.base.Routes[at]
+	p.reused[index] = true
+	return p.base.Routes[index]
 }
 
-// check finds all faults. Where the services are those of the base, and no place is taken twice, only what is new can have
-// any.
+// check validates the configuration. If the services are equal to those of the base and no two routes have the same key, only
+// the decoded routes need validation.
 func (p *parser) check() error {
 	c := p.config
 	if p.base != nil && slices.Equal(p.base.Backends, c.Backends) && c.index.Len() == len(c.Routes) {
-		return c.check(p.fresh, false)
+		return c.check(p.decoded, false)
 	}
 	all := make([]int, len(c.Routes))
 	for i := range all {
@@ -212,14 +212,14 @@
 	return c.check(all, true)
 }
 
-// findUnchanged finds a route of the base by its bytes.
-func (p *parser) findUnchanged(raw []byte) (at int, found bool) {
+// findInBase returns the index of the base route with the given bytes.
+func (p *parser) findInBase(raw []byte) (index int, found bool) {
 	if p.byHash == nil {
-		p.seed, p.byHash = maphash.MakeSeed(), make(map[uint64]int, len(p.base.raw))
-		for i, r := range p.base.raw {
+		p.seed, p.byHash = maphash.MakeSeed(), make(map[uint64]int, len(p.base.rawRoutes))
+		for i, r := range p.base.rawRoutes {
 			p.byHash[maphash.Bytes(p.seed, r)] = i
 		}
 	}
-	at, found = p.byHash[maphash.Bytes(p.seed, raw)]
-	return at, found && bytes.Equal(p.base.raw[at], raw)
+	index, found = p.byHash[maphash.Bytes(p.seed, raw)]
+	return index, found && bytes.Equal(p.base.rawRoutes[index], raw)
 }
--- a/internal/config/meshconfig/patch.go
+++ b/internal/config/meshconfig/patch.go
@@ -2,86 +2,87 @@
 
 import "slices"
 
-// Patch is what leads from one configuration to another: what is new or has changed, and what is gone.
+// Patch is the difference between two configurations. Routes and Backends hold what was added or changed.
 type Patch struct {
-	Revision        uint64 // 0: unchanged
-	Limits          *Limits
-	Routes          []*Route // not to be used otherwise afterwards
+	Revision        uint64   // zero if unchanged
+	Limits          *Limits  // nil if unchanged
+	Routes          []*Route // owned by the patched Config after Apply
 	RemovedRoutes   []Key
 	Backends        []Backend
 	RemovedBackends []string
 }
 
-// Apply returns a configuration with a patch in it; c may be nil. Nothing is checked: the patch comes from
-// configurations that were.
+// Apply returns a copy of c with the patch applied; c may be nil. It does not validate the result, as patches are computed
+// from valid configurations.
 func (c *Config) Apply(p Patch) *Config {
 	if c == nil {
 		c = &Config{}
 	}
-	now := &Config{Revision: c.Revision, Routes: c.Routes, Backends: c.Backends, Limits: c.Limits}
+	next := &Config{Revision: c.Revision, Routes: c.Routes, Backends: c.Backends, Limits: c.Limits}
 	if p.Revision > 0 {
-		now.Revision = p.Revision
+		next.Revision = p.Revision
 	}
 	if p.Limits != nil {
-		now.Limits = *p.Limits
+		next.Limits = *p.Limits
 	}
 	if len(p.Routes) > 0 || len(p.RemovedRoutes) > 0 {
-		now.Routes = c.patchedRoutes(p)
+		next.Routes = c.patchedRoutes(p)
 	}
 	if len(p.Backends) > 0 || len(p.RemovedBackends) > 0 {
-		now.Backends = c.patchedBackends(p)
+		next.Backends = c.patchedBackends(p)
 	}
-	now.buildIndex(c)
-	return now
+	next.buildIndex(c)
+	return next
 }
 
-// patchedRoutes replaces routes where they stand, adds new ones at the end, and fills holes from there.
+// patchedRoutes replaces changed routes in place, appends new ones, and fills the positions of removed ones from the end.
 func (c *Config) patchedRoutes(p Patch) []*Route {
 	routes := slices.Grow(slices.Clone(c.Routes), len(p.Routes))
-	at := make(map[*Route]int)
+	index := make(map[*Route]int)
 	for _, r := range p.Routes {
-		at[c.At(r.Key().Host, r.Prefix)] = 0
+		index[c.At(r.Key().Host, r.Prefix)] = 0
 	}
 	for _, k := range p.RemovedRoutes {
-		at[c.At(k.Host, k.Prefix)] = 0
+		index[c.At(k.Host, k.Prefix)] = 0
 	}
-	delete(at, nil)
+	delete(index, nil)
 	for i, r := range routes {
-		if _, wanted := at[r]; wanted {
-			at[r] = i
+		if _, changed := index[r]; changed {
+			index[r] = i
 		}
 	}
 	for _, r := range p.Routes {
 		r.addWeights()
 		if old := c.At(r.Key().Host, r.Prefix); old != nil {
-			routes[at[old]] = r
+			routes[index[old]] = r
 		} else {
 			routes = append(routes, r)
 		}
 	}
-	var holes []int
+	var removed []int
 	for _, k := range p.RemovedRoutes {
 		if old := c.At(k.Host, k.Prefix); old != nil {
-			holes = append(holes, at[old])
+			removed = append(removed, index[old])
 		}
 	}
-	slices.Sort(holes)
-	for _, hole := range slices.Backward(holes) {
+	slices.Sort(removed)
+	for _, i := range slices.Backward(removed) {
 		last := len(routes) - 1
-		routes[hole] = routes[last]
+		routes[i] = routes[last]
 		routes = routes[:last]
 	}
 	return routes
 }
 
+// patchedBackends replaces changed services in place, appends new ones and deletes removed ones.
 func (c *Config) patchedBackends(p Patch) []Backend {
 	backends := slices.Clone(c.Backends)
-	at := make(map[string]int, len(backends))
+	index := make(map[string]int, len(backends))
 	for i, b := range backends {
-		at[b.Name] = i
+		index[b.Name] = i
 	}
 	for _, b := range p.Backends {
-		if i, known := at[b.Name]; known {
+		if i, known := index[b.Name]; known {
 			backends[i] = b
 		} else {
 			backends = append(backends, b)
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// encode returns a configuration as an operator sends it.
+// encode encodes a configuration in MessagePack, as an operator sends it.
 func encode(t testing.TB, c *Config) []byte {
 	t.Helper()
 	b, err := msgpack.Marshal(c)
@@ -27,48 +27,48 @@
 		r.Backend, r.Backends = "", []Weighted{{Backend: "s0", Weight: rng.Float64()}, {Backend: "s1", Weight: 1}}
 	}
 	if rng.IntN(120) == 0 {
-		r.TimeoutMs = 0 // a fault
+		r.TimeoutMs = 0 // invalid
 	}
 	return r
 }
 
-// edit changes a configuration as operators do: routes come, go, change and move, and at times the services.
+// edit returns a copy of c in which random routes, and sometimes the services, are added, removed, changed or moved.
 func edit(rng *rand.Rand, c *Config) *Config {
-	now := &Config{Revision: c.Revision + 1, Limits: c.Limits, Backends: []Backend{{Name: "s0"}, {Name: "s1"}, {Name: "s2"}}}
+	edited := &Config{Revision: c.Revision + 1, Limits: c.Limits, Backends: []Backend{{Name: "s0"}, {Name: "s1"}, {Name: "s2"}}}
 	if rng.IntN(10) == 0 {
-		now.Backends = now.Backends[:2] // routes may go to what is gone
+		edited.Backends = edited.Backends[:2] // routes may name the removed service
 	}
-	now.Routes = slices.Clone(c.Routes)
+	edited.Routes = slices.Clone(c.Routes)
 	for range rng.IntN(5) {
 		r := randomRoute(rng, rng.IntN(60))
-		at := 0
-		if len(now.Routes) > 0 {
-			at = rng.IntN(len(now.Routes))
+		index := 0
+		if len(edited.Routes) > 0 {
+			index = rng.IntN(len(edited.Routes))
 		}
-		switch i := slices.IndexFunc(now.Routes, func(x *Route) bool { return x.Key() == r.Key() }); {
+		switch i := slices.IndexFunc(edited.Routes, func(x *Route) bool { return x.Key() == r.Key() }); {
 		case i >= 0 && rng.IntN(3) == 0:
-			now.Routes = slices.Delete(now.Routes, i, i+1)
+			edited.Routes = slices.Delete(edited.Routes, i, i+1)
 		case i >= 0:
-			now.Routes[i], now.Routes[at] = now.Routes[at], r
-		case rng.IntN(40) == 0 && len(now.Routes) > 0: // a place is taken twice
-			now.Routes = append(now.Routes, now.Routes[at])
+			edited.Routes[i], edited.Routes[index] = edited.Routes[index], r
+		case rng.IntN(40) == 0 && len(edited.Routes) > 0: // a duplicate key
+			edited.Routes = append(edited.Routes, edited.Routes[index])
 		default:
-			now.Routes = slices.Insert(now.Routes, at, r)
+			edited.Routes = slices.Insert(edited.Routes, index, r)
 		}
 	}
-	return now
+	return edited
 }
 
-// TestReuseChangesNothing: what is parsed on top of another configuration is what is parsed alone, faults and all, and
-// routes with the same bytes are shared.
+// TestReuseChangesNothing checks that ParseNext returns the same configuration or error as Parse, and shares routes with the
+// same bytes.
 func TestReuseChangesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		operators := &Config{}
+		current := &Config{}
 		var base *Config
-		shared, all := 0, 0
+		shared, total := 0, 0
 		for round := range 80 {
-			next := edit(rng, operators)
+			next := edit(rng, current)
 			body := encode(t, next)
 			got, err := ParseNext(body, base)
 			want, wantErr := Parse(body)
@@ -82,70 +82,70 @@
 				t.Fatalf("seed %d, round %d: %+v, want %+v", seed, round, got, want)
 			}
 			if got.index.Len() != len(got.Routes) {
-				t.Fatalf("seed %d, round %d: %d places for %d routes", seed, round, got.index.Len(), len(got.Routes))
+				t.Fatalf("seed %d, round %d: the index has %d keys for %d routes", seed, round, got.index.Len(), len(got.Routes))
 			}
 			for _, r := range got.Routes {
 				if got.Find(r.Host, r.Prefix+"x/y") != r {
 					t.Fatalf("seed %d, round %d: %+v is not found", seed, round, r)
 				}
-				all++
+				total++
 				if base != nil && slices.Contains(base.Routes, r) {
 					shared++
 				}
 			}
-			operators, base = next, got
+			current, base = next, got
 		}
-		if shared*4 < all*3 {
-			t.Errorf("seed %d: %d of %d routes are shared", seed, shared, all)
+		if shared*4 < total*3 {
+			t.Errorf("seed %d: %d of %d routes are shared", seed, shared, total)
 		}
 	}
 }
 
-// distinct reports whether no place is taken twice.
-func distinct(c *Config) bool {
-	places := map[Key]bool{}
+// hasUniqueKeys reports whether no two routes have the same key.
+func hasUniqueKeys(c *Config) bool {
+	keys := map[Key]bool{}
 	for _, r := range c.Routes {
-		places[r.Key()] = true
+		keys[r.Key()] = true
 	}
-	return len(places) == len(c.Routes)
+	return len(keys) == len(c.Routes)
 }
 
-// TestPatchesCompose: a configuration that is patched by what differs says what the next one says.
+// TestPatchesCompose checks that a configuration patched with the difference to the next one equals the next one.
 func TestPatchesCompose(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		now := &Config{}
+		current := &Config{}
 		var patched *Config
 		for round := range 80 {
-			next := edit(rng, now)
-			if !distinct(next) {
+			next := edit(rng, current)
+			if !hasUniqueKeys(next) {
 				continue
 			}
-			added, removed := Diff(now, next)
+			added, removed := Diff(current, next)
 			p := Patch{Revision: next.Revision, Backends: next.Backends}
-			there := map[Key]bool{}
+			replaced := map[Key]bool{}
 			for _, r := range added {
-				again := *r
-				p.Routes = append(p.Routes, &again)
-				there[r.Key()] = true
+				route := *r
+				p.Routes = append(p.Routes, &route)
+				replaced[r.Key()] = true
 			}
 			for _, r := range removed {
-				if !there[r.Key()] {
+				if !replaced[r.Key()] {
 					p.RemovedRoutes = append(p.RemovedRoutes, r.Key())
 				}
 			}
-			for _, b := range now.Backends {
+			for _, b := range current.Backends {
 				if !slices.Contains(next.Backends, b) {
 					p.RemovedBackends = append(p.RemovedBackends, b.Name)
 				}
 			}
-			before := patched
-			patched = before.Apply(p)
-			now = next
-			if len(patched.Routes) != len(now.Routes) || len(patched.Backends) != len(now.Backends) || patched.index.Len() != len(now.Routes) {
-				t.Fatalf("seed %d, round %d: %d routes and %d services, want %d and %d", seed, round, len(patched.Routes), len(patched.Backends), len(now.Routes), len(now.Backends))
+			previous := patched
+			patched = previous.Apply(p)
+			current = next
+			if len(patched.Routes) != len(current.Routes) || len(patched.Backends) != len(current.Backends) || patched.index.Len() != len(current.Routes) {
+				t.Fatalf("seed %d, round %d: %d routes and %d services, want %d and %d", seed, round, len(patched.Routes), len(patched.Backends), len(current.Routes), len(current.Backends))
 			}
-			for _, r := range now.Routes {
+			for _, r := range current.Routes {
 				got := patched.Find(r.Host, r.Prefix)
 				if got == nil || got.Key() != r.Key() || got.TimeoutMs != r.TimeoutMs || got.Backend != r.Backend || !slices.Contains(patched.Routes, got) {
 					t.Fatalf("seed %d, round %d: %+v, want %+v", seed, round, got, r)
@@ -155,7 +155,7 @@
 	}
 }
 
-// manyRoutes is a configuration of some size, with one route changed.
+// manyRoutes returns a configuration with the given number of routes, one of which depends on version.
 func manyRoutes(routes, version int) *Config {
 	c := &Config{Revision: uint64(version + 1), Backends: []Backend{{Name: "s"}}}
 	for i := range routes {
@@ -169,7 +169,7 @@
 	return c
 }
 
-// BenchmarkParse measures a body with one route changed, alone and on top of the one before.
+// BenchmarkParse parses a body with one changed route, with and without a base.
 func BenchmarkParse(b *testing.B) {
 	for _, routes := range []int{10, 400, 2000} {
 		bodies := [][]byte{encode(b, manyRoutes(routes, 1)), encode(b, manyRoutes(routes, 2))}
--- a/internal/config/meshconfig/route.go
+++ b/internal/config/meshconfig/route.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind determines whether a request may be executed more than once.
 type Kind string
 
-// The kinds of requests.
+// The request kinds.
 const (
 	Idempotent    Kind = "idempotent"
 	NonIdempotent Kind = "non_idempotent"
 )
 
-// Weighted is one of the services that share a route.
+// Weighted is a service that receives a share of a route's requests, in proportion to its weight.
 type Weighted struct {
 	Backend string  `msgpack:"backend"`
 	Weight  float64 `msgpack:"weight"`
 }
 
-// Route sends requests of one host below one path to services. It is not changed once it is part of a Config, so that
-// configurations share the routes that they have in common.
+// Route sends the requests for a host and a path prefix to services. It is immutable once it is part of a Config, so that
+// configurations can share it.
 type Route struct {
 	Name            string     `msgpack:"name"`
 	Host            string     `msgpack:"hostname"`
 	Prefix          string     `msgpack:"path_prefix"`
 	Kind            Kind       `msgpack:"route_type"`
 	TimeoutMs       float64    `msgpack:"timeout_ms"`
-	TargetLatencyMs float64    `msgpack:"target_latency_ms" json:"AimMs"` // the JSON name is that of ivydeckctl config read
+	TargetLatencyMs float64    `msgpack:"target_latency_ms" json:"AimMs"` // printed by ivydeckctl config read under this JSON name
 	Priority        int        `msgpack:"priority"`                       // 0 is the highest
-	Backend         string     `msgpack:"backend"`                        // empty: the weighted ones
+	Backend         string     `msgpack:"backend"`                        // if empty, Backends applies
 	Backends        []Weighted `msgpack:"weighted_backends"`
 	MaxAttempts     int        `msgpack:"max_attempts"`
 
-	total float64
+	total float64 // sum of the weights
 }
 
-// Timeout is the longest that the operator wants a request held.
+// Timeout returns the maximum duration of a request.
 func (r *Route) Timeout() time.Duration {
 	return time.Duration(r.TimeoutMs * float64(time.Millisecond))
 }
 
-// TargetLatency is the time within which an answer earns its full worth.
+// TargetLatency returns the latency up to which a response has its full value.
 func (r *Route) TargetLatency() time.Duration {
 	return time.Duration(r.TargetLatencyMs * float64(time.Millisecond))
 }
 
-// Service picks the service for one request; x lies in [0, 1).
+// Service selects the service for a request, in proportion to the weights. x is in [0, 1).
 func (r *Route) Service(x float64) string {
 	if r.Backend != "" {
 		return r.Backend
@@ -59,7 +59,7 @@
 			return w.Backend
 		}
 	}
-	for i := len(r.Backends) - 1; i >= 0; i-- { // rounding
+	for i := len(r.Backends) - 1; i >= 0; i-- { // rounding errors may leave x at 0 or above
 		if r.Backends[i].Weight > 0 {
 			return r.Backends[i].Backend
 		}
@@ -67,7 +67,7 @@
 	return ""
 }
 
-// addWeights sets the sum by which Service picks.
+// addWeights sets total.
 func (r *Route) addWeights() {
 	r.total = 0
 	if r.Backend != "" {
@@ -78,17 +78,18 @@
 	}
 }
 
-// Key is the place that a route has to itself.
+// Key identifies a route within a configuration.
 type Key struct{ Host, Prefix string }
 
-// Key returns the route's place.
+// Key returns the key of the route, with the host in lower case.
 func (r *Route) Key() Key { return Key{strings.ToLower(r.Host), r.Prefix} }
 
-// appendKey appends a key's bytes, of which no two keys have the same.
+// appendKey appends an encoding of a key that is unique to it.
 func appendKey(b []byte, host, prefix string) []byte {
 	b = binary.AppendUvarint(b, uint64(len(host)))
 	b = append(b, host...)
 	return append(b, prefix...)
 }
 
+// bytes returns the encoding of the key.
 func (k Key) bytes() string { return string(appendKey(nil, k.Host, k.Prefix)) }
--- a/internal/config/nodefile/nodefile.go
+++ b/internal/config/nodefile/nodefile.go
@@ -1,5 +1,6 @@
-// Package nodefile reads the settings file that the platform gives every process: lines of the form a.b=value, lists
-// joined by commas. Unknown keys are ignored. It is the static configuration; the dynamic one is package meshconfig's.
+// Package nodefile reads the settings file that the platform provides to every process. It holds the static configuration;
+// package meshconfig holds the dynamic one. Lines have the form a.b=value, and lists are separated by commas. Unknown keys
+// are ignored.
 package nodefile
 
 import (
@@ -12,90 +13,90 @@
 	"time"
 )
 
-// Variable names the environment variable that holds the file's path.
+// Variable is the environment variable that holds the path of the settings file.
 const Variable = "IVYDECK_NODE_FILE"
 
 const (
-	maxBytes         = 1 << 20 // of the file
-	maxTraceCapacity = 1 << 20 // requests
+	maxBytes         = 1 << 20 // size of the file
+	maxTraceCapacity = 1 << 20 // in requests
 )
 
-// Class is a kind of machine, as the deploy file names it.
+// Class is a machine class of the deploy file.
 type Class string
 
-// The classes of machines. Their names are the platform's.
+// The machine classes. The platform defines the values.
 const (
-	SidecarMachine Class = "sidecar" // beside an application server
-	QuorumMachine  Class = "core"    // with a disk, for a quorum member
+	SidecarMachine Class = "sidecar" // runs beside an application server
+	QuorumMachine  Class = "core"    // has a disk and runs a quorum member
 )
 
-// Settings are the settings of one process. The key in the file stands beside each field; fields without a remark are
-// the platform's.
+// Settings are the settings of one process. The comment of each field names its key in the file. The platform sets all
+// keys, except those marked as operator keys.
 type Settings struct {
-	Node  string // node_name: alike for all processes of a machine's life
+	Node  string // node_name: constant for the life of the machine
 	Class Class  // machine_class
 	IP    string // ip_address
 	Zone  string // zone
 
-	// Addresses to listen to, HOST:PORT; empty: not served.
-	Inbound   string // listeners.inbound: requests of other machines for the application server
-	Outbound  string // listeners.outbound: requests of the clients on this machine
+	// Listen addresses, HOST:PORT. An empty address disables the listener.
+	Inbound   string // listeners.inbound: requests from other machines to the application server
+	Outbound  string // listeners.outbound: requests from clients on this machine
 	Readiness string // listeners.readiness
-	Control   string // listeners.control_plane: heartbeats of the server; operators' calls of a quorum member
-	Metrics   string // metrics.address: an operator's own key
+	Control   string // listeners.control_plane: heartbeats of the server; on a quorum member, operator requests
+	Metrics   string // metrics.address (operator key)
 
-	// PEM files of the process's identity; all empty: connections between processes are not secured. An operator's own
-	// keys: tls.cert, tls.key, tls.bundle, tls.operator and tls.metrics.
+	// Paths of the PEM files of the process's identity: tls.cert, tls.key and tls.bundle (operator keys). If they are
+	// empty, connections between processes are plain TCP.
 	Cert, Key, Bundle string
-	SecureOperator    bool // the operators' interface asks for an identity as well
-	SecureMetrics     bool // and so do the metrics
+	SecureOperator    bool // tls.operator: the operator interface requires TLS (operator key)
+	SecureMetrics     bool // tls.metrics: the metrics endpoint requires TLS (operator key)
 
-	TraceCapacity  int     // trace.keep: requests of which a node keeps its part; 0: none. An operator's own key
-	AccessLogShare float64 // access.part: share of the requests that are logged; 0: none. An operator's own key
+	TraceCapacity  int     // trace.keep: number of requests whose trace records a node keeps (operator key)
+	AccessLogShare float64 // access.part: fraction of requests in the access log, 0 to 1 (operator key)
 
-	Ports             [2]int        // internal_ports: free for connections between processes, first to last
+	Ports             [2]int        // internal_ports: first and last port available to processes of the mesh
 	Seeds             []string      // seed_nodes: control plane addresses of quorum members
-	Bootstrap         bool          // bootstrap: the system starts for the first time
-	QuorumMember      bool          // quorum_member: its loss is counted against ToleratedLosses
-	ToleratedLosses   int           // fault_tolerance.machines: quorum members that may be lost at a time
+	Bootstrap         bool          // bootstrap: true at the first start of the system
+	QuorumMember      bool          // quorum_member: the loss of this machine counts against ToleratedLosses
+	ToleratedLosses   int           // fault_tolerance.machines: number of quorum members that may fail at the same time
 	MemoryMB          int           // request_limits.memory_mb
 	MaxFDs            int           // request_limits.max_fds
-	DataDir           string        // data_dir; empty on machines without a disk
-	HeartbeatInterval time.Duration // heartbeat_ms: between two heartbeats of a server
-	AppAddress        string        // app_address: of the application server
-	Backend           string        // backend: the server's service
+	DataDir           string        // data_dir: empty on machines without a disk
+	HeartbeatInterval time.Duration // heartbeat_ms: interval between heartbeats of a server
+	AppAddress        string        // app_address: address of the application server
+	Backend           string        // backend: service of the application server
 	Bounds            Bounds        // bounds.*
 }
 
-// Bounds are the figures of the platform's rules.
+// Bounds are the bounds that the platform's rules set.
 type Bounds struct {
-	Drain       time.Duration // a server serves on for so long after its drain was acknowledged
-	Grace       time.Duration // from SIGTERM to SIGKILL
-	ConfigApply time.Duration // a configuration is in force everywhere after so long
-	Contact     time.Duration // a machine has contact with the control plane so long after a partition
-	Ack         time.Duration // an operator's change is acknowledged within this time
-	AddrReuse   time.Duration // an address is given to another server after so long at the earliest
-	SyncTime    time.Duration // a new quorum member has caught up after so long
-
-	RetryRatio  float64       // retries for each request, over RetryWindow
+	Drain       time.Duration // time for which a server keeps serving after its drain was acknowledged
+	Grace       time.Duration // time from SIGTERM to SIGKILL
+	ConfigApply time.Duration // maximum time until a configuration is active on all nodes
+	Contact     time.Duration // maximum time until a machine reaches the control plane after a partition
+	Ack         time.Duration // maximum time until an operator's change is acknowledged
+	AddrReuse   time.Duration // minimum time before an address is assigned to another server
+	SyncTime    time.Duration // maximum time for a new quorum member to catch up
+
+	RetryRatio  float64       // maximum retries per request, over RetryWindow
 	RetryWindow time.Duration // see RetryRatio
-	RetrySlack  float64       // retries beyond the ratio in each window, of all nodes together
+	RetrySlack  float64       // additional retries per window, for all nodes together
 }
 
-// Internal is the address on which the process listens to other processes of the mesh.
+// Internal returns the address on which the process accepts connections from other processes of the mesh.
 func (s *Settings) Internal() string { return s.IP + ":" + strconv.Itoa(s.Ports[0]) }
 
-// SeedNodes are the internal addresses of the seeds: ports are alike on all machines.
+// SeedNodes returns the internal addresses of the seeds. All machines use the same internal port.
 func (s *Settings) SeedNodes() []string {
 	nodes := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
-		ap, _ := netip.ParseAddrPort(seed) // checked when read
+		ap, _ := netip.ParseAddrPort(seed) // validated by Parse
 		nodes = append(nodes, ap.Addr().String()+":"+strconv.Itoa(s.Ports[0]))
 	}
 	return nodes
 }
 
-// Load reads and checks the file at a path. An error that is a Faults lists what is wrong in it.
+// Load reads and validates the file at a path. If its content is invalid, the error wraps a Faults.
 func Load(path string) (*Settings, error) {
 	if path == "" {
 		return nil, fmt.Errorf("%s names no settings file", Variable)
@@ -118,56 +119,56 @@
 	return s, nil
 }
 
-// Faults are all faults of a file.
+// Faults lists all errors in a settings file.
 type Faults []string
 
-// Error is one line.
+// Error returns all errors in one line.
 func (f Faults) Error() string { return strings.Join(f, "; ") }
 
-// reader reads values, and collects what is wrong with them.
+// reader parses values and collects their errors.
 type reader struct {
-	values map[string]string
-	faults []string
+	values map[string]string // by key
+	errors []string
 }
 
-// fault notes a fault.
-func (r *reader) fault(format string, args ...any) {
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+// addError adds a formatted error.
+func (r *reader) addError(format string, args ...any) {
+	r.errors = append(r.errors, fmt.Sprintf(format, args...))
 }
 
-// required reads a text that has to be there.
+// required returns the value of a key, and adds an error if it is missing.
 func (r *reader) required(key string) string {
 	v := r.values[key]
 	if v == "" {
-		r.fault("%s is missing", key)
+		r.addError("%s is missing", key)
 	}
 	return v
 }
 
-// address reads an address, which may be absent unless it is required.
+// address returns an IP address with a port. An empty value is an error only if the key is required.
 func (r *reader) address(key string, required bool) string {
 	v := r.values[key]
 	if v == "" {
 		if required {
-			r.fault("%s is missing", key)
+			r.addError("%s is missing", key)
 		}
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		r.fault("%s is %q, not an address like 10.0.0.4:8080", key, v)
+		r.addError("%s is %q, not an address like 10.0.0.4:8080", key, v)
 	}
 	return v
 }
 
-// number reads a number that is at least min; an absent one is the fallback.
-func (r *reader) number(key string, min, fallback float64) float64 {
+// number returns a number between minimum and 1e9, or fallback if the key is missing.
+func (r *reader) number(key string, minimum, fallback float64) float64 {
 	v := r.values[key]
 	if v == "" {
 		return fallback
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || n < min || n > 1e9 {
-		r.fault("%s is %q, not a number of at least %g", key, v, min)
+	if err != nil || n < minimum || n > 1e9 {
+		r.addError("%s is %q, not a number of at least %g", key, v, minimum)
 		return fallback
 	}
 	return n
@@ -181,16 +182,16 @@
 	return time.Duration(r.number(key, 0, fallback) * float64(time.Second))
 }
 
-// flag reads true or false; an absent one is false.
+// flag returns a boolean, which is false if the key is missing.
 func (r *reader) flag(key string) bool {
 	v := r.values[key]
 	if v != "" && v != "true" && v != "false" {
-		r.fault("%s is %q, neither true nor false", key, v)
+		r.addError("%s is %q, neither true nor false", key, v)
 	}
 	return v == "true"
 }
 
-// Parse reads the text of a settings file. The error is a Faults, with every fault of it.
+// Parse parses and validates the text of a settings file. The error is a Faults with all errors of the file.
 func Parse(text string) (*Settings, error) {
 	r := &reader{values: map[string]string{}}
 	r.readLines(text)
@@ -211,20 +212,20 @@
 		Seeds:             r.seeds(),
 	}
 	if _, err := netip.ParseAddr(s.IP); s.IP != "" && err != nil {
-		r.fault("ip_address is %q, not an IP address", s.IP)
+		r.addError("ip_address is %q, not an IP address", s.IP)
 	}
 	r.readObservability(s)
 	r.readTLS(s)
 	r.readListeners(s)
 	r.readPorts(s)
-	if len(r.faults) > 0 {
-		sort.Strings(r.faults)
-		return nil, Faults(r.faults)
+	if len(r.errors) > 0 {
+		sort.Strings(r.errors)
+		return nil, Faults(r.errors)
 	}
 	return s, nil
 }
 
-// readLines collects the values. Empty lines and comments are skipped.
+// readLines splits the lines into keys and values. It skips empty lines and comments.
 func (r *reader) readLines(text string) {
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -233,12 +234,12 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			r.fault("line %d has no '='", i+1)
+			r.addError("line %d has no '='", i+1)
 			continue
 		}
 		key, value = strings.TrimSpace(key), strings.TrimSpace(value)
-		if old, twice := r.values[key]; twice && old != value {
-			r.fault("%s is given twice, as %q and %q", key, old, value)
+		if old, duplicate := r.values[key]; duplicate && old != value {
+			r.addError("%s has two values, %q and %q", key, old, value)
 		}
 		r.values[key] = value
 	}
@@ -259,50 +260,50 @@
 	}
 }
 
-// seeds reads the control plane's addresses of the seeds.
+// seeds returns the control plane addresses of the seeds.
 func (r *reader) seeds() (seeds []string) {
 	for _, seed := range strings.Split(r.values["seed_nodes"], ",") {
 		if seed = strings.TrimSpace(seed); seed == "" {
 			continue
 		}
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			r.fault("seed_nodes holds %q, not an address like 10.0.0.4:8080", seed)
+			r.addError("seed_nodes holds %q, not an address like 10.0.0.4:8080", seed)
 			continue
 		}
 		seeds = append(seeds, seed)
 	}
 	if len(seeds) == 0 {
-		r.fault("seed_nodes names no node")
+		r.addError("seed_nodes holds no address")
 	}
 	return seeds
 }
 
-// readObservability reads the operator's own keys for metrics, traces and the access log.
+// readObservability reads the operator keys for metrics, traces and the access log.
 func (r *reader) readObservability(s *Settings) {
 	s.Metrics = r.address("metrics.address", false)
 	s.TraceCapacity = int(r.number("trace.keep", 0, 0))
 	s.AccessLogShare = r.number("access.part", 0, 0)
 	if s.TraceCapacity > maxTraceCapacity {
-		r.fault("trace.keep is %d, at most %d are kept", s.TraceCapacity, maxTraceCapacity)
+		r.addError("trace.keep is %d, the maximum is %d", s.TraceCapacity, maxTraceCapacity)
 	}
 	if s.AccessLogShare > 1 {
-		r.fault("access.part is %g, at most 1 is a part", s.AccessLogShare)
+		r.addError("access.part is %g, the maximum is 1", s.AccessLogShare)
 	}
 }
 
-// readTLS reads the operator's own keys for identities.
+// readTLS reads the operator keys for the identity.
 func (r *reader) readTLS(s *Settings) {
 	s.Cert, s.Key, s.Bundle = r.values["tls.cert"], r.values["tls.key"], r.values["tls.bundle"]
 	s.SecureOperator, s.SecureMetrics = r.flag("tls.operator"), r.flag("tls.metrics")
-	switch given := s.Cert != "" || s.Key != "" || s.Bundle != ""; {
-	case given && (s.Cert == "" || s.Key == "" || s.Bundle == ""):
-		r.fault("tls.cert, tls.key and tls.bundle come together")
-	case !given && (s.SecureOperator || s.SecureMetrics):
-		r.fault("tls.operator and tls.metrics need tls.cert, tls.key and tls.bundle")
+	switch hasFiles := s.Cert != "" || s.Key != "" || s.Bundle != ""; {
+	case hasFiles && (s.Cert == "" || s.Key == "" || s.Bundle == ""):
+		r.addError("tls.cert, tls.key and tls.bundle must be set together")
+	case !hasFiles && (s.SecureOperator || s.SecureMetrics):
+		r.addError("tls.operator and tls.metrics require tls.cert, tls.key and tls.bundle")
 	}
 }
 
-// readListeners reads the addresses that a machine of the class needs.
+// readListeners reads the keys that depend on the machine class: listen addresses, and what the class requires.
 func (r *reader) readListeners(s *Settings) {
 	switch s.Class {
 	case SidecarMachine:
@@ -315,13 +316,13 @@
 	case QuorumMachine:
 		s.Control = r.address("listeners.control_plane", true)
 		r.required("data_dir")
-	case "": // a fault of its own
+	case "": // reported by required
 	default:
-		r.fault("machine_class is %q, neither sidecar nor core", s.Class)
+		r.addError("machine_class is %q, neither sidecar nor core", s.Class)
 	}
 }
 
-// readPorts reads a range of ports, or a single one.
+// readPorts reads a port range, which may be a single port.
 func (r *reader) readPorts(s *Settings) {
 	first, last, ok := strings.Cut(r.required("internal_ports"), ",")
 	if !ok {
@@ -330,11 +331,11 @@
 	for i, v := range []string{first, last} {
 		n, err := strconv.Atoi(v)
 		if v != "" && (err != nil || n < 1 || n > 65535) {
-			r.fault("internal_ports holds %q, not a port", v)
+			r.addError("internal_ports holds %q, not a port", v)
 		}
 		s.Ports[i] = n
 	}
 	if s.Ports[0] > s.Ports[1] {
-		r.fault("internal_ports run from %d to %d", s.Ports[0], s.Ports[1])
+		r.addError("internal_ports is %d to %d, the first port is above the last", s.Ports[0], s.Ports[1])
 	}
 }
--- a/internal/config/nodefile/nodefile_test.go
+++ b/internal/config/nodefile/nodefile_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const good = `node_name=sidecar-1
+const validFile = `node_name=sidecar-1
 machine_class=sidecar
 ip_address=10.1.0.38
 zone=z
@@ -22,7 +22,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse(good)
+	s, err := Parse(validFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,23 +31,23 @@
 	}
 }
 
-// TestErrorsAreNamed gives files that are incomplete or contradict themselves:
-// one line names the key.
+// TestErrorsAreNamed checks that the error for an incomplete or invalid file is one line that names the key. A change has the
+// form key=old or key=old=new.
 func TestErrorsAreNamed(t *testing.T) {
 	for change, want := range map[string]string{
-		"zone=z":                       "zone is missing",
-		"backend=s":                    "backend is missing",
-		"machine_class=sidecar=tank":   "machine_class",
-		"ip_address=10.1.0.38=ten":     "ip_address",
-		"internal_ports=7380,7395=9,8": "internal_ports",
+		"zone=z":                                       "zone is missing",
+		"backend=s":                                    "backend is missing",
+		"machine_class=sidecar=unknown":                "machine_class",
+		"ip_address=10.1.0.38=ten":                     "ip_address",
+		"internal_ports=7380,7395=9,8":                 "internal_ports",
 		"seed_nodes=10.1.0.42:8144,10.2.0.43:8144=a,b": "seed_nodes",
 		"bounds.drain_ms=3000=soon":                    "bounds.drain_ms",
-		"something.new=1=":                             "", // still unknown, still fine
+		"something.new=1=":                             "", // unknown keys are ignored
 	} {
 		key, _, _ := strings.Cut(change, "=")
 		rest := strings.TrimPrefix(change, key+"=")
 		old, value, replace := strings.Cut(rest, "=")
-		text := strings.Replace(good, key+"="+old+"\n", "", 1)
+		text := strings.Replace(validFile, key+"="+old+"\n", "", 1)
 		if replace {
 			text += key + "=" + value + "\n"
 		}
@@ -59,20 +59,20 @@
 			t.Errorf("%s: %v, want one line with %q", change, err, want)
 		}
 	}
-	for _, text := range []string{"", "nonsense\n", good + "zone=y\n", good + "no equals sign\n"} {
+	for _, text := range []string{"", "nonsense\n", validFile + "zone=y\n", validFile + "no equals sign\n"} {
 		if _, err := Parse(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("a=b\n=\n#\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse(text)
 		if err == nil && (s.Node == "" || len(s.Seeds) == 0 || len(s.SeedNodes()) != len(s.Seeds)) {
-			t.Errorf("%q is read as %+v", text, s)
+			t.Errorf("%q was parsed as %+v", text, s)
 		}
 	})
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator is the client of the operators' interface, for ivydeckctl and tests: it reads configurations from files,
-// compares two, and calls quorum members. Package server is the other side.
+// Package operator is the client of the operator interface, which package server implements. It loads and compares
+// configuration files and calls quorum members. ivydeckctl and tests use it.
 package operator
 
 import (
@@ -23,33 +23,33 @@
 const (
 	maxAttempts    = 8
 	attemptTimeout = 3 * time.Second
-	firstPause     = 200 * time.Millisecond // doubled up to maxPause
+	firstPause     = 200 * time.Millisecond // doubles after each attempt, up to maxPause
 	maxPause       = 2 * time.Second
 
-	maxAnswer = meshconfig.MaxBytes + 16<<20 // a configuration, and a list of servers in a backup
+	maxResponseBytes = meshconfig.MaxBytes + 16<<20 // enough for a backup: a configuration and a list of servers
 )
 
-// The errors of a change.
+// Errors of Client.Apply.
 var (
 	ErrStale          = errors.New("another version is in place")
 	ErrInvalid        = errors.New("the configuration is invalid")
-	ErrOutcomeUnknown = errors.New("it may be in force or not")
+	ErrOutcomeUnknown = errors.New("the outcome is unknown: the change may have been applied")
 )
 
-// Client calls quorum members. The zero value needs Addresses.
+// Client calls quorum members. Addresses must be set.
 type Client struct {
-	Addresses []string // host:port; tried in turn
+	Addresses []string // host:port; tried in order
 	HTTP      http.Client
-	Secure    bool // HTTP has an identity, and the members ask for one
+	Secure    bool // use HTTPS; set by With
 }
 
-// With makes the client use an identity, and returns it.
+// With makes the client connect by TLS with an identity, and returns the client.
 func (c *Client) With(source *identity.Source) *Client {
 	c.Secure, c.HTTP.Transport = true, &http.Transport{TLSClientConfig: source.Client()}
 	return c
 }
 
-// url is the URL of a path at an address.
+// url returns the URL of a path at an address.
 func (c *Client) url(address, path string) string {
 	if c.Secure {
 		return "https://" + address + path
@@ -57,17 +57,18 @@
 	return "http://" + address + path
 }
 
-// call calls one member after another until one gives a definite answer. All calls may be repeated without harm.
+// call sends a request to the members in turn until one returns a definite response: any status but 408, 429 and 5xx. All
+// requests are idempotent.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, header http.Header) (int, []byte, error) {
-	var last error
+	var lastErr error
 	pause := firstPause
 	for i := range maxAttempts {
-		status, answer, err := c.attempt(ctx, method, c.url(c.Addresses[i%len(c.Addresses)], path), body, header)
+		status, response, err := c.attempt(ctx, method, c.url(c.Addresses[i%len(c.Addresses)], path), body, header)
 		if err == nil && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
-			return status, answer, nil
+			return status, response, nil
 		}
-		if last = err; err == nil {
-			last = fmt.Errorf("%s answers %d: %s", c.Addresses[i%len(c.Addresses)], status, bytes.TrimSpace(answer))
+		if lastErr = err; err == nil {
+			lastErr = fmt.Errorf("%s returned status %d: %s", c.Addresses[i%len(c.Addresses)], status, bytes.TrimSpace(response))
 		}
 		select {
 		case <-time.After(pause):
@@ -76,29 +77,30 @@
 			return 0, nil, ctx.Err()
 		}
 	}
-	return 0, nil, fmt.Errorf("no definite answer in %d attempts: %w", maxAttempts, last)
+	return 0, nil, fmt.Errorf("no definite response in %d attempts: %w", maxAttempts, lastErr)
 }
 
-func (c *Client) attempt(ctx context.Context, method, at string, body []byte, header http.Header) (int, []byte, error) {
+// attempt sends a request to one member, within attemptTimeout.
+func (c *Client) attempt(ctx context.Context, method, target string, body []byte, header http.Header) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, at, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	for k, v := range header {
 		req.Header[k] = v
 	}
-	resp, err := c.HTTP.Do(req) // follows 307 with the same method and body
+	resp, err := c.HTTP.Do(req) // follows a 307 redirect with the same method and body
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, answer, err
 }
 
-// Read returns the configuration in force, as the operator sent it and parsed; nil: there is none.
+// Read returns the current configuration, encoded as the operator sent it and parsed. Both are nil if there is none.
 func (c *Client) Read(ctx context.Context) ([]byte, *meshconfig.Config, error) {
 	status, body, err := c.call(ctx, http.MethodGet, "/config/read", nil, nil)
 	switch {
@@ -107,18 +109,18 @@
 	case status == http.StatusNotFound:
 		return nil, nil, nil
 	case status != http.StatusOK:
-		return nil, nil, fmt.Errorf("the quorum answers %d: %s", status, bytes.TrimSpace(body))
+		return nil, nil, fmt.Errorf("the quorum returned status %d: %s", status, bytes.TrimSpace(body))
 	}
 	config, err := meshconfig.Parse(body)
 	return body, config, err
 }
 
-// Apply sends a configuration that builds on a base revision; 0 for the first. It returns nil if that very configuration was
-// accepted, now or before; ErrStale or ErrInvalid if it was rejected for good; and ErrOutcomeUnknown if it may be in force
-// or not: it may be sent again unchanged.
+// Apply replaces the configuration of revision base, which is 0 for the first configuration. It returns nil if this
+// configuration is accepted or was accepted before, and ErrStale or ErrInvalid if it is rejected. After ErrOutcomeUnknown it
+// may have been applied, and it may be sent again unchanged.
 func (c *Client) Apply(ctx context.Context, base uint64, body []byte) error {
 	header := http.Header{"Base-Revision": {strconv.FormatUint(base, 10)}, "Content-Type": {"application/msgpack"}}
-	status, answer, err := c.call(ctx, http.MethodPost, "/config/replace", body, header)
+	status, response, err := c.call(ctx, http.MethodPost, "/config/replace", body, header)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
@@ -126,11 +128,11 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusPreconditionFailed:
-		return fmt.Errorf("%w than %d", ErrStale, base)
+		return fmt.Errorf("%w: the base revision is %d", ErrStale, base)
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		return fmt.Errorf("%w: %s", ErrInvalid, bytes.TrimSpace(answer))
+		return fmt.Errorf("%w: %s", ErrInvalid, bytes.TrimSpace(response))
 	}
-	return fmt.Errorf("the quorum answers %d: %s", status, bytes.TrimSpace(answer))
+	return fmt.Errorf("the quorum returned status %d: %s", status, bytes.TrimSpace(response))
 }
 
 // Backup returns a backup of the replicated state.
@@ -140,40 +142,40 @@
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, fmt.Errorf("the quorum answers %d: %s", status, bytes.TrimSpace(body))
+		return nil, fmt.Errorf("the quorum returned status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return backup.Decode(body)
 }
 
 // Nodes returns the reports of all nodes.
-func (c *Client) Nodes(ctx context.Context) (l server.NodeReports, err error) {
-	return l, c.fetch(ctx, "/look", &l)
+func (c *Client) Nodes(ctx context.Context) (reports server.NodeReports, err error) {
+	return reports, c.fetch(ctx, "/look", &reports)
 }
 
-// fetch reads the answer for a path as JSON.
+// fetch decodes the JSON response for a path into a value.
 func (c *Client) fetch(ctx context.Context, path string, into any) error {
 	status, body, err := c.call(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("the quorum answers %d: %s", status, bytes.TrimSpace(body))
+		return fmt.Errorf("the quorum returned status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return json.Unmarshal(body, into)
 }
 
-// Trace returns what the nodes have kept of a request and its calls.
-func (c *Client) Trace(ctx context.Context, attempt string) (t server.Trace, err error) {
-	return t, c.fetch(ctx, "/trace/"+url.PathEscape(attempt), &t)
+// Trace returns the trace records of a request and its calls that the nodes keep.
+func (c *Client) Trace(ctx context.Context, attempt string) (trace server.Trace, err error) {
+	return trace, c.fetch(ctx, "/trace/"+url.PathEscape(attempt), &trace)
 }
 
-// Status returns the status of each member; errs has the failures.
-func (c *Client) Status(ctx context.Context) (all []server.Status, errs []error) {
+// Status returns the status of each member that responds, and an error for each other member.
+func (c *Client) Status(ctx context.Context) (statuses []server.Status, errs []error) {
 	for _, a := range c.Addresses {
 		status, body, err := c.attempt(ctx, http.MethodGet, c.url(a, "/status"), nil, nil)
 		var s server.Status
 		if err == nil && status != http.StatusOK {
-			err = fmt.Errorf("answers %d: %s", status, bytes.TrimSpace(body))
+			err = fmt.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 		}
 		if err == nil {
 			err = json.Unmarshal(body, &s)
@@ -182,7 +184,7 @@
 			errs = append(errs, fmt.Errorf("%s: %w", a, err))
 			continue
 		}
-		all = append(all, s)
+		statuses = append(statuses, s)
 	}
-	return all, errs
+	return statuses, errs
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -16,8 +16,8 @@
 	"ivydeck/internal/config/meshconfig"
 )
 
-// Load reads a configuration from a file: .toml, .yaml, .json, or MessagePack for
-// any other name. It returns what goes over the wire and what it says.
+// Load reads a configuration from a file. The extension determines the format: .toml, .yaml, .yml, .json, or MessagePack for
+// any other. It returns the MessagePack encoding and the parsed configuration.
 func Load(path string) ([]byte, *meshconfig.Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 	var encoded bytes.Buffer
 	enc := msgpack.NewEncoder(&encoded)
-	enc.SetSortMapKeys(true) // the same file gives the same bytes, so that a resend is known
+	enc.SetSortMapKeys(true) // deterministic, so that a resent file is recognized
 	if err := enc.Encode(values); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -48,7 +48,7 @@
 	return encoded.Bytes(), config, err
 }
 
-// Diff lists what differs between two configurations, a line each.
+// Diff returns the differences between two configurations, one per line.
 func Diff(a, b *meshconfig.Config) []string {
 	var lines []string
 	if a.Revision != b.Revision {
@@ -57,15 +57,15 @@
 	if a.Limits != b.Limits {
 		lines = append(lines, fmt.Sprintf("request_limits: %+v, then %+v", a.Limits, b.Limits))
 	}
-	diff := func(kind string, old, now map[string]any) {
-		for name, x := range old {
-			if y, ok := now[name]; !ok {
+	diff := func(kind string, old, updated map[string]any) {
+		for name, oldValue := range old {
+			if newValue, ok := updated[name]; !ok {
 				lines = append(lines, fmt.Sprintf("%s %s: removed", kind, name))
-			} else if !reflect.DeepEqual(x, y) {
-				lines = append(lines, fmt.Sprintf("%s %s: %+v, then %+v", kind, name, x, y))
+			} else if !reflect.DeepEqual(oldValue, newValue) {
+				lines = append(lines, fmt.Sprintf("%s %s: %+v, then %+v", kind, name, oldValue, newValue))
 			}
 		}
-		for name := range now {
+		for name := range updated {
 			if _, ok := old[name]; !ok {
 				lines = append(lines, fmt.Sprintf("%s %s: added", kind, name))
 			}
@@ -77,7 +77,7 @@
 	return lines
 }
 
-// routes are distinguished by host and prefix, which are unique.
+// routes returns the routes by host and prefix, which are unique.
 func routes(c *meshconfig.Config) map[string]any {
 	m := map[string]any{}
 	for _, r := range c.Routes {
@@ -86,6 +86,7 @@
 	return m
 }
 
+// backends returns the services by name.
 func backends(c *meshconfig.Config) map[string]any {
 	m := map[string]any{}
 	for _, b := range c.Backends {
--- a/internal/operator/member.go
+++ b/internal/operator/member.go
@@ -8,12 +8,12 @@
 	"net/url"
 )
 
-// RemoveMember removes a quorum member by its identity. It is refused where the member runs, or where the quorum would
-// be less tolerant without it.
+// RemoveMember removes a quorum member by its identity. The quorum rejects the removal if the member is running, or if it
+// would reduce the fault tolerance of the quorum.
 func (c *Client) RemoveMember(ctx context.Context, identity string) error {
-	status, answer, err := c.call(ctx, http.MethodPost, "/member/remove/"+url.PathEscape(identity), nil, nil)
+	status, response, err := c.call(ctx, http.MethodPost, "/member/remove/"+url.PathEscape(identity), nil, nil)
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("%d: %s", status, bytes.TrimSpace(answer))
+		err = fmt.Errorf("status %d: %s", status, bytes.TrimSpace(response))
 	}
 	return err
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -24,7 +24,7 @@
 backend = "s"
 `
 
-func file(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -34,14 +34,14 @@
 }
 
 func TestLoadAndDiff(t *testing.T) {
-	body, a, err := Load(file(t, "a.toml", text))
+	body, a, err := Load(writeFile(t, "a.toml", text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, packed, err := Load(file(t, "a.msgpack", string(body))); err != nil || len(Diff(a, packed)) != 0 {
-		t.Errorf("packed and read again: %v", err)
+	if _, encoded, err := Load(writeFile(t, "a.msgpack", string(body))); err != nil || len(Diff(a, encoded)) != 0 {
+		t.Errorf("loading the encoded configuration: %v", err)
 	}
-	_, b, err := Load(file(t, "b.toml", strings.NewReplacer("= 4", "= 5", "1000", "900", `"/a/"`, `"/b/"`).Replace(text)))
+	_, b, err := Load(writeFile(t, "b.toml", strings.NewReplacer("= 4", "= 5", "1000", "900", `"/a/"`, `"/b/"`).Replace(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,26 +52,26 @@
 		}
 	}
 	for name, broken := range map[string]string{"x.toml": "revision = ", "y.yaml": "revision: [", "z.msgpack": "\xc1", "w.toml": "revision = 1\n[[route_table]]\nname=\"q\"\n"} {
-		if _, _, err := Load(file(t, name, broken)); err == nil {
-			t.Errorf("%s was read", name)
+		if _, _, err := Load(writeFile(t, name, broken)); err == nil {
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
 
-// TestApplyRetriesUntilDefinite: the first machine is busy, the second is not
-// the leader, and the leader takes it.
+// TestApplyRetriesUntilDefinite checks that Apply tries the next member after a 503 and follows the redirect of a follower to
+// the leader.
 func TestApplyRetriesUntilDefinite(t *testing.T) {
-	body, _, err := Load(file(t, "a.toml", text))
+	body, _, err := Load(writeFile(t, "a.toml", text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var taken []byte
+	var received []byte
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Base-Revision") != "3" {
 			w.WriteHeader(http.StatusPreconditionFailed)
 			return
 		}
-		taken, _ = io.ReadAll(r.Body)
+		received, _ = io.ReadAll(r.Body)
 	}))
 	defer leader.Close()
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
@@ -81,15 +81,15 @@
 	}))
 	defer follower.Close()
 	c := &Client{Addresses: []string{busy.Listener.Addr().String(), follower.Listener.Addr().String()}}
-	if err := c.Apply(context.Background(), 3, body); err != nil || string(taken) != string(body) {
-		t.Errorf("%v, %d bytes taken of %d", err, len(taken), len(body))
+	if err := c.Apply(context.Background(), 3, body); err != nil || string(received) != string(body) {
+		t.Errorf("%v, the leader received %d bytes of %d", err, len(received), len(body))
 	}
 	if err := c.Apply(context.Background(), 2, body); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "another version") {
-		t.Errorf("a stale base: %v", err)
+		t.Errorf("stale base revision: %v", err)
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := c.Apply(ended, 3, body); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("given up before an answer: %v", err)
+		t.Errorf("cancelled before a response: %v", err)
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is what the programs of the mesh share: arguments, the settings file and its changes, signals, logging,
-// and errors in one line.
+// Package program holds the code shared by the programs of the mesh: command line, loading and watching the settings file,
+// signals, logging and error output.
 package program
 
 import (
@@ -19,57 +19,57 @@
 	"ivydeck/internal/config/nodefile"
 )
 
-// Version is what --version prints; the build may set it.
+// Version is the version printed by --version. The build may set it.
 var Version = "dev"
 
 // Exit codes.
 const (
-	exitFault = 1 // bad settings, or the program could not do its work
+	exitFailure = 1 // invalid settings, or the program failed
 )
 
-const pollEvery = time.Second // the settings file may change without a signal
+const pollInterval = time.Second // of the check for a changed settings file
 
-// arguments of both programs.
+// arguments are the command-line flags of ivydeck-control and ivydeck-data.
 type arguments struct {
 	Settings string           `help:"Settings file." env:"IVYDECK_NODE_FILE" default:"/etc/ivydeck/node.conf" placeholder:"FILE"`
-	Check    bool             `help:"Read the settings file, say what is wrong with it, and exit."`
-	LogLevel string           `help:"Least level that is logged." enum:"debug,info,warn,error" default:"info"`
+	Check    bool             `help:"Validate the settings file, print its errors and exit."`
+	LogLevel string           `help:"Minimum level of log messages." enum:"debug,info,warn,error" default:"info"`
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// Run is the main part of a program: it returns once ctx ends. reload blocks until the settings have changed; it returns nil
-// once ctx has ended.
-type Run func(ctx context.Context, set *nodefile.Settings, reload func() *nodefile.Settings, log *slog.Logger) error
+// Run is the main function of a program. It returns when ctx is done. reload blocks until the settings change and returns the
+// new ones, or nil when ctx is done.
+type Run func(ctx context.Context, settings *nodefile.Settings, reload func() *nodefile.Settings, log *slog.Logger) error
 
-// Main runs a program for machines of a class, and exits.
-func Main(name, about string, class nodefile.Class, run Run) {
-	os.Exit(start(name, about, class, run))
+// Main runs a program for machines of a class, and exits the process.
+func Main(name, description string, class nodefile.Class, run Run) {
+	os.Exit(start(name, description, class, run))
 }
 
-func start(name, about string, class nodefile.Class, run Run) int {
+func start(name, description string, class nodefile.Class, run Run) int {
 	var args arguments
-	parser, err := kong.New(&args, kong.Name(name), kong.Description(about), kong.Vars{"version": name + " " + Version})
+	parser, err := kong.New(&args, kong.Name(name), kong.Description(description), kong.Vars{"version": name + " " + Version})
 	if err == nil {
 		_, err = parser.Parse(os.Args[1:])
 	}
 	if err != nil {
 		return fail(name, err)
 	}
-	set, err := load(args.Settings, class)
+	settings, err := load(args.Settings, class)
 	var faults nodefile.Faults
 	if args.Check && errors.As(err, &faults) {
 		for _, f := range faults {
 			fmt.Fprintf(os.Stderr, "%s: %s: %s\n", name, args.Settings, f)
 		}
-		return exitFault
+		return exitFailure
 	}
 	if err != nil {
 		return fail(name, err)
 	}
 	if args.Check {
-		if _, err := Identity(set, slog.New(slog.DiscardHandler)); err != nil {
+		if _, err := Identity(settings, slog.New(slog.DiscardHandler)); err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %s: %v\n", name, args.Settings, err)
-			return exitFault
+			return exitFailure
 		}
 		fmt.Printf("%s: %s: no fault found\n", name, args.Settings)
 		return 0
@@ -77,8 +77,8 @@
 	var level slog.Level
 	level.UnmarshalText([]byte(args.LogLevel)) // the parser accepts only valid levels
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	// The garbage collector works harder well before the platform would kill the process.
-	debug.SetMemoryLimit(int64(set.MemoryMB) << 20 * 3 / 4)
+	// The soft limit of three quarters makes the garbage collector more aggressive before the platform kills the process.
+	debug.SetMemoryLimit(int64(settings.MemoryMB) << 20 * 3 / 4)
 
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -86,22 +86,23 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	w := &watcher{path: args.Settings, class: class, hup: hup, log: log, lastStamp: stamp(args.Settings)}
-	if err := run(ctx, set, func() *nodefile.Settings { return w.next(ctx) }, log); err != nil {
+	if err := run(ctx, settings, func() *nodefile.Settings { return w.next(ctx) }, log); err != nil {
 		return fail(name, err)
 	}
 	return 0
 }
 
-// Tool runs a program with several commands, and exits. A command's Run may take a context, which an interrupt ends.
-func Tool(name, about string, commands any) {
+// Tool runs a program with subcommands, and exits the process on an error. The Run method of a command may take a context,
+// which is cancelled on an interrupt.
+func Tool(name, description string, commands any) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	parser, err := kong.New(commands, kong.Name(name), kong.Description(about), kong.Vars{"version": name + " " + Version},
+	parser, err := kong.New(commands, kong.Name(name), kong.Description(description), kong.Vars{"version": name + " " + Version},
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	if err != nil {
 		os.Exit(fail(name, err))
 	}
-	kongplete.Complete(parser) // answers the shell, where it asks, and ends
+	kongplete.Complete(parser) // on a completion request of the shell, prints the completions and exits
 	k, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	if err := k.Run(); err != nil {
@@ -109,32 +110,34 @@
 	}
 }
 
+// fail prints an error and returns the exit code.
 func fail(name string, err error) int {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-	return exitFault
+	return exitFailure
 }
 
+// load reads the settings file and checks the machine class.
 func load(path string, class nodefile.Class) (*nodefile.Settings, error) {
-	set, err := nodefile.Load(path)
+	settings, err := nodefile.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	if set.Class != class {
-		return nil, fmt.Errorf("settings: %s: machine_class is %s, and this program is for %s", path, set.Class, class)
+	if settings.Class != class {
+		return nil, fmt.Errorf("settings: %s: machine_class is %s, but this program requires %s", path, settings.Class, class)
 	}
-	return set, nil
+	return settings, nil
 }
 
-// watcher waits for changes of the settings file.
+// watcher waits for changes of the settings file, by SIGHUP or by polling.
 type watcher struct {
 	path      string
 	class     nodefile.Class
 	hup       <-chan os.Signal
 	log       *slog.Logger
-	lastStamp string
+	lastStamp string // of the file when it was last loaded
 }
 
-// stamp changes when a file does.
+// stamp returns the modification time and size of a file, to detect changes. It is empty if the file does not exist.
 func stamp(path string) string {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -146,10 +149,10 @@
 	return fmt.Sprint(info.ModTime().UnixNano(), info.Size())
 }
 
-// next returns the settings after their next change, or nil once ctx ends. A file with a fault is logged, and the settings
-// in force stay.
+// next waits for a change of the file or a SIGHUP and returns the new settings, or nil when ctx is done. It logs an invalid
+// file and keeps waiting.
 func (w *watcher) next(ctx context.Context) *nodefile.Settings {
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -157,17 +160,17 @@
 			return nil
 		case <-w.hup:
 		case <-tick.C:
-			if now := stamp(w.path); now == w.lastStamp {
+			if newStamp := stamp(w.path); newStamp == w.lastStamp {
 				continue
 			}
 		}
 		w.lastStamp = stamp(w.path)
-		set, err := load(w.path, w.class)
+		settings, err := load(w.path, w.class)
 		if err != nil {
 			w.log.Error("settings.reload_failed", "err", err)
 			continue
 		}
 		w.log.Info("settings.reloaded", "file", w.path)
-		return set
+		return settings
 	}
 }
