--- a/internal/pkg/bytedelta/bytedelta.go
+++ b/internal/pkg/bytedelta/bytedelta.go
@@ -1,5 +1,5 @@
-// Package bytedelta encodes a byte string as a delta to another: the ranges that are copied, and the bytes in between.
-// It costs about what differs, wherever bytes were put in or taken out. Its functions are pure.
+// Package bytedelta encodes a byte string as a delta to a base: ranges to copy from the base, and literal bytes. The size of
+// the delta is about that of the difference, wherever bytes were inserted or deleted.
 package bytedelta
 
 import (
@@ -10,122 +10,126 @@
 )
 
 const (
-	blockSize   = 32 // ranges that moved are found by blocks of the base
-	minCopy     = 12 // a copy costs a few bytes itself
-	searchAhead = 16 // so many bytes may be replaced before what follows is looked for elsewhere
+	blockSize   = 32 // size in bytes of the indexed blocks of the base, by which moved ranges are found
+	minCopy     = 12 // minimum length of a copy in bytes, as a copy step takes a few bytes itself
+	maxReplaced = 16 // bound on the replaced bytes that matchInPlace skips
 
-	hashFactor = 0x9E3779B97F4A7C15
+	hashFactor = 0x9E3779B97F4A7C15 // 2^64 divided by the golden ratio
 )
 
-// ErrMalformed is an error of Apply: the delta is none, or one for another base.
+// ErrMalformed is returned by Apply if the delta is invalid or was made for another base.
 var ErrMalformed = errors.New("bytedelta: the delta does not fit the base")
 
-// A delta is a row of steps. Each begins with a number, twice the length and one more for a copy. A copy's offset in the
-// base follows, less the end of the copy before; else so many bytes do.
+// A delta is a sequence of steps. Each step begins with a uvarint: the length shifted left by one, with the low bit set for a
+// copy. A copy continues with its offset in the base, as a varint relative to the end of the previous copy. A literal
+// continues with its bytes.
 
-// Encode returns the delta that leads from a base to a target.
+// Encode returns a delta that Apply turns into target, given base.
 func Encode(base, target []byte) []byte {
 	e := encoder{base: base, target: target}
-	at, inBase := 0, 0 // inBase lines up with at, if nothing was put in or taken out since the last copy
-	for at < len(target) {
-		replaced, aligned := e.aligned(at, inBase)
-		movedTo, movedBytes := e.moved(at, inBase)
+	offset, baseOffset := 0, 0 // baseOffset corresponds to offset unless bytes were inserted or deleted since the last copy
+	for offset < len(target) {
+		replaced, aligned := e.matchInPlace(offset, baseOffset)
+		movedTo, movedBytes := e.matchMoved(offset, baseOffset)
 		switch {
 		case movedBytes >= minCopy && movedBytes > 2*(replaced+aligned):
-			at, inBase = e.copyRange(at, movedTo, movedBytes)
-		case aligned >= minCopy || aligned > 0 && at+aligned == len(target):
-			at, inBase = e.copyRange(at+replaced, inBase+replaced, aligned)
+			offset, baseOffset = e.appendCopy(offset, movedTo, movedBytes)
+		case aligned >= minCopy || aligned > 0 && offset+aligned == len(target):
+			offset, baseOffset = e.appendCopy(offset+replaced, baseOffset+replaced, aligned)
 		default:
-			at++
-			inBase++
+			offset++
+			baseOffset++
 		}
 	}
-	e.literal(len(target))
+	e.appendLiteral(len(target))
 	return e.delta
 }
 
-// encoder makes one delta.
+// encoder builds one delta.
 type encoder struct {
 	base, target []byte
 	delta        []byte
-	written      int            // of the target
-	copyEnd      int            // in the base, of the last copy
-	blocks       map[uint64]int // where blocks of the base begin, by their hash; made when it is needed
+	written      int            // number of target bytes in the delta
+	copyEnd      int            // end of the last copy, as an offset in the base
+	blocks       map[uint64]int // offsets of the base's blocks, by hash; created on first use
 }
 
-// literal puts the target's bytes up to an offset into the delta.
-func (e *encoder) literal(upTo int) {
-	if upTo > e.written {
-		e.delta = binary.AppendUvarint(e.delta, uint64(upTo-e.written)<<1)
-		e.delta = append(e.delta, e.target[e.written:upTo]...)
-		e.written = upTo
+// appendLiteral appends the target bytes from written to end.
+func (e *encoder) appendLiteral(end int) {
+	if end > e.written {
+		e.delta = binary.AppendUvarint(e.delta, uint64(end-e.written)<<1)
+		e.delta = append(e.delta, e.target[e.written:end]...)
+		e.written = end
 	}
 }
 
-// copyRange puts a copy into the delta, and returns where both sides are behind it.
-func (e *encoder) copyRange(at, inBase, n int) (nextAt, nextInBase int) {
-	e.literal(at)
+// appendCopy appends a copy of n bytes, after the literal bytes before it. It returns the offsets after the copy.
+func (e *encoder) appendCopy(offset, baseOffset, n int) (nextOffset, nextBase int) {
+	e.appendLiteral(offset)
 	e.delta = binary.AppendUvarint(e.delta, uint64(n)<<1|1)
-	e.delta = binary.AppendVarint(e.delta, int64(inBase-e.copyEnd))
-	e.written, e.copyEnd = at+n, inBase+n
-	return at + n, inBase + n
+	e.delta = binary.AppendVarint(e.delta, int64(baseOffset-e.copyEnd))
+	e.written, e.copyEnd = offset+n, baseOffset+n
+	return offset + n, baseOffset + n
 }
 
-// aligned returns how many bytes are the same on both sides, behind some that are replaced.
-func (e *encoder) aligned(at, inBase int) (replaced, n int) {
-	for replaced = range searchAhead {
-		if at+replaced >= len(e.target) || inBase+replaced >= len(e.base) {
+// matchInPlace matches the target at offset with the base at baseOffset. It returns the number of replaced bytes before the
+// match, fewer than maxReplaced, and the length of the match.
+func (e *encoder) matchInPlace(offset, baseOffset int) (replaced, n int) {
+	for replaced = range maxReplaced {
+		if offset+replaced >= len(e.target) || baseOffset+replaced >= len(e.base) {
 			break
 		}
-		n = commonPrefix(e.base[inBase+replaced:], e.target[at+replaced:])
+		n = commonPrefix(e.base[baseOffset+replaced:], e.target[offset+replaced:])
 		if n >= minCopy {
 			return replaced, n
 		}
 	}
-	return 0, commonPrefix(e.base[min(inBase, len(e.base)):], e.target[at:])
+	return 0, commonPrefix(e.base[min(baseOffset, len(e.base)):], e.target[offset:])
 }
 
-// moved returns another place in the base at which the target goes on from an offset, and for how many bytes. Right
-// behind a copy a block may begin before the offset: where records are alike, their names may have been replaced in line.
-func (e *encoder) moved(at, inBase int) (moved, n int) {
-	from := at
-	if at == e.written {
-		from = max(0, at-blockSize+1)
+// matchMoved finds the target at offset elsewhere in the base, by the index of blocks. It returns the base offset and the
+// length of the longest match. Directly after a copy it also looks up blocks that begin before offset: among similar records,
+// matchInPlace may have replaced the bytes that identify a moved record.
+func (e *encoder) matchMoved(offset, baseOffset int) (movedTo, n int) {
+	firstBlock := offset
+	if offset == e.written {
+		firstBlock = max(0, offset-blockSize+1)
 	}
-	for block := from; block <= at; block++ {
-		begin, ok := e.find(block)
-		if !ok || begin-block == inBase-at {
+	for block := firstBlock; block <= offset; block++ {
+		blockOffset, ok := e.findBlock(block)
+		if !ok || blockOffset-block == baseOffset-offset {
 			continue
 		}
-		offset := begin + at - block
-		if m := commonPrefix(e.base[offset:], e.target[at:]); m > n {
-			moved, n = offset, m
+		candidate := blockOffset + offset - block
+		if m := commonPrefix(e.base[candidate:], e.target[offset:]); m > n {
+			movedTo, n = candidate, m
 		}
 	}
-	return moved, n
+	return movedTo, n
 }
 
-// ambiguous marks blocks that the base has more than once, which identify no position.
+// ambiguous marks blocks that occur more than once in the base and thus do not identify an offset.
 const ambiguous = -1
 
-// find returns where the base has the block that begins at an offset of the target.
-func (e *encoder) find(at int) (inBase int, ok bool) {
-	if at+blockSize > len(e.target) {
+// findBlock returns the base offset of the block that begins at an offset of the target.
+func (e *encoder) findBlock(offset int) (baseOffset int, ok bool) {
+	if offset+blockSize > len(e.target) {
 		return 0, false
 	}
 	if e.blocks == nil {
 		e.indexBlocks()
 	}
-	block := e.target[at : at+blockSize]
-	inBase, ok = e.blocks[hash(block)]
-	return inBase, ok && inBase != ambiguous && bytes.Equal(block, e.base[inBase:inBase+blockSize])
+	block := e.target[offset : offset+blockSize]
+	baseOffset, ok = e.blocks[hash(block)]
+	return baseOffset, ok && baseOffset != ambiguous && bytes.Equal(block, e.base[baseOffset:baseOffset+blockSize])
 }
 
+// indexBlocks indexes the blocks of the base that begin at multiples of blockSize.
 func (e *encoder) indexBlocks() {
 	e.blocks = make(map[uint64]int, len(e.base)/blockSize)
 	for i := 0; i+blockSize <= len(e.base); i += blockSize {
 		h := hash(e.base[i:])
-		if _, there := e.blocks[h]; there {
+		if _, duplicate := e.blocks[h]; duplicate {
 			e.blocks[h] = ambiguous
 		} else {
 			e.blocks[h] = i
@@ -133,7 +137,7 @@
 	}
 }
 
-// hash of the block that some bytes begin with.
+// hash returns the hash of the first blockSize bytes of b.
 func hash(b []byte) (h uint64) {
 	for i := 0; i < blockSize; i += 8 {
 		h = (h ^ binary.LittleEndian.Uint64(b[i:])) * hashFactor
@@ -142,11 +146,12 @@
 	return h
 }
 
+// commonPrefix returns the length of the common prefix of a and b.
 func commonPrefix(a, b []byte) int {
 	n, i := min(len(a), len(b)), 0
 	for i+8 <= n {
-		if differ := binary.LittleEndian.Uint64(a[i:]) ^ binary.LittleEndian.Uint64(b[i:]); differ != 0 {
-			return i + bits.TrailingZeros64(differ)/8
+		if diff := binary.LittleEndian.Uint64(a[i:]) ^ binary.LittleEndian.Uint64(b[i:]); diff != 0 {
+			return i + bits.TrailingZeros64(diff)/8
 		}
 		i += 8
 	}
@@ -156,18 +161,18 @@
 	return i
 }
 
-// Apply returns the target of a delta, which has maxSize bytes at most.
+// Apply returns the target of a delta. It returns ErrMalformed if the target is longer than maxSize.
 func Apply(base, delta []byte, maxSize int) ([]byte, error) {
 	target := make([]byte, 0, min(len(base)+len(delta), maxSize))
 	copyEnd := 0
 	for len(delta) > 0 {
-		head, used := binary.Uvarint(delta)
-		if used <= 0 || head>>1 > uint64(maxSize-len(target)) {
+		header, size := binary.Uvarint(delta)
+		if size <= 0 || header>>1 > uint64(maxSize-len(target)) {
 			return nil, ErrMalformed
 		}
-		delta = delta[used:]
-		n := int(head >> 1)
-		if head&1 == 0 {
+		delta = delta[size:]
+		n := int(header >> 1)
+		if header&1 == 0 {
 			if n > len(delta) {
 				return nil, ErrMalformed
 			}
@@ -175,17 +180,17 @@
 			delta = delta[n:]
 			continue
 		}
-		move, used := binary.Varint(delta)
-		if used <= 0 || move < -int64(len(base)) || move > int64(len(base)) {
+		distance, size := binary.Varint(delta)
+		if size <= 0 || distance < -int64(len(base)) || distance > int64(len(base)) {
 			return nil, ErrMalformed
 		}
-		delta = delta[used:]
-		from := copyEnd + int(move)
-		if from < 0 || n > len(base)-from {
+		delta = delta[size:]
+		start := copyEnd + int(distance)
+		if start < 0 || n > len(base)-start {
 			return nil, ErrMalformed
 		}
-		target = append(target, base[from:from+n]...)
-		copyEnd = from + n
+		target = append(target, base[start:start+n]...)
+		copyEnd = start + n
 	}
 	return target, nil
 }
--- a/internal/pkg/bytedelta/bytedelta_test.go
+++ b/internal/pkg/bytedelta/bytedelta_test.go
@@ -12,7 +12,8 @@
 
 const maxSize = 1 << 20
 
-// TestRandomEdits: a delta leads to the target, and is no longer than what was put in and a few bytes an edit.
+// TestRandomEdits checks that deltas yield the target, and that their size is bounded by the inserted bytes and a constant per
+// edit.
 func TestRandomEdits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	random := func(n int) []byte {
@@ -26,23 +27,23 @@
 		base := random(rng.IntN(20_000))
 		target, bound := slices.Clone(base), 0
 		for range rng.IntN(6) {
-			at := 0
+			offset := 0
 			if len(target) > 0 {
-				at = rng.IntN(len(target))
+				offset = rng.IntN(len(target))
 			}
 			switch rng.IntN(3) {
 			case 0:
-				in := random(rng.IntN(40))
-				target = slices.Insert(target, at, in...)
-				bound += len(in)
+				inserted := random(rng.IntN(40))
+				target = slices.Insert(target, offset, inserted...)
+				bound += len(inserted)
 			case 1:
-				target = slices.Delete(target, at, min(len(target), at+rng.IntN(200)))
+				target = slices.Delete(target, offset, min(len(target), offset+rng.IntN(200)))
 			default:
-				in := random(min(20, len(target)-at))
-				copy(target[at:], in)
-				bound += len(in)
+				inserted := random(min(20, len(target)-offset))
+				copy(target[offset:], inserted)
+				bound += len(inserted)
 			}
-			bound += 2*blockSize + minCopy + 24 // what is left of blocks at both ends, and two steps
+			bound += 2*blockSize + minCopy + 24 // partial blocks at both ends, and the headers of two steps
 		}
 		delta := Encode(base, target)
 		got, err := Apply(base, delta, maxSize)
@@ -50,13 +51,13 @@
 			t.Fatalf("round %d: %v", round, err)
 		}
 		if len(delta) > bound+16 {
-			t.Fatalf("round %d: %d bytes for edits of %d", round, len(delta), bound)
+			t.Fatalf("round %d: the delta has %d bytes, want at most 16 more than %d", round, len(delta), bound)
 		}
 	}
 }
 
-// TestRecordsThatAreAlike: one record of many that differ in little is put in, taken out or changed, and the rest is
-// copied from where it stands.
+// TestRecordsThatAreAlike inserts, deletes, changes or moves one of many similar records, and checks that the delta copies the
+// other records.
 func TestRecordsThatAreAlike(t *testing.T) {
 	record := func(i, value int) string {
 		return fmt.Sprintf("name=record-%d,path=/some/place%d/,kind=the same for all of them,value=%08d,limit=100,weight=0;", i, i, value)
@@ -71,9 +72,9 @@
 	base := join(func(list []string) []string { return list })
 	for i := 0; i < 400; i += 7 {
 		for name, target := range map[string][]byte{
-			"changed":   join(func(list []string) []string { list[i] = record(i, 12345); return list }),
-			"put in":    join(func(list []string) []string { return slices.Insert(list, i, record(9000, 3)) }),
-			"taken out": join(func(list []string) []string { return slices.Delete(list, i, i+1) }),
+			"changed":  join(func(list []string) []string { list[i] = record(i, 12345); return list }),
+			"inserted": join(func(list []string) []string { return slices.Insert(list, i, record(9000, 3)) }),
+			"deleted":  join(func(list []string) []string { return slices.Delete(list, i, i+1) }),
 			"moved": join(func(list []string) []string {
 				list[i], list[399-i] = list[399-i], list[i]
 				return list
@@ -84,7 +85,7 @@
 				t.Fatalf("%s at %d: %v", name, i, err)
 			}
 			if len(delta) > 300 {
-				t.Errorf("%s at %d: %d bytes", name, i, len(delta))
+				t.Errorf("%s at %d: the delta has %d bytes, want at most 300", name, i, len(delta))
 			}
 		}
 	}
@@ -93,20 +94,20 @@
 func TestMalformedDeltas(t *testing.T) {
 	for _, delta := range [][]byte{{0x80}, {9}, {5, 200}, {2}, {3, 1, 0xff}, {0xff, 0xff, 0xff, 0xff, 0x0f, 0}, {9, 1}} {
 		if got, err := Apply([]byte("base"), delta, 100); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%v gives %q, %v", delta, got, err)
+			t.Errorf("delta %v: Apply returned %q, %v, want ErrMalformed", delta, got, err)
 		}
 	}
 }
 
-// FuzzDelta: any two strings, and any delta.
+// FuzzDelta checks that Apply reverses Encode, and that arbitrary deltas yield no more than the maximum size.
 func FuzzDelta(f *testing.F) {
 	f.Add([]byte("one two three four five six seven eight nine ten"), []byte("one two 3 four five six seven eight nine ten"), []byte{3, 0})
 	f.Fuzz(func(t *testing.T, base, target, delta []byte) {
 		if got, err := Apply(base, Encode(base, target), len(target)); err != nil || !bytes.Equal(got, target) {
-			t.Errorf("%q to %q gives %q, %v", base, target, got, err)
+			t.Errorf("delta from %q to %q: Apply returned %q, %v", base, target, got, err)
 		}
 		if got, err := Apply(base, delta, maxSize); err == nil && len(got) > maxSize {
-			t.Errorf("%d bytes", len(got))
+			t.Errorf("Apply returned %d bytes, over the maximum", len(got))
 		}
 	})
 }
--- a/internal/pkg/cowmap/cowmap.go
+++ b/internal/pkg/cowmap/cowmap.go
@@ -1,16 +1,17 @@
-// Package cowmap is an immutable map with string keys. An edited copy shares with its original all shards that the edit
-// did not touch, so that a change costs what it changes, and two versions are compared without a look at what they share.
+// Package cowmap implements an immutable, copy-on-write map with string keys. The map is split into shards. An edited version
+// shares all unmodified shards with its original: an edit copies only the shards that it modifies, and Compare skips shared
+// shards.
 package cowmap
 
 const shardCount = 256
 
-// Map is one version. Its zero value is empty. Versions are safe for use by several goroutines.
+// Map is an immutable version of the map. The zero value is empty. It is safe for concurrent use.
 type Map[V any] struct {
-	shards *[shardCount]map[string]V // nil: empty
+	shards *[shardCount]map[string]V // nil if the map was never edited
 	length int
 }
 
-// shardOf is the FNV-1a hash of a key, so that the order of shards is alike in every process.
+// shardOf returns the shard index of a key, by its FNV-1a hash. It is the same in every process.
 func shardOf[K ~string | ~[]byte](key K) int {
 	h := uint32(2166136261)
 	for i := range len(key) {
@@ -19,10 +20,10 @@
 	return int((h ^ h>>16) % shardCount)
 }
 
-// Len is the number of keys.
+// Len returns the number of keys.
 func (m Map[V]) Len() int { return m.length }
 
-// Get returns the value of a key.
+// Get returns the value of a key, and whether the key is present.
 func (m Map[V]) Get(key string) (value V, ok bool) {
 	if m.shards == nil {
 		return value, false
@@ -31,7 +32,7 @@
 	return value, ok
 }
 
-// GetBytes is Get for a key that is no string yet; it does not allocate.
+// GetBytes is Get for a key in a byte slice. It does not allocate.
 func (m Map[V]) GetBytes(key []byte) (value V, ok bool) {
 	if m.shards == nil {
 		return value, false
@@ -40,7 +41,7 @@
 	return value, ok
 }
 
-// Each calls a function with every key and value, in no particular order.
+// Each calls visit for every key, in unspecified order.
 func (m Map[V]) Each(visit func(key string, value V)) {
 	if m.shards == nil {
 		return
@@ -52,24 +53,24 @@
 	}
 }
 
-// Edit begins a new version; the old one stays as it is.
+// Edit returns an editor for a new version. It does not modify m.
 func (m Map[V]) Edit() *Editor[V] { return &Editor[V]{m: m} }
 
-// Editor makes a new version of a map. It is not for use by several goroutines.
+// Editor builds a new version of a map. It is not safe for concurrent use.
 type Editor[V any] struct {
-	m     Map[V]
-	owned [shardCount]bool // copied already, or new
-	began bool
+	m      Map[V]
+	owned  [shardCount]bool // the shard is a private copy
+	cloned bool             // the array of shards is a private copy
 }
 
-// shard returns the copy of a key's shard that may be written.
+// shard returns the editor's private copy of a key's shard, which it creates on first use.
 func (e *Editor[V]) shard(key string) map[string]V {
-	if !e.began {
+	if !e.cloned {
 		shards := new([shardCount]map[string]V)
 		if e.m.shards != nil {
 			*shards = *e.m.shards
 		}
-		e.m.shards, e.began = shards, true
+		e.m.shards, e.cloned = shards, true
 	}
 	i := shardOf(key)
 	if !e.owned[i] {
@@ -83,10 +84,10 @@
 	return e.m.shards[i]
 }
 
-// Get returns the value of a key, as edited so far.
+// Get returns the value of a key with the edits so far.
 func (e *Editor[V]) Get(key string) (value V, ok bool) { return e.m.Get(key) }
 
-// Set gives a key a value.
+// Set sets the value of a key.
 func (e *Editor[V]) Set(key string, value V) {
 	shard := e.shard(key)
 	before := len(shard)
@@ -103,41 +104,41 @@
 	e.m.length--
 }
 
-// Map returns the new version; the editor is not used after it.
+// Map returns the new version. The editor must not be used afterwards.
 func (e *Editor[V]) Map() Map[V] { return e.m }
 
-// Change is what has become of one key. Without Had it is new, without Has it is gone.
+// Change holds the values of a key in two versions. Had and Has report whether the old and the new version contain the key.
 type Change[V any] struct {
 	Key      string
 	Old, New V
 	Had, Has bool
 }
 
-// Compare calls a function for the keys of all shards that two versions do not share; a key's value may be the same in
-// both. The order of keys within a shard varies.
-func Compare[V any](old, now Map[V], visit func(c Change[V])) {
-	if old.shards == now.shards {
+// Compare calls visit for every key in the shards that two versions do not share. The key may have the same value in both. The
+// order of keys within a shard is unspecified.
+func Compare[V any](old, updated Map[V], visit func(c Change[V])) {
+	if old.shards == updated.shards {
 		return
 	}
-	var none [shardCount]map[string]V
-	before, after := old.shards, now.shards
+	var empty [shardCount]map[string]V
+	before, after := old.shards, updated.shards
 	if before == nil {
-		before = &none
+		before = &empty
 	}
 	if after == nil {
-		after = &none
+		after = &empty
 	}
 	for i := range before {
-		if same(before[i], after[i]) {
+		if sameMap(before[i], after[i]) {
 			continue
 		}
 		for key, value := range after[i] {
-			was, had := before[i][key]
-			visit(Change[V]{Key: key, Old: was, New: value, Had: had, Has: true})
+			oldValue, had := before[i][key]
+			visit(Change[V]{Key: key, Old: oldValue, New: value, Had: had, Has: true})
 		}
-		for key, was := range before[i] {
+		for key, oldValue := range before[i] {
 			if _, has := after[i][key]; !has {
-				visit(Change[V]{Key: key, Old: was, Had: true})
+				visit(Change[V]{Key: key, Old: oldValue, Had: true})
 			}
 		}
 	}
--- a/internal/pkg/cowmap/cowmap_test.go
+++ b/internal/pkg/cowmap/cowmap_test.go
@@ -8,19 +8,20 @@
 )
 
 func content(m Map[int]) map[string]int {
-	all := map[string]int{}
-	m.Each(func(key string, value int) { all[key] = value })
-	return all
+	values := map[string]int{}
+	m.Each(func(key string, value int) { values[key] = value })
+	return values
 }
 
-// TestVersions: random edits give what a plain map gives, old versions stay, and a comparison leads from one to the other.
+// TestVersions checks against a plain map that random edits take effect, that they do not modify old versions, and that Compare
+// reports all changes without visiting shared shards.
 func TestVersions(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var now Map[int]
+	var current Map[int]
 	plain := map[string]int{}
 	for round := range 300 {
-		old, before := now, maps.Clone(plain)
-		e := now.Edit()
+		old, plainBefore := current, maps.Clone(plain)
+		e := current.Edit()
 		for range rng.IntN(6) {
 			key := fmt.Sprint(rng.IntN(400))
 			if rng.IntN(3) == 0 {
@@ -31,15 +32,15 @@
 				plain[key] = round
 			}
 		}
-		now = e.Map()
-		if !maps.Equal(content(now), plain) || now.Len() != len(plain) || !maps.Equal(content(old), before) {
-			t.Fatalf("round %d: %d keys, want %d", round, now.Len(), len(plain))
+		current = e.Map()
+		if !maps.Equal(content(current), plain) || current.Len() != len(plain) || !maps.Equal(content(old), plainBefore) {
+			t.Fatalf("round %d: wrong content, or the old version changed: %d keys, want %d", round, current.Len(), len(plain))
 		}
-		compared, visited := maps.Clone(before), 0
-		Compare(old, now, func(c Change[int]) {
+		compared, visited := maps.Clone(plainBefore), 0
+		Compare(old, current, func(c Change[int]) {
 			visited++
-			if was, had := before[c.Key]; had != c.Had || had && was != c.Old {
-				t.Errorf("%s was %v %v, not %+v", c.Key, was, had, c)
+			if was, had := plainBefore[c.Key]; had != c.Had || had && was != c.Old {
+				t.Errorf("key %s: the old value is %v (present: %v), Compare reported %+v", c.Key, was, had, c)
 			}
 			if c.Has {
 				compared[c.Key] = c.New
@@ -48,12 +49,12 @@
 			}
 		})
 		if !maps.Equal(compared, plain) || visited > 6*8 {
-			t.Fatalf("round %d: the comparison looked at %d keys and leads to %d", round, visited, len(compared))
+			t.Fatalf("round %d: Compare visited %d keys, and its changes yield %d keys", round, visited, len(compared))
 		}
 	}
 	for key, value := range plain {
-		if got, ok := now.GetBytes([]byte(key)); !ok || got != value {
-			t.Errorf("%s is %d, %v", key, got, ok)
+		if got, ok := current.GetBytes([]byte(key)); !ok || got != value {
+			t.Errorf("GetBytes of %s returned %d, %v", key, got, ok)
 		}
 	}
 }
--- a/internal/pkg/cowmap/same.go
+++ b/internal/pkg/cowmap/same.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// same reports whether two shards are one and the same map.
-func same[V any](a, b map[string]V) bool {
+// sameMap reports whether a and b are the same map, not only equal.
+func sameMap[V any](a, b map[string]V) bool {
 	return reflect.ValueOf(a).UnsafePointer() == reflect.ValueOf(b).UnsafePointer()
 }
--- a/internal/pkg/timerpool/timerpool.go
+++ b/internal/pkg/timerpool/timerpool.go
@@ -1,5 +1,4 @@
-// Package timerpool keeps timers that are not in use: a request waits several times, mostly for something that comes
-// before the time is up, and a timer with its channel is dear to make.
+// Package timerpool reuses timers, to save the allocation of a timer and its channel for each wait of a request.
 package timerpool
 
 import (
@@ -10,7 +9,7 @@
 
 var idle sync.Pool
 
-// Get returns a timer that fires after d, on its channel only. Put returns it to the pool.
+// Get returns a timer that sends on its channel after d. The caller returns it with Put.
 func Get(d time.Duration) *time.Timer {
 	if t, ok := idle.Get().(*time.Timer); ok {
 		t.Reset(d)
@@ -19,13 +18,14 @@
 	return time.NewTimer(d)
 }
 
-// Put stops a timer that came from Get; it is not used after that. What it has not delivered by then it never does.
+// Put stops a timer and returns it to the pool. The caller must not use it afterwards. A time that was not received before
+// is discarded.
 func Put(t *time.Timer) {
 	t.Stop()
 	idle.Put(t)
 }
 
-// Sleep waits, or returns with the end of the context.
+// Sleep returns after d or when ctx is done, whichever is first.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := Get(d)
 	defer Put(timer)
--- a/internal/pkg/workerpool/workerpool.go
+++ b/internal/pkg/workerpool/workerpool.go
@@ -1,5 +1,5 @@
-// Package workerpool runs short jobs on goroutines that stay for the next one. A goroutine begins with a small stack, and
-// one that carries a request copies it twice until it is large enough: a sixth of the request's processor time.
+// Package workerpool runs short jobs on reused goroutines. A new goroutine starts with a small stack, which the runtime grows
+// by copying while it handles a request. Reuse avoids this cost.
 package workerpool
 
 import (
@@ -8,10 +8,10 @@
 	"sync/atomic"
 )
 
-// maxIdle is how many goroutines wait for a job: what a node has under way at a time in calm.
+// maxIdle is the maximum number of idle goroutines.
 const maxIdle = 8
 
-// Pool runs jobs.
+// Pool runs jobs on reused goroutines. It is safe for concurrent use.
 type Pool struct {
 	ctx     context.Context
 	jobs    chan func()
@@ -19,34 +19,35 @@
 	workers sync.WaitGroup
 }
 
-// New returns a pool whose idle goroutines end with the context.
+// New returns a pool. Its idle goroutines exit when ctx is done.
 func New(ctx context.Context) *Pool { return &Pool{ctx: ctx, jobs: make(chan func())} }
 
-// Go runs a job at once, on an idle goroutine or a new one.
-func (c *Pool) Go(job func()) {
+// Go starts a job without waiting for other jobs, on an idle goroutine or a new one.
+func (p *Pool) Go(job func()) {
 	select {
-	case c.jobs <- job:
+	case p.jobs <- job:
 	default:
-		c.workers.Go(func() { c.work(job) })
+		p.workers.Go(func() { p.work(job) })
 	}
 }
 
-func (c *Pool) work(job func()) {
+// work runs a job and then further ones, until ctx is done or maxIdle other goroutines are idle.
+func (p *Pool) work(job func()) {
 	for {
 		job()
-		job = nil // what it holds is free while this waits
-		if c.idle.Add(1) > maxIdle {
-			c.idle.Add(-1)
+		job = nil // release the memory of the job while idle
+		if p.idle.Add(1) > maxIdle {
+			p.idle.Add(-1)
 			return
 		}
 		select {
-		case job = <-c.jobs:
-			c.idle.Add(-1)
-		case <-c.ctx.Done():
+		case job = <-p.jobs:
+			p.idle.Add(-1)
+		case <-p.ctx.Done():
 			return
 		}
 	}
 }
 
-// Wait returns once all jobs are done and the context has ended.
-func (c *Pool) Wait() { c.workers.Wait() }
+// Wait waits until ctx is done and all jobs have returned.
+func (p *Pool) Wait() { p.workers.Wait() }
--- a/internal/pkg/workerpool/workerpool_test.go
+++ b/internal/pkg/workerpool/workerpool_test.go
@@ -7,55 +7,55 @@
 	"testing"
 )
 
-// TestGo: jobs never wait for each other, however many there are, and all goroutines end with the context.
+// TestGo checks that jobs run concurrently regardless of their number, and that all goroutines exit when the context is done.
 func TestGo(t *testing.T) {
 	before := runtime.NumGoroutine()
 	ctx, cancel := context.WithCancel(context.Background())
-	c := New(ctx)
+	pool := New(ctx)
 	for range 3 {
 		var running, done sync.WaitGroup
-		gate := make(chan struct{})
+		release := make(chan struct{})
 		for range 5 * maxIdle {
 			running.Add(1)
 			done.Add(1)
-			c.Go(func() {
+			pool.Go(func() {
 				defer done.Done()
 				running.Done()
-				<-gate
+				<-release
 			})
 		}
-		running.Wait() // each has begun while none has ended
-		close(gate)
+		running.Wait() // all jobs run at the same time
+		close(release)
 		done.Wait()
-		for c.idle.Load() != maxIdle {
+		for pool.idle.Load() != maxIdle {
 			runtime.Gosched()
 		}
 	}
 	cancel()
-	c.Wait()
+	pool.Wait()
 	for runtime.NumGoroutine() > before {
 		runtime.Gosched()
 	}
 }
 
-// BenchmarkGo runs a job with a deep stack.
+// BenchmarkGo compares the pool with new goroutines for a job that needs a large stack.
 func BenchmarkGo(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := New(ctx)
+	pool := New(ctx)
 	done := make(chan byte)
 	var deep func(n int) byte
 	deep = func(n int) byte {
-		var room [512]byte
+		var frame [512]byte
 		if n > 0 {
-			room[n] = deep(n - 1)
+			frame[n] = deep(n - 1)
 		}
-		return room[n/2]
+		return frame[n/2]
 	}
 	job := func() { done <- deep(12) }
 	b.Run("pool", func(b *testing.B) {
 		for b.Loop() {
-			c.Go(job)
+			pool.Go(job)
 			<-done
 		}
 	})
