--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -50,7 +50,8 @@
 // linearCheckLimit is the number of routes up to which services are searched without an index.
 const linearCheckLimit = 8
 
-// check returns all errors of the routes at the given indexes, and of the services if backends is set.
+// check validates the revision, the limits, the routes at the given indexes and, if backends is set, the services. It returns
+// all errors.
 func (c *Config) check(routes []int, backends bool) error {
 	var errs []error
 	addError := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
--- a/internal/config/meshconfig/route.go
+++ b/internal/config/meshconfig/route.go
@@ -35,7 +35,7 @@
 	Backends        []Weighted `msgpack:"weighted_backends"`
 	MaxAttempts     int        `msgpack:"max_attempts"`
 
-	total float64 // sum of the weights
+	total float64 // sum of the weights; zero if Backend is set
 }
 
 // Timeout returns the maximum duration of a request.
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -96,8 +96,8 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	return resp.StatusCode, answer, err
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	return resp.StatusCode, respBody, err
 }
 
 // Read returns the current configuration, encoded as the operator sent it and parsed. Both are nil if there is none.
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -60,7 +60,8 @@
 // Deadline returns the caller's deadline. It implements context.Context.
 func (s *Stream) Deadline() (time.Time, bool) { return s.deadline, !s.deadline.IsZero() }
 
-// Done returns a channel that is closed when the peer cancels the stream, the connection fails or the handler returns.
+// Done returns a channel that is closed when the peer cancels the stream, the connection fails, the handler returns, or a
+// liveness check finds that the deadline has passed.
 func (s *Stream) Done() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	s.onFrame = f
 }
 
-// ClearOnEnd removes the function set by OnEnd. It reports false if there is none, as after the call.
+// ClearOnEnd removes the function set by OnEnd. It reports false if the function was already called or never set.
 func (s *Stream) ClearOnEnd() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
