--- a/internal/controlplane/raft/membership_cluster_test.go
+++ b/internal/controlplane/raft/membership_cluster_test.go
@@ -15,60 +15,63 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// A simulated quorum for the tests of the membership: processes with disks at addresses, messages and join calls that
-// take some milliseconds, cuts, lost disks, empty successors at other addresses, planned ends. All that a process does
-// for the membership is MembershipManager's; nothing here knows of it.
+// This file simulates a quorum for the membership tests: processes with disks and addresses, delayed messages and join
+// requests, partitions, lost disks, replacements at other addresses and graceful shutdowns. Each process runs a
+// MembershipManager, and the simulation itself makes no membership decisions.
 
 const (
-	memberTail      = 50 // entries kept in front of a snapshot
+	memberTail      = 50 // maximum number of entries kept before a snapshot
 	memberStep      = time.Millisecond
-	joinCallTimeout = 600 * time.Millisecond // a join call that was not answered by then is given up
-	shutdownGrace   = 3 * time.Second        // a process that was asked to end is killed then
-	gossipDelay     = time.Second            // a new address is known to all by then
+	joinCallTimeout = 600 * time.Millisecond // responses to a join request are ignored after this time
+	shutdownGrace   = 3 * time.Second        // a process that is shutting down is killed after this time
+	gossipDelay     = time.Second            // time until all processes know a new address
 )
 
-// process is a quorum member, or one that wants to be: it keeps its disk over restarts.
+// simProcess is a process that is a quorum member or joins the quorum. Its disk survives restarts.
 type simProcess struct {
 	address          string
 	disk             simdisk.Disk
-	node             *Node // nil: not running
+	node             *Node // nil while the process is down
 	manager          *MembershipManager
-	senderAddresses  map[uint64]string // addresses of those who sent messages
+	senderAddresses  map[uint64]string // address of each sender of a message, by identity
 	inbox            []processDelivery
 	frozen           bool
-	isolated         bool // from and to all others
-	inboundCut       bool // from all others, so that what it sends arrives
+	isolated         bool // cut off from all others in both directions
+	inboundCut       bool // receives nothing, but can send
 	startedAt        time.Duration
-	managedAt        time.Duration
+	managedAt        time.Duration // time of the last MembershipManager.Tick
 	applied          uint64
-	stateHash        uint64 // hash of all that was applied
-	proposals        map[uint64]uint64
-	terminating      bool          // it was asked to end by plan
-	killAt           time.Duration // then at the latest
-	leaveRequestedAt time.Duration // when it last asked the leader whether it may end
-	forgetsRejoin    bool          // mutation: it takes its own log's word for its membership
+	stateHash        uint64            // hash of all applied entries
+	proposals        map[uint64]uint64 // terms of the pending proposals, by index
+	terminating      bool              // it is shutting down gracefully
+	killAt           time.Duration     // end of the grace period of a shutdown
+	leaveRequestedAt time.Duration     // time of its last leave request
+	skipRejoin       bool              // mutation: it sends no join requests while its own log has it as a member
 }
 
+// processDelivery is a message, request or response in flight. deliver handles it at the receiver.
 type processDelivery struct {
 	deliverAt time.Duration
 	from      *simProcess
 	deliver   func(to *simProcess)
 }
 
+// membershipSim simulates the processes of a quorum.
 type membershipSim struct {
 	t               *testing.T
 	rng             *rand.Rand
 	now             time.Duration
-	processes       []*simProcess // all that ever were
+	processes       []*simProcess // including the stopped ones
 	wantedVoters    int
 	nextID          uint64
-	hashByIndex     map[uint64]uint64 // index: hash of all that was applied up to it
-	ackedIndex      uint64            // the last index that was acknowledged
-	ackedAt         time.Duration
+	hashByIndex     map[uint64]uint64 // state hash after the entry at an index
+	ackedIndex      uint64            // last index acknowledged to a client
+	ackedAt         time.Duration     // time of the last acknowledgement
 	failed          bool
-	newestCommitted membership
+	newestCommitted membership // see committedMembership
 }
 
+// newMembershipSim starts the given number of machines. The first one is the only voter, and the others join.
 func newMembershipSim(t *testing.T, seed uint64, machines, wanted int) *membershipSim {
 	sim := &membershipSim{t: t, rng: rand.New(rand.NewPCG(seed, 18)), wantedVoters: wanted, hashByIndex: map[uint64]uint64{}}
 	first := sim.addMachine("m0")
@@ -83,6 +86,7 @@
 	return sim
 }
 
+// reportFailure fails the test, unless the simulation has failed before.
 func (s *membershipSim) reportFailure(format string, args ...any) {
 	if !s.failed {
 		s.t.Errorf("at %v: %s", s.now, fmt.Sprintf(format, args...))
@@ -90,7 +94,7 @@
 	s.failed = true
 }
 
-// add makes a machine with an empty disk.
+// addMachine adds a machine with an empty disk. Its process is not started.
 func (s *membershipSim) addMachine(address string) *simProcess {
 	process := &simProcess{address: address, disk: simdisk.Disk{Tail: memberTail}}
 	s.processes = append(s.processes, process)
@@ -109,12 +113,14 @@
 	process.restore(process.disk.Snap)
 }
 
+// stop ends a process, and may lose unsynced writes.
 func (s *membershipSim) stop(process *simProcess) {
 	process.disk.Crash(s.rng)
 	process.node, process.manager, process.inbox, process.frozen = nil, nil, nil, false
 }
 
-// terminate is a SIGTERM: the process may end once it may leave.
+// terminate begins a graceful shutdown, as SIGTERM does. The process stops when its leave request is accepted or killAt is
+// reached.
 func (s *membershipSim) terminate(process *simProcess) {
 	process.terminating, process.killAt = true, s.now+shutdownGrace
 	process.manager.Leave()
@@ -131,6 +137,7 @@
 
 func (p *simProcess) peer() *wire.Peer { return &wire.Peer{Id: p.disk.ID, Address: p.address} }
 
+// processAt returns the running process at an address. It returns nil if there is none.
 func (s *membershipSim) processAt(address string) *simProcess {
 	for _, process := range s.processes {
 		if process.address == address && process.node != nil {
@@ -140,7 +147,7 @@
 	return nil
 }
 
-// carry takes something to a process, unless a cut or an end comes between.
+// enqueue schedules a delivery after a random delay, unless the processes are not connected.
 func (s *membershipSim) enqueue(from, to *simProcess, deliver func(to *simProcess)) {
 	if to == nil || to == from || from.isolated || to.isolated || to.inboundCut {
 		return
@@ -165,11 +172,11 @@
 	}
 }
 
-// due reports whether a process has something to do: a memberDelivery, its timer, or the membership, to which drivers look at
-// least this often.
+// hasWork reports whether a process must run: for a due delivery or timer, or because membershipInterval has passed since
+// its last MembershipManager.Tick.
 func (s *membershipSim) hasWork(process *simProcess) bool {
 	const membershipInterval = 10 * time.Millisecond
-	return s.now >= process.node.NextTick() || s.now-process.managedAt >= membershipInterval || slices.ContainsFunc(process.inbox, func(d processDelivery) bool { return d.deliverAt <= s.now })
+	return s.now >= process.node.NextTick() || s.now-process.managedAt >= membershipInterval || slices.ContainsFunc(process.inbox, func(delivery processDelivery) bool { return delivery.deliverAt <= s.now })
 }
 
 func (s *membershipSim) runUntil(until time.Duration) {
@@ -178,7 +185,7 @@
 	}
 }
 
-// turn is what a driver does: what has arrived, the time, the membership, the disk, messages, what is committed.
+// runProcess runs one iteration of a process's driver loop: due deliveries, Tick, the MembershipManager and Ready.
 func (s *membershipSim) runProcess(process *simProcess) {
 	delivered := false
 	remaining := process.inbox[:0]
@@ -196,7 +203,7 @@
 			delivery.deliver(process)
 			delivered = true
 		}
-		if process.node == nil { // it has left
+		if process.node == nil { // a leave response has stopped it
 			return
 		}
 	}
@@ -209,11 +216,12 @@
 	}
 }
 
+// tickManager calls MembershipManager.Tick, carries out its actions and sends a leave request if one is due.
 func (s *membershipSim) tickManager(process *simProcess) {
 	process.managedAt = s.now
 	actions := process.manager.Tick(s.now, process.peer(), s.wantedVoters, s.knownAddresses)
 	s.proposeMembership(process, actions.Propose)
-	if !process.forgetsRejoin || peerIndex(process.node.Peers(), process.disk.ID) < 0 {
+	if !process.skipRejoin || peerIndex(process.node.Peers(), process.disk.ID) < 0 {
 		for _, address := range actions.JoinAt {
 			s.sendJoinRequest(process, address)
 		}
@@ -233,6 +241,7 @@
 	}
 }
 
+// formatMembers returns the members' addresses, each after a space. Those of learners are in parentheses.
 func formatMembers(peers []*wire.Peer) (names string) {
 	for _, p := range peers {
 		switch {
@@ -245,7 +254,7 @@
 	return names
 }
 
-// known is the gossip's word: the addresses of all that have run for a moment.
+// knownAddresses returns the addresses of the processes that have run for gossipDelay, as gossip would.
 func (s *membershipSim) knownAddresses() (addresses []string) {
 	for _, process := range s.processes {
 		if process.node != nil && s.now-process.startedAt >= gossipDelay || s.now < gossipDelay {
@@ -271,6 +280,7 @@
 	})
 }
 
+// sendLeaveRequest sends a leave request to the leader. If the process is the leader itself, it transfers leadership instead.
 func (s *membershipSim) sendLeaveRequest(process *simProcess) {
 	if process.node.IsLeader() {
 		process.node.TransferLeadership(s.now)
@@ -299,11 +309,11 @@
 		if n := len(ready.Entries); n > 0 {
 			process.node.StableTo(ready.Entries[n-1].Index)
 		}
-		for _, m := range ready.Messages {
-			s.send(process, m)
+		for _, message := range ready.Messages {
+			s.send(process, message)
 		}
-		for _, e := range ready.CommittedEntries {
-			s.apply(process, e)
+		for _, entry := range ready.CommittedEntries {
+			s.apply(process, entry)
 		}
 		if process.node.Backlog() > 200 {
 			if snapshot := process.node.Compact(process.applied, process.state()); snapshot != nil {
@@ -313,28 +323,28 @@
 	}
 }
 
-func (s *membershipSim) send(sender *simProcess, m *wire.RaftMessage) {
-	address := sender.senderAddresses[m.To]
-	if i := peerIndex(sender.node.Peers(), m.To); i >= 0 {
+func (s *membershipSim) send(sender *simProcess, message *wire.RaftMessage) {
+	address := sender.senderAddresses[message.To]
+	if i := peerIndex(sender.node.Peers(), message.To); i >= 0 {
 		address = sender.node.Peers()[i].Address
 	}
-	senderAddress, m := sender.address, proto.CloneOf(m)
+	senderAddress, message := sender.address, proto.CloneOf(message)
 	s.enqueue(sender, s.processAt(address), func(to *simProcess) {
-		to.senderAddresses[m.From] = senderAddress
-		to.node.Step(s.now, m)
+		to.senderAddresses[message.From] = senderAddress
+		to.node.Step(s.now, message)
 	})
 }
 
 func (s *membershipSim) apply(process *simProcess, entry *wire.Entry) {
 	if entry.Index != process.applied+1 {
-		s.reportFailure("%s applies %d after %d", process.address, entry.Index, process.applied)
+		s.reportFailure("%s applies entry %d after entry %d", process.address, entry.Index, process.applied)
 	}
 	hash := fnv.New64a()
 	hash.Write(binary.BigEndian.AppendUint64(process.state(), entry.Term))
 	hash.Write(entry.Data)
 	process.applied, process.stateHash = entry.Index, hash.Sum64()
 	if stateHash, known := s.hashByIndex[entry.Index]; known && stateHash != process.stateHash {
-		s.reportFailure("%s applies entry %d of term %d, another has applied another one there", process.address, entry.Index, entry.Term)
+		s.reportFailure("the state of %s after entry %d of term %d differs from another process's", process.address, entry.Index, entry.Term)
 	}
 	s.hashByIndex[entry.Index] = process.stateHash
 	if term, ok := process.proposals[entry.Index]; ok && term == entry.Term {
@@ -343,7 +353,7 @@
 	delete(process.proposals, entry.Index)
 }
 
-// leader is the process that leads in the newest term and is not frozen or cut off; nil: none.
+// leader returns the leader with the newest term that is neither frozen nor cut off. It returns nil if there is none.
 func (s *membershipSim) leader() (leader *simProcess) {
 	for _, process := range s.processes {
 		if process.node != nil && process.node.IsLeader() && !process.frozen && !process.isolated && !process.inboundCut && (leader == nil || process.node.Term() > leader.node.Term()) {
@@ -353,8 +363,8 @@
 	return leader
 }
 
-// propose is a client's change, at whoever leads. As in the control plane, nothing is acknowledged by fewer voters than
-// keep it over the losses that are to be borne.
+// proposeChange proposes a client's change on the leader. As in the control plane, it proposes nothing while there are fewer
+// voters than MinAckVoters.
 func (s *membershipSim) proposeChange() {
 	leader := s.leader()
 	if leader == nil || Voters(leader.node.Peers()) < MinAckVoters(s.wantedVoters/2, s.wantedVoters) {
@@ -366,7 +376,7 @@
 	}
 }
 
-// committed is the newest membership that any process has ever known to be committed.
+// committedMembership returns the newest membership that any process has ever had as committed.
 func (s *membershipSim) committedMembership() membership {
 	for _, process := range s.processes {
 		if process.node == nil {
@@ -381,7 +391,7 @@
 	return s.newestCommitted
 }
 
-// votes reports whether a process is a voter of the membership that is committed.
+// isCommittedVoter reports whether a process with its current address is a voter of the committed membership.
 func (s *membershipSim) isCommittedVoter(process *simProcess) bool {
 	peers := s.committedMembership().peers
 	i := peerIndex(peers, process.disk.ID)
--- a/internal/controlplane/raft/membership_search_test.go
+++ b/internal/controlplane/raft/membership_search_test.go
@@ -10,10 +10,10 @@
 	"ivydeck/internal/transport/wire"
 )
 
-const generatedLeaders = 2000 // drawn by each of the searches below
+const generatedLeaders = 2000 // number of leaders that each test generates
 
-// drawnQuorum is a leader whose knowledge of its members is drawn at random, and what the rules below need to know
-// beside it.
+// generatedLeader is a leader with random progress of its members. Its methods check the leader's decisions independently of
+// the implementation.
 type generatedLeader struct {
 	*Node
 	rng          *rand.Rand
@@ -21,14 +21,14 @@
 	samples      []lastIndexSample
 }
 
-// logMark is the leader's last index at a moment.
+// lastIndexSample is the leader's last index at a time.
 type lastIndexSample struct {
 	at    time.Duration
 	index uint64
 }
 
-// drawQuorum returns a leader of 2 to 6 voters with up to two learners, of which each has answered at some moment, as far
-// as some index, may be about to end, and may have lost its disk.
+// newGeneratedLeader returns a leader of 2 to 6 voters and up to two learners, each with a random match index and time of
+// the last response. Members may be leaving, and learners may have the address of a voter whose disk is lost.
 func newGeneratedLeader(t *testing.T, seed uint64) *generatedLeader {
 	rng := rand.New(rand.NewPCG(seed, 0x3e3b))
 	size := 2 + rng.IntN(5)
@@ -40,7 +40,7 @@
 	for i := range learners {
 		address := fmt.Sprint("new", i)
 		if rng.IntN(4) == 0 {
-			address = fmt.Sprint("m", 2+rng.IntN(size-1)) // the machine of a voter, with an empty disk
+			address = fmt.Sprint("m", 2+rng.IntN(size-1)) // the address of a voter whose disk is lost
 		}
 		change, _ := leader.JoinChange(&wire.Peer{Id: uint64(101 + i), Address: address})
 		if err := leader.ProposeMembership(leader.now, change.Next); err != nil {
@@ -56,7 +56,7 @@
 	return leader
 }
 
-// pass lets a second go by in which entries are proposed and the leader looks at its members, as it does in service.
+// runOneSecond runs the leader for a second in which it proposes entries, and samples its last index as Reconcile does.
 func (g *generatedLeader) runOneSecond(t *testing.T, size int) {
 	for range 20 {
 		now := g.now + 50*time.Millisecond
@@ -73,7 +73,7 @@
 	}
 }
 
-// drawMember draws what the leader knows of a member.
+// randomizeProgress sets a member's progress to random values.
 func (g *generatedLeader) randomizeProgress(id uint64) {
 	p := g.progress[id]
 	if p == nil || id == g.id {
@@ -82,7 +82,7 @@
 	contactAges := []time.Duration{0, 0, 100 * time.Millisecond, 250 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second, time.Minute}
 	p.lastContact = g.now - contactAges[g.rng.IntN(len(contactAges))]
 	if g.rng.IntN(8) == 0 {
-		p.heartbeatRound = 0 // it has never answered
+		p.heartbeatRound = 0 // it has never responded to this leader
 	} else {
 		p.heartbeatRound = g.heartbeatRound
 	}
@@ -95,7 +95,7 @@
 
 func (g *generatedLeader) membershipIndex() uint64 { return g.memberships[len(g.memberships)-1].index }
 
-// answers reports whether a member does its part at this moment, as far as a leader can know.
+// responds reports whether a member has responded within 200 ms and has the newest membership.
 func (g *generatedLeader) responds(id uint64) bool {
 	if id == g.id {
 		return true
@@ -104,13 +104,13 @@
 	return p.heartbeatRound > 0 && g.now-p.lastContact < 200*time.Millisecond && p.match >= g.membershipIndex()
 }
 
-// leaves reports whether a member has said that it ends, and has not been heard a second later.
+// announcedLeave reports whether a member has announced its shutdown and has not responded a second or more after that.
 func (g *generatedLeader) announcedLeave(id uint64) bool {
 	announcedAt, ok := g.leaving[id]
 	return ok && g.progress[id].lastContact-announcedAt < time.Second
 }
 
-// toSpare counts the voters that stay and answer, beyond a majority of all.
+// failureMargin returns the number of voters that respond and are not leaving, minus the number that a majority needs.
 func (g *generatedLeader) failureMargin(peers []*wire.Peer) int {
 	voters, available := 0, 0
 	for _, p := range peers {
@@ -125,7 +125,7 @@
 	return available - (voters/2 + 1)
 }
 
-// answerMajority reports whether a majority of the voters answers.
+// majorityResponds reports whether a majority of the voters responds.
 func (g *generatedLeader) majorityResponds(peers []*wire.Peer) bool {
 	voters, responding := 0, 0
 	for _, p := range peers {
@@ -139,7 +139,7 @@
 	return responding > voters/2
 }
 
-// hadLately reports whether a member has what was in the log 300 ms ago, or all that is committed.
+// caughtUp reports whether a member has all committed entries, or those that the leader had 300 ms ago.
 func (g *generatedLeader) caughtUp(id uint64) bool {
 	match := g.progress[id].match
 	if match >= g.committed {
@@ -153,34 +153,34 @@
 	return false
 }
 
-// complaint says which rule a change breaks; empty: none.
+// violatedRule describes the rule that a change violates. It returns an empty string if there is none.
 func (g *generatedLeader) violatedRule(change MembershipChange) string {
 	margin := g.failureMargin(g.Peers())
 	switch change.Event {
 	case MemberRemoved:
 		switch {
 		case g.failureMargin(change.Next) < margin:
-			return fmt.Sprintf("%d to spare, %d before", g.failureMargin(change.Next), margin)
+			return fmt.Sprintf("%d failures are tolerated after the change, %d before", g.failureMargin(change.Next), margin)
 		case !g.majorityResponds(change.Next):
-			return "those that are left are no majority"
+			return "no majority of the remaining voters responds"
 		case Voters(change.Next) < g.wantedVoters-1:
-			return fmt.Sprintf("%d voters are left", Voters(change.Next))
+			return fmt.Sprintf("%d voters remain", Voters(change.Next))
 		case change.Reason == ReasonReplaced && g.responds(change.Peer.Id):
-			return "it answers"
+			return "the replaced voter responds"
 		}
 	case MemberPromoted:
 		switch {
 		case !g.responds(change.Peer.Id):
-			return "it does not answer, or lacks the membership"
+			return "the learner does not respond, or lacks the newest membership"
 		case !g.caughtUp(change.Peer.Id):
-			return fmt.Sprintf("it has %d of %d entries", g.progress[change.Peer.Id].match, g.last())
+			return fmt.Sprintf("the learner has %d of %d entries", g.progress[change.Peer.Id].match, g.last())
 		}
 	}
 	return ""
 }
 
-// TestSearchOfMembershipChanges draws what leaders may know of their members: no change that they would make leaves less
-// to spare, takes a majority away, or lets a learner vote that lacks what the others have.
+// TestSearchOfMembershipChanges generates random leaders. No change of Reconcile may reduce the number of tolerated failures,
+// leave the voters without a responding majority, or promote a learner that has not caught up.
 func TestSearchOfMembershipChanges(t *testing.T) {
 	changes := map[MembershipEvent]int{}
 	for seed := range uint64(generatedLeaders) {
@@ -197,14 +197,14 @@
 	}
 	for _, event := range []MembershipEvent{MemberRemoved, MemberPromoted, LearnerRemoved} {
 		if changes[event] < generatedLeaders/100 {
-			t.Errorf("%d changes are %s: hardly a search", changes[event], event)
+			t.Errorf("%d changes are %s: too few to be a meaningful test", changes[event], event)
 		}
 	}
 	t.Logf("changes: %v", changes)
 }
 
-// TestSearchOfLeaves draws the same, and a member that is about to end with a last entry of any index and term: it is
-// let go only when that entry was never committed, or is on a majority of the voters that stay.
+// TestSearchOfLeaves generates random leaders and leave requests with random last entries. A leader must report the entry as
+// replicated only if it has the entry and a majority of the remaining voters has it too.
 func TestSearchOfLeaves(t *testing.T) {
 	allowed := 0
 	for seed := range uint64(generatedLeaders) {
@@ -215,7 +215,7 @@
 		term := leader.Term() - leader.rng.Uint64N(2)
 		status, ok := leader.Leave(leader.now, id, index, term, leader.wantedVoters)
 		if !ok {
-			t.Fatalf("seed %d: no answer", seed)
+			t.Fatalf("seed %d: the leader did not handle the leave request", seed)
 		}
 		if !status.Replicated {
 			continue
@@ -232,14 +232,14 @@
 			}
 		}
 		ownTerm, known := leader.term(index)
-		if index <= leader.snapshot.Index { // all of that is committed
+		if index <= leader.snapshot.Index { // these entries are committed
 			ownTerm, known = term, true
 		}
 		if holders <= voters/2 || !known || ownTerm != term {
-			t.Fatalf("seed %d: member %d is let go with entry %d of term %d, which %d of the %d others have", seed, id, index, term, holders, voters)
+			t.Fatalf("seed %d: leave request of member %d: entry %d of term %d is reported as replicated, but %d of the %d other voters have it", seed, id, index, term, holders, voters)
 		}
 	}
 	if allowed < generatedLeaders/10 {
-		t.Errorf("%d members are let go: hardly a search", allowed)
+		t.Errorf("%d entries are reported as replicated: too few to be a meaningful test", allowed)
 	}
 }
--- a/internal/controlplane/raft/membership_sim_test.go
+++ b/internal/controlplane/raft/membership_sim_test.go
@@ -11,79 +11,79 @@
 )
 
 var (
-	traceMembership = flag.Bool("trace-membership", false, "print each change of the membership")
-	membershipSeeds = flag.Int("membership-seeds", 8, "simulated runs of losses")
-	forgetRejoin    = flag.Bool("forget-rejoin", false, "mutation: a process takes its own log's word for its membership")
+	traceMembership = flag.Bool("trace-membership", false, "log each membership change")
+	membershipSeeds = flag.Int("membership-seeds", 8, "number of simulated runs of tolerated losses")
+	forgetRejoin    = flag.Bool("forget-rejoin", false, "mutation: a process sends no join requests while its own log has it as a member")
 )
 
 const (
-	maxRejoinTime = 5 * time.Second // of a member that was away, until it votes again
-	recoveryTime  = 4 * time.Second // the pages' sync_time_s: what a machine that is back or new may take
+	maxRejoinTime = 5 * time.Second // a member must be a voter again within this time of its return
+	recoveryTime  = 4 * time.Second // bounds.sync_time_s: a restarted or new machine counts as lost for this time
 )
 
-// grown returns a quorum in which all machines vote.
+// newQuorum returns a quorum in which all machines are voters.
 func newQuorum(t *testing.T, seed uint64, machines, wanted int) *membershipSim {
 	sim := newMembershipSim(t, seed, machines, wanted)
 	for _, process := range sim.processes {
-		process.forgetsRejoin = *forgetRejoin
+		process.skipRejoin = *forgetRejoin
 	}
 	for sim.now < 20*time.Second && Voters(sim.committedMembership().peers) < machines {
 		sim.step()
 	}
 	if voterCount := Voters(sim.committedMembership().peers); voterCount != machines {
-		t.Fatalf("%d of %d machines vote after %v", voterCount, machines, sim.now)
+		t.Fatalf("%d of %d machines are voters after %v", voterCount, machines, sim.now)
 	}
 	return sim
 }
 
-// TestRejoinAfterPartition: a member that was cut off, whether or not another has taken its place meanwhile, is
-// a voter again within seconds of the cut's end, without a hand.
+// TestRejoinAfterPartition checks that a partitioned member is a voter again within maxRejoinTime after the partition,
+// whether or not it has been replaced.
 func TestRejoinAfterPartition(t *testing.T) {
-	type variant struct {
+	type testCase struct {
 		name        string
-		replaced    bool // an empty machine takes its place meanwhile
-		restarted   bool // it starts again during the cut
-		moved       bool // it comes back at another address
-		allReplaced bool // all others are replaced meanwhile, by machines at other addresses
-		inboundOnly bool // it hears nothing, and what it sends arrives
+		replaced    bool // another machine replaces it during the partition
+		restarted   bool // it is restarted during the partition
+		moved       bool // it has another address after the restart
+		allReplaced bool // all others are replaced by machines at other addresses
+		inboundOnly bool // it receives nothing, but can send
 	}
-	variants := []variant{
-		{name: "kept"}, {name: "kept, deaf", inboundOnly: true}, {name: "kept, restarted", restarted: true},
+	tests := []testCase{
+		{name: "kept"}, {name: "kept, inbound cut", inboundOnly: true}, {name: "kept, restarted", restarted: true},
 		{name: "kept, moved", restarted: true, moved: true},
-		{name: "replaced", replaced: true}, {name: "replaced, deaf", replaced: true, inboundOnly: true},
+		{name: "replaced", replaced: true}, {name: "replaced, inbound cut", replaced: true, inboundOnly: true},
 		{name: "replaced, restarted", replaced: true, restarted: true},
 		{name: "replaced, moved", replaced: true, restarted: true, moved: true},
 		{name: "all addresses changed", replaced: true, restarted: true, moved: true, allReplaced: true},
 	}
 	for _, duration := range []time.Duration{20 * time.Second, 10 * time.Minute} {
 		for _, machines := range []int{3, 4} {
-			for _, v := range variants {
-				if v.allReplaced && duration < time.Minute || machines > 3 && duration > time.Minute {
-					continue // it takes longer; and it is played often enough
+			for _, test := range tests {
+				if test.allReplaced && duration < time.Minute || machines > 3 && duration > time.Minute {
+					continue // the replacements take longer; fewer runs of the long partition suffice
 				}
-				t.Run(fmt.Sprintf("%v, %d machines, %s", duration, machines, v.name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%v, %d machines, %s", duration, machines, test.name), func(t *testing.T) {
 					sim := newQuorum(t, 7, machines, 3)
 					member := sim.leader()
-					member.isolated, member.inboundCut = !v.inboundOnly, v.inboundOnly
+					member.isolated, member.inboundCut = !test.inboundOnly, test.inboundOnly
 					isolatedAt := sim.now
-					if v.replaced {
+					if test.replaced {
 						sim.runUntil(sim.now + 2*time.Second)
 						sim.start(sim.addMachine("successor"))
 					}
-					if v.allReplaced {
+					if test.allReplaced {
 						sim.replaceAllBut(member)
 					}
 					sim.runUntil(isolatedAt + duration/2)
-					if v.restarted {
+					if test.restarted {
 						sim.stop(member)
-						if v.moved {
+						if test.moved {
 							member.address = "moved"
 						}
 						sim.start(member)
 					}
 					sim.runUntil(isolatedAt + duration)
-					if isVoter := sim.isCommittedVoter(member); isVoter != (!v.replaced && !v.moved) { // at its present address
-						t.Fatalf("at the end of the cut it votes: %v", isVoter)
+					if isVoter := sim.isCommittedVoter(member); isVoter != (!test.replaced && !test.moved) { // a moved member must not be a voter yet
+						t.Fatalf("at the end of the partition, the member is a voter: %v", isVoter)
 					}
 					term := sim.leader().node.Term()
 					member.isolated, member.inboundCut = false, false
@@ -92,10 +92,10 @@
 						sim.step()
 					}
 					if !sim.isCommittedVoter(member) {
-						t.Errorf("no voter %v after the cut:%s", sim.now-reconnectedAt, formatMembers(sim.committedMembership().peers))
+						t.Errorf("the member is no voter %v after the partition:%s", sim.now-reconnectedAt, formatMembers(sim.committedMembership().peers))
 					}
-					if leader := sim.leader(); leader == nil || leader.node.Term() != term && !v.inboundOnly {
-						t.Errorf("the leader of term %d was disturbed", term)
+					if leader := sim.leader(); leader == nil || leader.node.Term() != term && !test.inboundOnly {
+						t.Errorf("the leader of term %d was deposed", term)
 					}
 				})
 			}
@@ -103,7 +103,7 @@
 	}
 }
 
-// replaceAllBut replaces all machines but one by empty ones at other addresses, one after the other.
+// replaceAllBut replaces all machines except one and its successor by machines at other addresses, one after the other.
 func (s *membershipSim) replaceAllBut(excluded *simProcess) {
 	for _, process := range slices.Clone(s.processes) {
 		if process == excluded || process.address == "successor" {
@@ -116,7 +116,8 @@
 	}
 }
 
-// TestUnresponsiveVoterKeepsVote: a voter that is silent and has no successor keeps its vote, in odd and even sets.
+// TestUnresponsiveVoterKeepsVote checks that an unresponsive voter is not removed without a replacement, with odd and even
+// numbers of voters.
 func TestUnresponsiveVoterKeepsVote(t *testing.T) {
 	for machines := 3; machines <= 5; machines++ {
 		sim := newQuorum(t, 3, machines, 3)
@@ -124,31 +125,32 @@
 		member.isolated = true
 		sim.runUntil(sim.now + 2*time.Minute)
 		if !sim.isCommittedVoter(member) {
-			t.Errorf("of %d voters a silent one has lost its vote", machines)
+			t.Errorf("with %d voters, an unresponsive one was removed", machines)
 		}
 	}
 }
 
-// machineSlot is a machine of the deployment: its process, and what the pages say of it.
+// machineSlot is a machine of the deployment. Its process changes when the machine is replaced.
 type machineSlot struct {
 	process   *simProcess
-	lost      bool          // down, frozen or cut off
-	lostUntil time.Duration // and so it counts until then
-	rejoinBy  time.Duration // it has to vote again by then; 0: nothing is due
+	lost      bool          // its process is down, frozen or cut off
+	lostUntil time.Duration // it counts as lost until this time, even if it runs
+	rejoinBy  time.Duration // time by which it must be a voter again; zero if there is no limit
 }
 
-// losses plays tolerated losses on a quorum, each at the first moment at which it may come.
+// lossSim injects losses into a quorum, each as soon as it is tolerated.
 type lossSim struct {
 	*membershipSim
 	machines     []*machineSlot
-	tolerated    int
+	tolerated    int // number of machines that may be lost at a time
 	scheduled    []scheduledEvent
-	injected     []string
+	injected     []string // kinds of the losses so far
 	replacements int
 
-	transferInterval int // steps between two elections without a loss, on average
+	transferInterval int // average number of steps between leadership transfers
 }
 
+// scheduledEvent is a function to be run at a time.
 type scheduledEvent struct {
 	at  time.Duration
 	run func()
@@ -160,7 +162,7 @@
 
 func (m *machineSlot) countsAsLost(now time.Duration) bool { return m.lost || now < m.lostUntil }
 
-// budget is how many more machines may be lost at this moment.
+// remainingLosses returns the number of machines that may be lost in addition to those that count as lost.
 func (s *lossSim) remainingLosses() int {
 	remaining := s.tolerated
 	for _, machine := range s.machines {
@@ -171,20 +173,22 @@
 	return remaining
 }
 
-// back notes that a machine is there again, and counts as lost for syncTime more.
+// machineReturned marks a machine as running again. It still counts as lost for recoveryTime.
 func (s *lossSim) machineReturned(machine *machineSlot) {
 	machine.lost, machine.lostUntil, machine.rejoinBy = false, s.now+recoveryTime, s.now+maxRejoinTime
 }
 
+// replaceMachine starts a process with an empty disk at another address, in the place of the machine's process.
 func (s *lossSim) replaceMachine(machine *machineSlot) {
 	s.replacements++
 	machine.process = s.addMachine(fmt.Sprintf("%s.%d", machine.process.address[:2], s.replacements))
-	machine.process.forgetsRejoin = *forgetRejoin
+	machine.process.skipRejoin = *forgetRejoin
 	s.start(machine.process)
 	s.machineReturned(machine)
 }
 
-// strike begins a loss: the leader's as often as all others'.
+// injectRandomLoss starts a loss, in at least half of all cases of the leader. It does nothing if the machine already counts
+// as lost.
 func (s *lossSim) injectRandomLoss() {
 	machine := s.machines[s.rng.IntN(len(s.machines))]
 	if leader := s.leader(); leader != nil && s.rng.IntN(2) == 0 {
@@ -217,7 +221,7 @@
 		s.schedule([]time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second}[s.rng.IntN(3)], func() { s.replaceMachine(machine) })
 	case 3:
 		s.recordLoss("planned replacement")
-		s.replaceMachine(machine) // counts as lost until syncTime is over
+		s.replaceMachine(machine) // counts as lost for recoveryTime
 		s.schedule(recoveryTime, func() { s.terminate(process) })
 	case 4:
 		s.recordLoss("restart")
@@ -229,7 +233,7 @@
 		machine.lost, process.frozen = true, true
 		s.schedule(2*downtime, func() { process.frozen = false; s.machineReturned(machine) })
 	case 6:
-		s.recordLoss("cut")
+		s.recordLoss("partition")
 		machine.lost = true
 		process.isolated = s.rng.IntN(3) > 0
 		process.inboundCut = !process.isolated
@@ -239,25 +243,25 @@
 
 func (s *lossSim) recordLoss(kind string) { s.injected = append(s.injected, kind) }
 
-// checkSpare fails where the machines that the pages do not count as lost, less those that may be lost at this moment,
-// are no majority of a membership that may be in force.
+// checkFaultTolerance checks that the available voters would still be a majority after all remaining tolerated losses. It
+// checks the committed membership and the leader's newest one.
 func (s *lossSim) checkFaultTolerance() {
 	candidates := []membership{s.committedMembership()}
 	if leader := s.leader(); leader != nil {
 		newest := leader.node.memberships[len(leader.node.memberships)-1]
-		if newest.index > candidates[0].index { // else it has been cut off or frozen, and does not know yet
+		if newest.index > candidates[0].index { // older if the leader was frozen or cut off
 			candidates = append(candidates, newest)
 		}
 	}
 	for _, candidate := range candidates {
 		if available := s.availableVoters(candidate.peers); available-max(0, s.remainingLosses()) < Voters(candidate.peers)/2+1 {
-			s.reportFailure("%d of the voters%s can do their part while %d more may be lost (%v)", available, formatMembers(candidate.peers), s.remainingLosses(), s.injected)
+			s.reportFailure("%d of the voters%s are available, and %d more may be lost (losses: %v)", available, formatMembers(candidate.peers), s.remainingLosses(), s.injected)
 		}
 	}
 }
 
-// able counts the voters whose processes run and are not counted as lost; one that is about to end does its part until
-// it may.
+// availableVoters returns the number of voters that run and do not count as lost. A process that is shutting down is
+// available until it stops.
 func (s *lossSim) availableVoters(peers []*wire.Peer) (count int) {
 	for _, peer := range peers {
 		process := s.processAt(peer.Address)
@@ -271,6 +275,7 @@
 	return count
 }
 
+// checkRejoins checks that the machines that have returned are voters in time.
 func (s *lossSim) checkRejoins() {
 	for _, machine := range s.machines {
 		if machine.rejoinBy == 0 || s.now < machine.rejoinBy {
@@ -278,15 +283,14 @@
 		}
 		machine.rejoinBy = 0
 		if !s.isCommittedVoter(machine.process) {
-			s.reportFailure("%s is no voter %v after it came back:%s (%v)", machine.process.address, maxRejoinTime, formatMembers(s.committedMembership().peers), s.injected)
+			s.reportFailure("%s is no voter %v after its return:%s (losses: %v)", machine.process.address, maxRejoinTime, formatMembers(s.committedMembership().peers), s.injected)
 		}
 	}
 }
 
-// TestToleratedLosses plays losses of disks, replacements, planned ones too, cuts, freezes and restarts, with
-// elections in between, each at the first moment at which it is tolerated. At every step the voters that do not
-// count as lost are enough, even after as many more losses as are allowed at that moment; what was acknowledged stays;
-// a machine that is back votes again in time.
+// TestToleratedLosses injects disk losses, replacements, partitions, freezes and restarts as soon as they are tolerated, and
+// leadership transfers. At every step the available voters must suffice, even after all losses that are still tolerated.
+// Acknowledged changes must not be lost, and machines that return must be voters again in time.
 func TestToleratedLosses(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(*membershipSeeds) {
@@ -301,15 +305,17 @@
 			kinds[kind]++
 		}
 		if sim.failed {
-			t.Fatalf("seed %d, %d machines of which %d may be lost: go test -run %s -membership-seeds 1 -seed %d -trace-membership",
+			t.Fatalf("seed %d, %d machines, %d tolerated losses: go test -run %s -membership-seeds 1 -seed %d -trace-membership",
 				seed, sizes[0], sizes[1], t.Name(), *firstSeed+seed)
 		}
 	}
 	t.Logf("losses: %v", kinds)
 }
 
+// runLosses runs the simulation with losses. At the end it checks that the leader has committed all acknowledged changes, and
+// that changes are still acknowledged.
 func (s *lossSim) runLosses(until time.Duration) {
-	const quietPhase = 12 * time.Second // at the end, for what was acknowledged to be read
+	const quietPhase = 12 * time.Second // time without losses at the end
 	for ; s.now < until && !s.failed; s.step() {
 		s.runScheduled()
 		if s.now < until-quietPhase && s.remainingLosses() > 0 {
@@ -329,10 +335,11 @@
 		return
 	}
 	if leader == nil || leader.node.Committed() < s.ackedIndex || until-s.ackedAt > quietPhase/2 {
-		s.reportFailure("after the last loss: leader %v, last acknowledged %d at %v (%v)", leader != nil, s.ackedIndex, s.ackedAt, s.injected)
+		s.reportFailure("at the end: there is a leader: %v; last acknowledged entry %d at %v (losses: %v)", leader != nil, s.ackedIndex, s.ackedAt, s.injected)
 	}
 }
 
+// runScheduled runs the scheduled events that are due.
 func (s *lossSim) runScheduled() {
 	due := slices.Clone(s.scheduled)
 	s.scheduled = slices.DeleteFunc(s.scheduled, func(event scheduledEvent) bool { return event.at <= s.now })
--- a/internal/controlplane/raft/membership_test.go
+++ b/internal/controlplane/raft/membership_test.go
@@ -9,7 +9,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// answering brings the answers of members of a leader of term 4 up to its last entry, at a time.
+// respondAll delivers acknowledgements of the leader's whole log and newest heartbeat round from the given members.
 func respondAll(leader *Node, now time.Duration, ids ...uint64) {
 	for _, id := range ids {
 		leader.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: id, To: leader.ID(), Term: leader.Term(), Index: leader.last(), HeartbeatRound: leader.heartbeatRound})
@@ -17,7 +17,8 @@
 	}
 }
 
-// leadingOf returns a leader of n voters, of whom those named are in contact at its time.
+// newLeaderWithContacts returns node 1 of voterCount voters as the leader of term 4. The members inContact respond to it, and
+// the others have been unresponsive for three times unresponsiveAfter.
 func newLeaderWithContacts(t *testing.T, voterCount int, inContact ...uint64) *Node {
 	t.Helper()
 	leader := New(1, &wire.HardState{Term: 3}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: newPeers(voterCount)}, nil, 1, 0)
@@ -35,13 +36,13 @@
 		respondAll(leader, now, inContact...)
 	}
 	if !leader.IsLeader() {
-		t.Fatal("it does not lead")
+		t.Fatal("the node is not the leader")
 	}
 	return leader
 }
 
-// TestRemovalIsRefused: nobody can take out a member that runs, or one without which fewer voters than wanted are
-// left or the rest bears less.
+// TestRemovalIsRefused checks that an operator cannot remove a responsive member, or a voter whose removal would leave fewer
+// voters than wanted or reduce the tolerated failures.
 func TestRemovalIsRefused(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -51,26 +52,26 @@
 		id        uint64
 		want      error
 	}{
-		{"the one that is too many", 4, []uint64{2, 3}, 3, 4, nil},
-		{"one of the wanted", 3, []uint64{2}, 3, 3, ErrTooFewVoters},
-		{"one that runs", 4, []uint64{2, 3, 4}, 3, 4, ErrMemberAlive},
-		{"the leader", 4, []uint64{2, 3, 4}, 3, 1, ErrMemberAlive},
-		{"nobody", 4, []uint64{2, 3}, 3, 9, ErrNotMember},
-		{"one of two that are silent", 5, []uint64{2, 3}, 3, 5, nil},
-		{"one that more than half do without", 5, []uint64{2, 3}, 5, 5, ErrTooFewVoters},
+		{"unresponsive voter beyond the wanted number", 4, []uint64{2, 3}, 3, 4, nil},
+		{"unresponsive voter within the wanted number", 3, []uint64{2}, 3, 3, ErrTooFewVoters},
+		{"responsive voter", 4, []uint64{2, 3, 4}, 3, 4, ErrMemberAlive},
+		{"leader", 4, []uint64{2, 3, 4}, 3, 1, ErrMemberAlive},
+		{"unknown identity", 4, []uint64{2, 3}, 3, 9, ErrNotMember},
+		{"one of two unresponsive voters", 5, []uint64{2, 3}, 3, 5, nil},
+		{"one of two unresponsive voters, both wanted", 5, []uint64{2, 3}, 5, 5, ErrTooFewVoters},
 	} {
 		leader := newLeaderWithContacts(t, test.voters, test.inContact...)
 		change, err := leader.RemovalChange(leader.now, test.id, test.wanted)
 		if !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, want %v", test.name, err, test.want)
+			t.Errorf("%s: error is %v, want %v", test.name, err, test.want)
 		}
 		if err == nil && Voters(change.Next) != test.voters-1 {
-			t.Errorf("%s: %d voters are left", test.name, Voters(change.Next))
+			t.Errorf("%s: %d voters remain", test.name, Voters(change.Next))
 		}
 	}
 }
 
-// TestRemovalKeepsSpareVoters: a voter that does its part goes only where the rest has as much to spare.
+// TestRemovalKeepsSpareVoters checks that mayRemove does not reduce the number of tolerated failures.
 func TestRemovalKeepsSpareVoters(t *testing.T) {
 	for _, test := range []struct {
 		voters         int
@@ -79,7 +80,7 @@
 		hasReplacement bool
 		want           bool
 	}{
-		{4, []uint64{2, 3, 4}, 4, false, true}, // three bear one loss as four do
+		{4, []uint64{2, 3, 4}, 4, false, true}, // three voters tolerate one failure, as four do
 		{5, []uint64{2, 3, 4, 5}, 5, false, false},
 		{5, []uint64{2, 3, 4}, 5, false, true},
 		{3, []uint64{2}, 3, true, true},
@@ -90,19 +91,19 @@
 		leader := newLeaderWithContacts(t, test.voters, test.inContact...)
 		next := removePeerAt(leader.Peers(), peerIndex(leader.Peers(), test.removed))
 		if got := leader.mayRemove(next, 3, test.hasReplacement); got != test.want {
-			t.Errorf("%+v: permitted: %v", test, got)
+			t.Errorf("%+v: mayRemove returned %v", test, got)
 		}
 	}
-	// One that is about to end has no less to spare without it, but is needed until another is back.
+	// The removal of a leaving voter does not reduce the tolerated failures, but the rest has no majority in contact.
 	leader := newLeaderWithContacts(t, 5, 2, 3)
 	leader.leaving[3] = leader.now
 	if leader.mayRemove(removePeerAt(leader.Peers(), peerIndex(leader.Peers(), 3)), 3, false) {
-		t.Error("a departing voter goes without whom the rest is no majority")
+		t.Error("mayRemove allows the removal of a leaving voter that is needed for a majority")
 	}
 }
 
-// TestLostDiskIsRemovedAtOnce: a voter whose address came back with another identity goes without any silence, where
-// more voters than wanted are left; else once the newcomer has caught up.
+// TestLostDiskIsRemovedAtOnce checks the removal of a voter whose address has joined with another identity. It is removed
+// without a timeout if there are more voters than wanted, and otherwise once the new member has caught up.
 func TestLostDiskIsRemovedAtOnce(t *testing.T) {
 	for _, voterCount := range []int{3, 4} {
 		leader := newLeaderWithContacts(t, voterCount, otherIDs(voterCount)...)
@@ -111,7 +112,7 @@
 		}
 		change, _ := leader.JoinChange(&wire.Peer{Id: 9, Address: fmt.Sprint("m", voterCount)})
 		if change.Event != MemberAdded {
-			t.Fatalf("it joins by %v", change)
+			t.Fatalf("JoinChange returned %v, want MemberAdded", change)
 		}
 		if err := leader.ProposeMembership(leader.now, change.Next); err != nil {
 			t.Fatal(err)
@@ -119,16 +120,16 @@
 		processReady(leader)
 		respondAll(leader, leader.now, otherIDs(voterCount-1)...)
 		if change := leader.Reconcile(3); (change.Reason == ReasonSuperseded) != (voterCount > 3) || change.Peer.GetId() == 9 {
-			t.Errorf("of %d voters, before the newcomer has caught up: %v", voterCount, change)
+			t.Errorf("%d voters, before the new member has caught up: change %v", voterCount, change)
 		}
 		respondAll(leader, leader.now, 9)
 		if change := leader.Reconcile(3); change.Reason != ReasonSuperseded || change.Peer.GetId() != uint64(voterCount) {
-			t.Errorf("of %d voters, afterwards: %v", voterCount, change)
+			t.Errorf("%d voters, after the new member has caught up: change %v", voterCount, change)
 		}
 	}
 }
 
-// others are the identities of so many members but the first.
+// otherIDs returns the identities 2 to count.
 func otherIDs(count int) (ids []uint64) {
 	for id := 2; id <= count; id++ {
 		ids = append(ids, uint64(id))
@@ -136,7 +137,8 @@
 	return ids
 }
 
-// TestLearnerIsPromotedWithLog: neither before, nor only when nothing new comes any more.
+// TestLearnerIsPromotedWithLog checks that a learner is not promoted before it has caught up, and that it is promoted while
+// new entries are proposed.
 func TestLearnerIsPromotedWithLog(t *testing.T) {
 	leader := newLeaderWithContacts(t, 3, 2, 3)
 	change, _ := leader.JoinChange(&wire.Peer{Id: 9, Address: "new"})
@@ -146,7 +148,7 @@
 	processReady(leader)
 	respondAll(leader, leader.now, 2, 3, 9)
 	now := leader.now
-	propose := func() (previousLast uint64) { // and a heartbeat later the two others have it
+	propose := func() (previousLast uint64) { // the two other voters acknowledge the entry
 		previousLast = leader.last()
 		now += Heartbeat + time.Millisecond
 		leader.Tick(now)
@@ -159,33 +161,33 @@
 	}
 	for range 5 {
 		propose()
-		leader.progress[9].lastContact = now // it answers, and has nothing new
+		leader.progress[9].lastContact = now // it responds, but acknowledges no new entry
 		if change := leader.Reconcile(3); change.Next != nil {
-			t.Fatalf("%v, with %d of %d entries", change.Event, leader.progress[9].match, leader.last())
+			t.Fatalf("change %v for a learner with %d of %d entries, want none", change.Event, leader.progress[9].match, leader.last())
 		}
 	}
-	for range 3 { // it is one entry behind at each moment
+	for range 3 { // the learner stays one entry behind
 		previousLast := propose()
 		leader.Step(now, &wire.RaftMessage{Kind: wire.RaftMessage_APPEND_ENTRIES_RESPONSE, From: 9, To: 1, Term: 4, Index: previousLast, HeartbeatRound: leader.heartbeatRound})
 		processReady(leader)
 		change = leader.Reconcile(3)
 	}
 	if change.Event != MemberPromoted || change.Peer.GetId() != 9 {
-		t.Errorf("with all but the newest entry: %v", change)
+		t.Errorf("change %v for a learner that lacks the newest entry only, want its promotion", change)
 	}
 }
 
-// TestLeave: a member may end once the others hold its last entry, and is out first where more voters than wanted
-// are there.
+// TestLeave checks that a member may exit once a majority of the other voters has its last entry. If there are more voters
+// than wanted, it is removed first.
 func TestLeave(t *testing.T) {
 	requestLeave := func(leader *Node, index, term uint64, wanted int) LeaveStatus {
 		status, ok := leader.Leave(leader.now, 3, index, term, wanted)
 		if !ok {
-			t.Fatal("no answer")
+			t.Fatal("the leader did not handle the leave request")
 		}
 		return status
 	}
-	t.Run("its entry is on itself and the leader alone", func(t *testing.T) {
+	t.Run("last entry only on the member and the leader", func(t *testing.T) {
 		leader := newLeaderWithContacts(t, 3, 2, 3)
 		if _, _, err := leader.Propose(leader.now, []byte("x")); err != nil {
 			t.Fatal(err)
@@ -193,14 +195,14 @@
 		processReady(leader)
 		respondAll(leader, leader.now, 3)
 		if leader.Committed() != leader.last() || requestLeave(leader, leader.last(), 4, 3).Replicated {
-			t.Error("the majority that commits is taken for one of those that stay")
+			t.Error("the entry is not committed, or is reported as replicated without a majority of the other voters")
 		}
 		respondAll(leader, leader.now, 2)
 		if status := requestLeave(leader, leader.last(), 4, 3); !status.Done() || !status.KeepsVote {
-			t.Errorf("with all of them: %+v", status)
+			t.Errorf("status with the entry on all voters: %+v, want done with the vote kept", status)
 		}
 	})
-	t.Run("an entry in the snapshot that another voter lacks", func(t *testing.T) {
+	t.Run("last entry in the snapshot", func(t *testing.T) {
 		leader := newLeaderWithContacts(t, 3, 2, 3)
 		if _, _, err := leader.Propose(leader.now, []byte("x")); err != nil {
 			t.Fatal(err)
@@ -209,38 +211,38 @@
 		respondAll(leader, leader.now, 3)
 		processReady(leader)
 		if snapshot := leader.Compact(leader.Committed(), nil); snapshot == nil || requestLeave(leader, leader.last(), 4, 3).Replicated {
-			t.Errorf("snapshot %v: what is committed is taken for held by the others", snapshot)
+			t.Errorf("snapshot %v; the entry is reported as replicated without a majority of the other voters", snapshot)
 		}
 	})
-	t.Run("an entry of another term", func(t *testing.T) {
+	t.Run("last entry of another term", func(t *testing.T) {
 		leader := newLeaderWithContacts(t, 3, 2, 3)
 		if requestLeave(leader, leader.last(), 3, 3).Replicated || requestLeave(leader, leader.last()+1, 4, 3).Replicated {
-			t.Error("an entry that the leader lacks is held")
+			t.Error("an entry that is not in the leader's log is reported as replicated")
 		}
 	})
 	t.Run("more voters than wanted", func(t *testing.T) {
 		leader := newLeaderWithContacts(t, 4, 2, 3, 4)
 		lastIndex := leader.last()
 		if status := requestLeave(leader, lastIndex, 4, 3); !status.Replicated || status.Done() {
-			t.Errorf("before it is out: %+v", status)
+			t.Errorf("status before the removal: %+v, want replicated and not done", status)
 		}
 		change := leader.Reconcile(3)
 		if change.Reason != ReasonLeft || change.Peer.GetId() != 3 {
-			t.Fatalf("next is %v", change)
+			t.Fatalf("Reconcile returned %v, want the removal of member 3 with ReasonLeft", change)
 		}
 		if err := leader.ProposeMembership(leader.now, change.Next); err != nil {
 			t.Fatal(err)
 		}
 		processReady(leader)
 		if status := requestLeave(leader, lastIndex, 4, 3); !status.Replicated || status.Done() {
-			t.Errorf("before the change is committed: %+v", status)
+			t.Errorf("status before the removal is committed: %+v, want replicated and not done", status)
 		}
 		respondAll(leader, leader.now, 2, 4)
 		if status := requestLeave(leader, lastIndex, 4, 3); !status.Done() {
-			t.Errorf("afterwards: %+v", status)
+			t.Errorf("status after the removal is committed: %+v, want done", status)
 		}
 	})
-	t.Run("while the removal of another is under way", func(t *testing.T) {
+	t.Run("while the removal of another voter is in progress", func(t *testing.T) {
 		leader := newLeaderWithContacts(t, 4, 2, 3)
 		lastIndex := leader.last()
 		change, err := leader.RemovalChange(leader.now, 4, 3)
@@ -252,16 +254,16 @@
 		}
 		processReady(leader)
 		if status := requestLeave(leader, lastIndex, 4, 3); !status.Replicated || status.Done() {
-			t.Errorf("before it is committed: %+v", status)
+			t.Errorf("status before the other removal is committed: %+v, want replicated and not done", status)
 		}
 		respondAll(leader, leader.now, 2, 3)
 		if status := requestLeave(leader, lastIndex, 4, 3); !status.KeepsVote || !status.Done() {
-			t.Errorf("afterwards: %+v", status)
+			t.Errorf("status after the other removal is committed: %+v, want done with the vote kept", status)
 		}
 	})
 }
 
-// TestRefusalReasons: who is refused a vote is told why, so that one that was taken out can join again.
+// TestRefusalReasons checks the reason in a rejected vote, and that NOT_MEMBER makes a removed member send join requests.
 func TestRefusalReasons(t *testing.T) {
 	leader := newLeaderWithContacts(t, 3, 2, 3)
 	for _, test := range []struct {
@@ -271,7 +273,7 @@
 		leader.Step(leader.now, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE, From: test.from, To: 1, Term: test.term, PreVote: true})
 		for _, m := range processReady(leader).Messages {
 			if m.Kind == wire.RaftMessage_REQUEST_VOTE_RESPONSE && (m.Refusal != test.want || !m.Reject) {
-				t.Errorf("%d in term %d: %v, want %v", test.from, test.term, m.Refusal, test.want)
+				t.Errorf("vote request of member %d in term %d: reason %v, want %v", test.from, test.term, m.Refusal, test.want)
 			}
 		}
 	}
@@ -280,10 +282,10 @@
 	self := &wire.Peer{Id: 9, Address: "nine"}
 	noAddresses := func() []string { return nil }
 	if actions := manager.Tick(0, self, 3, noAddresses); len(actions.JoinAt) != 0 {
-		t.Errorf("it asks %v before it knows of anything", actions.JoinAt)
+		t.Errorf("join requests to %v before a rejection, want none", actions.JoinAt)
 	}
 	joiner.Step(0, &wire.RaftMessage{Kind: wire.RaftMessage_REQUEST_VOTE_RESPONSE, From: 2, To: 9, Term: 4, PreVote: true, Reject: true, Refusal: wire.RaftMessage_NOT_MEMBER})
 	if actions := manager.Tick(0, self, 3, noAddresses); fmt.Sprint(actions.JoinAt) != "[two]" {
-		t.Errorf("once it has been told, it asks %v", actions.JoinAt)
+		t.Errorf("join requests to %v after a rejection, want [two]", actions.JoinAt)
 	}
 }
--- a/internal/controlplane/raft/partition_relay_sim_test.go
+++ b/internal/controlplane/raft/partition_relay_sim_test.go
@@ -7,27 +7,28 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// leaseRelay is a data node below a member or below another relay, with a clock of its own. It is driven by package
-// relay's own arithmetic.
+// partitionRelay is a data node that gets feeds from a member or from another relay. It has its own clock, and computes
+// ages, subscriptions and readiness with package relay.
 type partitionRelay struct {
-	clockOffset      time.Duration
-	clockDrift       float64 // of the rate of its clock
+	clockOffset      time.Duration // its clock minus the simulated time, at time zero
+	clockDrift       float64       // relative deviation of its clock's rate
 	applied          uint64
-	contactAt        time.Duration // by its clock
+	contactAt        time.Duration // time of the quorum contact of its state, on its own clock
 	subscription     relay.Subscription
-	subscribedAt     time.Duration // by the parent's clock; -1: the request is under way
-	requestArrivesAt time.Duration // when the request arrives
-	processID        *int          // stands for its process
-	parentProcess    any           // the process that it has subscribed to
-	startedAt        time.Duration // by its clock
-	ackedAtStart     uint64        // what had been acknowledged by then
+	subscribedAt     time.Duration // on the parent's clock; -1 while the request is in flight
+	requestArrivesAt time.Duration // time at which the request arrives at the parent
+	processID        *int          // its address identifies the process
+	parentProcess    any           // identity of the process that it has subscribed to
+	startedAt        time.Duration // on its own clock
+	ackedAtStart     uint64        // last index acknowledged before its start
 	readiness        relay.Readiness
 	ready            bool
-	feedSentAt       time.Duration // of the newest feed
+	feedSentAt       time.Duration // time at which the parent sent the newest feed
 	feeds            []relayFeed
 	child            *partitionRelay
 }
 
+// relayFeed is a feed that has been sent and not received yet.
 type relayFeed struct {
 	arrivesAt time.Duration
 	feed      *wire.Feed
@@ -39,7 +40,7 @@
 	return r
 }
 
-// startRelay begins a process of a data node, which has nothing yet.
+// startRelay restarts a relay with an empty state and another clock. It keeps its child.
 func (s *partitionSim) startRelay(r *partitionRelay) {
 	drift := (2*s.rng.Float64() - 1) / clockDriftDivisor
 	*r = partitionRelay{clockOffset: s.randomDuration(0, time.Hour), clockDrift: drift, subscribedAt: -1, processID: new(int), child: r.child, ackedAtStart: s.ackedBefore(s.now)}
@@ -47,21 +48,22 @@
 	r.contactAt = r.startedAt - MaxContactAge
 }
 
-// relayClock is a relay's own.
+// relayClock returns the time on a relay's clock.
 func (s *partitionSim) relayClock(r *partitionRelay) time.Duration {
 	return s.now + r.clockOffset + time.Duration(r.clockDrift*float64(s.now))
 }
 
-// feed drives the two relays below a member.
+// runRelays runs one step of a member's child and grandchild, and checks their readiness.
 func (s *partitionSim) runRelays(member *partitionMember) {
 	s.runRelay(member.child, member.node, s.clock(member), member.contactAt, member.applied)
 	child := member.child
 	s.runRelay(child.child, child.processID, s.relayClock(child), child.contactAt, child.applied)
-	s.checkReadiness("the child of", member, child)
-	s.checkReadiness("the grandchild of", member, child.child)
+	s.checkReadiness("child of member", member, child)
+	s.checkReadiness("grandchild of member", member, child.child)
 }
 
-// serve sees that a data node is not ready by an older state than its start allows.
+// checkReadiness checks that a relay becomes ready only with a state that has all changes acknowledged before its start. An
+// unconfirmed state may lack changes of the last maxUnprovenAge.
 func (s *partitionSim) checkReadiness(description string, member *partitionMember, dataNode *partitionRelay) {
 	if dataNode.ready {
 		return
@@ -71,17 +73,18 @@
 	case proof == relay.NoProof:
 		return
 	case proof == relay.Unconfirmed && s.ackedBefore(s.now-maxUnprovenAge) > dataNode.applied:
-		s.reportFailure("%s member %d is ready by entry %d, and a later one had been acknowledged %v before", description, member.number, dataNode.applied, maxUnprovenAge)
+		s.reportFailure("%s %d became ready with entry %d, and a later entry was acknowledged %v earlier", description, member.number, dataNode.applied, maxUnprovenAge)
 	case proof != relay.Unconfirmed && dataNode.applied < dataNode.ackedAtStart:
-		s.reportFailure("%s member %d is ready (%s) by entry %d, and %d had been acknowledged before its start", description, member.number, proof, dataNode.applied, dataNode.ackedAtStart)
+		s.reportFailure("%s %d became ready (%s) with entry %d, and entry %d was acknowledged before its start", description, member.number, proof, dataNode.applied, dataNode.ackedAtStart)
 	}
 	dataNode.ready = true
 }
 
-// feedOne drives one child of a parent, whose clock, contact and state are given.
+// runRelay runs one step of a child: the parent accepts its subscription and sends a feed if one is due, and the child
+// processes the feeds that have arrived. parentNow and parentContact are times on the parent's clock.
 func (s *partitionSim) runRelay(child *partitionRelay, parentProcess any, parentNow, parentContact time.Duration, parentApplied uint64) {
 	ownNow := s.relayClock(child)
-	randomDelay := func() time.Duration { // now and then seconds, as of a machine that does not read
+	randomDelay := func() time.Duration { // sometimes up to two seconds, as for a receiver that stalls
 		if s.rng.IntN(12) == 0 {
 			return s.randomDuration(0, 2*time.Second)
 		}
--- a/internal/controlplane/raft/partition_sim_test.go
+++ b/internal/controlplane/raft/partition_sim_test.go
@@ -19,41 +19,42 @@
 	partitionStep         = 2 * time.Millisecond
 	partitionStart        = 4 * time.Second
 	partitionDuration     = 20 * time.Second
-	longPartitionDuration = 40 * time.Second // some last as long
-	maxRecoveryTime       = 5 * time.Second  // within which a member that was cut off is current again
-	maxCurrentAge         = relay.Stale      // age below which a member counts as current
-	maxUnprovenAge        = 21 * time.Second // of an unproven state that a data node may start by, and a second
-	partitionTail         = 64               // entries in front of a snapshot, so that members that were away need one
-	clockDriftDivisor     = 4000             // the clock of a relay is faster or slower by one part of this at most
+	longPartitionDuration = 40 * time.Second // of a quarter of the partitions
+	maxRecoveryTime       = 5 * time.Second  // time until all members are current after a partition
+	maxCurrentAge         = relay.Stale      // maximum contact age of a current member
+	maxUnprovenAge        = 21 * time.Second // maximum age of an unconfirmed state with which a relay becomes ready, plus a second
+	partitionTail         = 64               // entries kept before a snapshot; few, so that partitioned members need one
+	clockDriftDivisor     = 4000             // relay clocks deviate by at most 1/clockDriftDivisor of the time
 )
 
-// leaseMember is a member of the quorum, or a learner, with a clock of its own.
+// partitionMember is a voter or learner with its own clock.
 type partitionMember struct {
-	number          int
-	disk            simdisk.Disk
-	node            *Node         // nil: down
-	clockOffset     time.Duration // of its clock
-	applied         uint64
-	contactAt       time.Duration // by its clock, as its driver tells the relays
-	restartAt       time.Duration // while it is down
-	frozenUntil     time.Duration // until then
-	inbox           []partitionMessage
-	pendingWrites   map[uint64]uint64 // terms of proposals that wait, by index
-	pendingReads    map[uint64]uint64 // what a read has to see, by token
-	leaderMessageAt map[uint64]time.Duration
-	child           *partitionRelay
+	number           int
+	disk             simdisk.Disk
+	node             *Node         // nil while the process is down
+	clockOffset      time.Duration // its clock minus the simulated time
+	applied          uint64
+	contactAt        time.Duration // time of its quorum contact, on its own clock
+	restartAt        time.Duration // time of its restart, while it is down
+	frozenUntil      time.Duration
+	inbox            []partitionMessage
+	pendingWrites    map[uint64]uint64        // terms of the pending proposals, by index
+	pendingReads     map[uint64]uint64        // index that a pending read must include, by token
+	leaderMessagesAt map[uint64]time.Duration // time of the last message of each leader, by identity
+	child            *partitionRelay
 }
 
+// partitionMessage is a message that has been sent and not delivered yet.
 type partitionMessage struct {
 	arrivesAt time.Duration
 	from      int
 	message   *wire.RaftMessage
 }
 
-// acknowledgement is a change that an operator was told is in force.
+// acknowledgement is the acknowledgement of a change to a client.
 type acknowledgement struct {
 	acknowledgedAt time.Duration
-	index          uint64 // the largest so far
+	index          uint64 // largest index acknowledged up to this time
 }
 
 // partitionSim simulates a quorum whose members are partitioned, restarted and frozen while changes go on.
@@ -62,17 +63,18 @@
 	now              time.Duration
 	members          []*partitionMember
 	cutLinks         map[[2]int]bool
-	linkDelays       map[[2]int]time.Duration // links with more delay
-	isolated         []int                    // members that the cut takes away from the majority
-	inboundCut       bool                     // they hear nobody
-	noProposalsUntil time.Duration            // until then nothing is proposed
-	acknowledgements []acknowledgement
+	linkDelays       map[[2]int]time.Duration // maximum additional delay of each slow link
+	isolated         []int                    // numbers of the members that are cut off from the majority
+	inboundCut       bool                     // the isolated members receive nothing from the others
+	noProposalsUntil time.Duration            // changes are proposed from this time on
+	acknowledgements []acknowledgement        // in order of time
 	lastToken        uint64
 	failures         []string
 	ackedChanges     int
-	answeredReads    int // reads
+	answeredReads    int
 }
 
+// reportFailure records one of the first five failures.
 func (s *partitionSim) reportFailure(format string, args ...any) {
 	if len(s.failures) < 5 {
 		s.failures = append(s.failures, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
@@ -83,7 +85,7 @@
 	return low + time.Duration(s.rng.Int64N(int64(high-low)))
 }
 
-// clock is a member's own.
+// clock returns the time on a member's clock.
 func (s *partitionSim) clock(m *partitionMember) time.Duration { return s.now + m.clockOffset }
 
 func newPartitionSim(seed uint64, voters, learners int) *partitionSim {
@@ -104,12 +106,12 @@
 }
 
 func (s *partitionSim) start(member *partitionMember) {
-	member.clockOffset = s.randomDuration(0, 10*time.Second) - s.now // each process has a clock of its own
+	member.clockOffset = s.randomDuration(0, 10*time.Second) - s.now // each process has another clock
 	member.node = New(member.disk.ID, member.disk.Hard, member.disk.Snap, slices.Clone(member.disk.Entries), s.rng.Uint64(), s.clock(member))
 	member.applied = member.disk.Snap.GetIndex()
 	member.node.SetRetention(partitionTail, partitionTail)
 	member.contactAt = s.clock(member) - MaxContactAge
-	member.pendingWrites, member.pendingReads, member.leaderMessageAt = map[uint64]uint64{}, map[uint64]uint64{}, map[uint64]time.Duration{}
+	member.pendingWrites, member.pendingReads, member.leaderMessagesAt = map[uint64]uint64{}, map[uint64]uint64{}, map[uint64]time.Duration{}
 	if member.frozenUntil < s.now {
 		member.inbox = nil
 	}
@@ -120,16 +122,16 @@
 	member.node, member.restartAt, member.inbox = nil, s.now+downtime, nil
 }
 
-// ackedBefore is the largest index that had been acknowledged before a moment.
-func (s *partitionSim) ackedBefore(t time.Duration) uint64 {
-	count := sort.Search(len(s.acknowledgements), func(i int) bool { return s.acknowledgements[i].acknowledgedAt >= t })
+// ackedBefore returns the largest index that was acknowledged before a time.
+func (s *partitionSim) ackedBefore(at time.Duration) uint64 {
+	count := sort.Search(len(s.acknowledgements), func(i int) bool { return s.acknowledgements[i].acknowledgedAt >= at })
 	if count == 0 {
 		return 0
 	}
 	return s.acknowledgements[count-1].index
 }
 
-// settle is the driver of a member.
+// processReady processes a member's Ready until it is empty, and updates its contactAt.
 func (s *partitionSim) processReady(member *partitionMember) {
 	for ready := member.node.Ready(); !ready.Empty(); ready = member.node.Ready() {
 		member.disk.Write(ready.Snapshot, ready.HardState, ready.Entries)
@@ -152,7 +154,7 @@
 			if pending && readState.OK {
 				s.answeredReads++
 				if member.applied < requiredIndex {
-					s.reportFailure("member %d answers a read with entry %d, and %d had been acknowledged before it was asked", member.number, member.applied, requiredIndex)
+					s.reportFailure("member %d answers a read with entry %d, and entry %d was acknowledged before the read", member.number, member.applied, requiredIndex)
 				}
 			}
 		}
@@ -165,7 +167,7 @@
 	member.contactAt = s.clock(member) - member.node.QuorumContactAge(s.clock(member))
 }
 
-// send puts a message on its link, which keeps the order.
+// send enqueues a message with a random delay. A link delivers its messages in order.
 func (s *partitionSim) send(sender *partitionMember, message *wire.RaftMessage) {
 	receiver := s.members[message.To-1]
 	link := [2]int{sender.number, receiver.number}
@@ -183,7 +185,7 @@
 
 func (s *partitionSim) apply(member *partitionMember, entry *wire.Entry) {
 	if entry.Index != member.applied+1 {
-		s.reportFailure("member %d applies entry %d after %d", member.number, entry.Index, member.applied)
+		s.reportFailure("member %d applies entry %d after entry %d", member.number, entry.Index, member.applied)
 	}
 	member.applied = entry.Index
 	term, pending := member.pendingWrites[entry.Index]
@@ -198,29 +200,29 @@
 	}
 	s.acknowledgements = append(s.acknowledgements, acknowledgement{s.now, largest})
 	if s.inboundCut && slices.Contains(s.isolated, member.number) {
-		s.reportFailure("member %d acknowledges entry %d while it is cut off", member.number, entry.Index)
+		s.reportFailure("member %d acknowledges entry %d while it receives nothing", member.number, entry.Index)
 	}
 }
 
-// receive hands a member what has arrived. A cut loses what arrives while it lasts.
+// receiveMessages delivers the messages that are due to a member, and drops those on cut links.
 func (s *partitionSim) receiveMessages(member *partitionMember) {
 	var due []partitionMessage
-	member.inbox = slices.DeleteFunc(member.inbox, func(message partitionMessage) bool {
-		if message.arrivesAt <= s.now && !s.cutLinks[[2]int{message.from, member.number}] {
-			due = append(due, message)
+	member.inbox = slices.DeleteFunc(member.inbox, func(queued partitionMessage) bool {
+		if queued.arrivesAt <= s.now && !s.cutLinks[[2]int{queued.from, member.number}] {
+			due = append(due, queued)
 		}
-		return message.arrivesAt <= s.now
+		return queued.arrivesAt <= s.now
 	})
-	for _, message := range due {
-		member.node.Step(s.clock(member), message.message)
-		if message.message.Kind == wire.RaftMessage_APPEND_ENTRIES || message.message.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
-			member.leaderMessageAt[message.message.From] = s.now
+	for _, queued := range due {
+		member.node.Step(s.clock(member), queued.message)
+		if queued.message.Kind == wire.RaftMessage_APPEND_ENTRIES || queued.message.Kind == wire.RaftMessage_INSTALL_SNAPSHOT {
+			member.leaderMessagesAt[queued.message.From] = s.now
 		}
 		s.processReady(member)
 	}
 }
 
-// operate sends changes and reads to every member that believes it leads.
+// sendRequests sends changes and reads to a member that is the leader of its term.
 func (s *partitionSim) sendRequests(member *partitionMember) {
 	if !member.node.IsLeader() {
 		return
@@ -238,7 +240,7 @@
 	}
 }
 
-// turn is one step of the world.
+// step advances the simulation by partitionStep.
 func (s *partitionSim) step() {
 	s.now += partitionStep
 	for _, member := range s.members {
@@ -260,34 +262,34 @@
 	}
 }
 
-// check sees that nobody's state is older than it says, and that nobody names a leader that it has not heard for an
-// election timeout.
+// check checks that the states of a member and its relays are not older than their contact ages, and that the member reports
+// no leader without a message from it within an election timeout.
 func (s *partitionSim) check(member *partitionMember) {
 	checkAge := func(description string, contact, now time.Duration, applied uint64) {
 		age := now - contact
-		maxAge := age + age/clockDriftDivisor // by its own clock
+		maxAge := age + age/clockDriftDivisor // the clock may be slow
 		if acked := s.ackedBefore(s.now - maxAge); acked > applied {
-			s.reportFailure("%s member %d says that its state, with entry %d, is %v old; entry %d had been acknowledged before that", description, member.number, applied, age, acked)
+			s.reportFailure("%s %d has entry %d with a contact age of %v, and entry %d was acknowledged before that contact", description, member.number, applied, age, acked)
 		}
 	}
-	checkAge("", member.contactAt, s.clock(member), member.applied)
-	checkAge("the child of", member.child.contactAt, s.relayClock(member.child), member.child.applied)
-	checkAge("the grandchild of", member.child.child.contactAt, s.relayClock(member.child.child), member.child.child.applied)
+	checkAge("member", member.contactAt, s.clock(member), member.applied)
+	checkAge("child of member", member.child.contactAt, s.relayClock(member.child), member.child.applied)
+	checkAge("grandchild of member", member.child.child.contactAt, s.relayClock(member.child.child), member.child.child.applied)
 	leader := member.node.Leader()
 	if leader == 0 || leader == member.node.ID() {
 		return
 	}
-	if messageAt, ok := member.leaderMessageAt[leader]; !ok || s.now-messageAt > maxElectionTimeout+partitionStep {
-		s.reportFailure("member %d names %d as the leader, which it has not heard for %v", member.number, leader, s.now-messageAt)
+	if messageAt, ok := member.leaderMessagesAt[leader]; !ok || s.now-messageAt > maxElectionTimeout+partitionStep {
+		s.reportFailure("member %d reports identity %d as the leader, whose last message is %v old", member.number, leader, s.now-messageAt)
 	}
 }
 
-// cutOff takes members away from the others, one way or both.
-func (s *partitionSim) isolate(members []int, receives, sends bool) {
-	s.isolated, s.inboundCut = members, !receives
-	for _, from := range members {
+// isolate cuts members off from all others. receives and sends select the directions that stay connected.
+func (s *partitionSim) isolate(numbers []int, receives, sends bool) {
+	s.isolated, s.inboundCut = numbers, !receives
+	for _, from := range numbers {
 		for to := range s.members {
-			if slices.Contains(members, to) {
+			if slices.Contains(numbers, to) {
 				continue
 			}
 			s.cutLinks[[2]int{from, to}] = !sends
@@ -296,7 +298,7 @@
 	}
 }
 
-// current reports whether all members are up, know the leader and have a recent state.
+// allCurrent reports whether all members run, know a leader and have a contact age of at most maxCurrentAge.
 func (s *partitionSim) allCurrent() bool {
 	for _, member := range s.members {
 		if member.node == nil || s.now < member.frozenUntil || member.node.Leader() == 0 || s.clock(member)-member.contactAt > maxCurrentAge {
@@ -306,7 +308,7 @@
 	return true
 }
 
-// disturb lets something fail beside the cut.
+// injectRandomFault injects a fault in addition to the partition, with a small probability.
 func (s *partitionSim) injectRandomFault(restarts bool) {
 	member := s.members[s.rng.IntN(len(s.members))]
 	switch s.rng.IntN(1200) {
@@ -330,8 +332,9 @@
 	}
 }
 
-// runPartitionSim runs one partition of twenty seconds. It returns how long after its end all members were current.
-func runPartitionSim(seed uint64) (sim *partitionSim, recovered time.Duration) {
+// runPartitionSim simulates one partition. It returns the simulation and the time from the partition's end until all members
+// were current.
+func runPartitionSim(seed uint64) (sim *partitionSim, recovery time.Duration) {
 	setupRng := rand.New(rand.NewPCG(seed, 7))
 	sim = newPartitionSim(seed, 3+2*setupRng.IntN(2), 1)
 	for sim.now < partitionStart {
@@ -344,7 +347,7 @@
 	case 1:
 		isolated = []int{(max(leader, 0) + 1) % (len(sim.members) - 1)} // a follower
 	case 2:
-		isolated = []int{max(leader, 0), len(sim.members) - 1} // the leader, and the learner with it
+		isolated = []int{max(leader, 0), len(sim.members) - 1} // the leader and the learner
 	default:
 		isolated = []int{max(leader, 0)}
 	}
@@ -366,7 +369,7 @@
 		sim.step()
 		if member := sim.members[isolated[0]]; !receives && sim.now > isolatedAt+maxElectionTimeout+partitionStep && sim.now > member.frozenUntil &&
 			member.node != nil && member.node.IsLeader() {
-			sim.reportFailure("member %d leads %v after it was cut off", isolated[0], sim.now-isolatedAt)
+			sim.reportFailure("member %d is still leader %v after it was cut off", isolated[0], sim.now-isolatedAt)
 		}
 	}
 	clear(sim.cutLinks)
@@ -376,39 +379,41 @@
 		member.frozenUntil = min(member.frozenUntil, sim.now)
 	}
 	for end := sim.now; !sim.allCurrent(); sim.step() {
-		if recovered = sim.now - end; recovered > 2*maxRecoveryTime {
+		if recovery = sim.now - end; recovery > 2*maxRecoveryTime {
 			break
 		}
 	}
 	for until := sim.now + 2*time.Second; sim.now < until; {
 		sim.step()
 	}
-	return sim, recovered
+	return sim, recovery
 }
 
-// TestPartitionedMembers cuts the leader, a follower or the learner off for twenty seconds or forty, one way or both, with restarts,
-// pauses and slow links on both sides. At no moment is a state older than its holder says, down to the second relay below
-// each member, and no relay that starts meanwhile is ready by an older one than it may; no read misses a change that was acknowledged before it; a member that hears nobody acknowledges nothing
-// and no longer leads after an election timeout; and all are current again soon after the end.
+// TestPartitionedMembers cuts off the leader, a follower or the learner in one direction or both, with restarts, freezes and
+// slow links. It checks that:
+//   - no state of a member or relay is older than its contact age, and no relay becomes ready with a state that is too old;
+//   - no read misses a change that was acknowledged before it;
+//   - a member that receives nothing acknowledges nothing, and steps down after an election timeout;
+//   - all members are current within maxRecoveryTime after the partition.
 func TestPartitionedMembers(t *testing.T) {
 	var recoveries []time.Duration
 	ackedChanges, answeredReads := 0, 0
 	for i := range *seedCount {
 		seed := *firstSeed + uint64(i)
-		sim, recovered := runPartitionSim(seed)
+		sim, recovery := runPartitionSim(seed)
 		for _, failure := range sim.failures {
 			t.Errorf("seed %d: %s", seed, failure)
 		}
-		if recovered > maxRecoveryTime {
-			t.Errorf("seed %d: not all members were current %v after the cut's end", seed, recovered)
+		if recovery > maxRecoveryTime {
+			t.Errorf("seed %d: not all members were current %v after the end of the partition", seed, recovery)
 		}
-		recoveries = append(recoveries, recovered)
+		recoveries = append(recoveries, recovery)
 		ackedChanges, answeredReads = ackedChanges+sim.ackedChanges, answeredReads+sim.answeredReads
 	}
 	if ackedChanges < 500**seedCount || answeredReads < 100**seedCount {
-		t.Errorf("%d changes acknowledged and %d reads answered in %d worlds: hardly a test", ackedChanges, answeredReads, *seedCount)
+		t.Errorf("%d changes acknowledged and %d reads answered in %d runs: too few to be a meaningful test", ackedChanges, answeredReads, *seedCount)
 	}
 	slices.Sort(recoveries)
-	t.Logf("%d changes acknowledged, %d reads answered; all were current %v (p50), %v (p99) after the cut's end",
+	t.Logf("%d changes acknowledged, %d reads answered; time until all members were current: %v (p50), %v (p99)",
 		ackedChanges, answeredReads, recoveries[len(recoveries)/2], recoveries[len(recoveries)*99/100])
 }
--- a/internal/controlplane/raft/sim_clients_test.go
+++ b/internal/controlplane/raft/sim_clients_test.go
@@ -50,7 +50,7 @@
 	return clients{pendingCalls: map[int]*operation{}, lastRevisions: map[int]string{}}
 }
 
-// runClients runs each client with a probability of 1/8.
+// runClients runs a random subset of the clients.
 func (s *simulation) runClients() {
 	for client := range clientCount {
 		if s.rng.IntN(8) == 0 {
--- a/internal/controlplane/raft/sim_faults_test.go
+++ b/internal/controlplane/raft/sim_faults_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// injectRandomFault injects a fault or ends network partitions, with a probability of about 1%. It is called every simStep.
+// injectRandomFault injects a fault or ends network partitions, with a small probability.
 func (s *simulation) injectRandomFault() {
 	target := s.rng.IntN(len(s.members)) // the leader is selected in at least half of all cases
 	for i, member := range s.members {
--- a/internal/controlplane/raft/snapshot_sim_test.go
+++ b/internal/controlplane/raft/snapshot_sim_test.go
@@ -174,11 +174,11 @@
 		if n := len(ready.Entries); n > 0 {
 			replica.node.StableTo(ready.Entries[n-1].Index)
 		}
-		for _, m := range ready.Messages {
-			s.send(replica, m)
+		for _, message := range ready.Messages {
+			s.send(replica, message)
 		}
-		for _, e := range ready.CommittedEntries {
-			s.apply(replica, e)
+		for _, entry := range ready.CommittedEntries {
+			s.apply(replica, entry)
 		}
 		s.compact(replica)
 	}
@@ -310,7 +310,7 @@
 	})
 }
 
-// injectRandomFault injects a fault with a probability of 6/700.
+// injectRandomFault injects a fault with a small probability.
 func (s *catchUpSim) injectRandomFault() {
 	replica := s.replicas[s.rng.IntN(len(s.replicas))]
 	for _, transfer := range s.transfers { // prefer replicas that receive a snapshot
