--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -95,7 +95,7 @@
 	response.Queued, response.RelativeLatency, response.Utilization = finished.Queued, float32(finished.RelativeLatency), float32(finished.Utilization)
 	response.TookMs = uint32((now - start).Milliseconds())
 	if i.Trace != nil {
-		i.Trace(trace.Record{Attempt: request.Attempt, Began: start, Took: now - start, Service: request.Service, Server: request.Member, Status: int(response.Status), Reason: response.Reason})
+		i.Trace(trace.Record{Attempt: request.Attempt, Start: start, Took: now - start, Service: request.Service, Server: request.Member, Status: int(response.Status), Reason: response.Reason})
 	}
 	if finished.Ejected {
 		i.Log.Warn("server.ejected", "member", request.Member, "zone", request.Zone, "result", response.Result.String(), "status", response.Status, "reason", response.Reason)
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -174,7 +174,7 @@
 	record.Status, record.Took = response.Status, time.Since(call.Arrived)
 	o.Metrics.Request(record.Route, response.Status, response.NotExecuted, record.Took)
 	if o.Trace != nil {
-		record.Attempt, record.Began = call.Headers.Get("Attempt-Id"), call.Arrived.Sub(o.start)
+		record.Attempt, record.Start = call.Headers.Get("Attempt-Id"), call.Arrived.Sub(o.start)
 		if response.Own {
 			record.Reason = strings.TrimSpace(string(response.Body))
 		}
--- a/internal/dataplane/sidecar/doc.go
+++ b/internal/dataplane/sidecar/doc.go
@@ -1,11 +1,11 @@
-// Package sidecar is the process beside an application server: it takes the requests of the clients on its machine (package
-// proxy, driven by the decisions of package router), serves the requests of other nodes to the server beside it (package
-// localserver), and takes part in the control plane (package agent).
+// Package sidecar implements the proxy process that runs beside an application server. It routes the requests of clients
+// (packages proxy and router), forwards requests from other nodes to the local server (package localserver), and takes part
+// in the control plane (package agent).
 //
-//	node.go       construction, run, shutdown order
-//	listeners.go  ports
+//	node.go       construction and main loop
+//	listeners.go  listening sockets
 //	servers.go    heartbeats of the application server
-//	update.go     updates of the replicated state to the request path
+//	update.go     applies updates of the replicated state to the request path
 //	shutdown.go   graceful shutdown
-//	metrics.go, status.go, trace.go  what operators can see
+//	metrics.go, status.go, trace.go  metrics, status and traces for operators
 package sidecar
--- a/internal/dataplane/sidecar/listeners.go
+++ b/internal/dataplane/sidecar/listeners.go
@@ -7,35 +7,35 @@
 	"ivydeck/internal/config/nodefile"
 )
 
-// listeners are where a node is called.
+// listeners holds the listening sockets of a node.
 type listeners struct {
-	internal  net.Listener // by other nodes
-	outbound  net.Listener // by clients
-	control   net.Listener // by the server beside it
-	readiness net.Listener // by the platform
+	internal  net.Listener // RPCs of other nodes
+	outbound  net.Listener // HTTP requests of clients
+	control   net.Listener // heartbeats of the local server
+	readiness net.Listener // readiness checks of the platform
 }
 
-// listen opens all addresses of the settings, or none.
+// listen binds all addresses of the settings. On an error it closes those that it has already bound.
 func listen(set *nodefile.Settings) (*listeners, error) {
 	l := new(listeners)
-	for _, open := range []struct {
+	for _, target := range []struct {
 		listener *net.Listener
 		address  string
 	}{{&l.internal, set.Internal()}, {&l.outbound, set.Outbound}, {&l.control, set.Control}, {&l.readiness, set.Readiness}} {
 		var err error
-		if *open.listener, err = net.Listen("tcp", open.address); err != nil {
+		if *target.listener, err = net.Listen("tcp", target.address); err != nil {
 			l.close()
-			return nil, fmt.Errorf("listening: %w", err)
+			return nil, fmt.Errorf("opening the listeners: %w", err)
 		}
 	}
 	return l, nil
 }
 
-// close closes those that are open.
+// close closes the listeners that are open.
 func (l *listeners) close() {
-	for _, open := range []net.Listener{l.internal, l.outbound, l.control, l.readiness} {
-		if open != nil {
-			open.Close()
+	for _, listener := range []net.Listener{l.internal, l.outbound, l.control, l.readiness} {
+		if listener != nil {
+			listener.Close()
 		}
 	}
 }
--- a/internal/dataplane/sidecar/mesh_test.go
+++ b/internal/dataplane/sidecar/mesh_test.go
@@ -24,17 +24,17 @@
 	"ivydeck/internal/transport/identity"
 )
 
-// mesh is a whole one on the loopback range: each machine has an address of its
-// own there, and ports are alike on all.
+// mesh runs a complete mesh on the loopback range. Each machine has its own address
+// and all use the same ports.
 type mesh struct {
 	t       testing.TB
 	ports   [5]int // nodes, control, outbound, readiness, server
 	dir     string
-	ca      *identity.Authority // nil: nobody shows who it is
+	ca      *identity.Authority // nil if connections use no TLS
 	running sync.WaitGroup
 }
 
-// freePorts finds ports that are free on all addresses used.
+// freePorts returns ports that are free on the first address.
 func freePorts(t testing.TB) (ports [5]int) {
 	for i := range ports {
 		l, err := net.Listen("tcp", "127.7.0.1:0")
@@ -93,44 +93,44 @@
 	return f
 }
 
-// operator returns what calls the core as an operator, or with another role as one who is none.
+// operator returns a client of the quorum with a certificate of the given role.
 func (m *mesh) operator(role identity.Role) *operator.Client {
-	core := &operator.Client{}
+	client := &operator.Client{}
 	for n := 1; n <= 3; n++ {
-		core.Addresses = append(core.Addresses, fmt.Sprintf("127.7.0.%d:%d", n, m.ports[1]))
+		client.Addresses = append(client.Addresses, fmt.Sprintf("127.7.0.%d:%d", n, m.ports[1]))
 	}
 	if m.ca == nil {
-		return core
+		return client
 	}
 	source, err := identity.Open(m.issue(role, "caller-"+string(role)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	return core.With(source)
+	return client.With(source)
 }
 
-// start runs a program until stop is called, which waits for its end.
+// start runs a program in the background. stop ends it and waits until it has returned.
 func (m *mesh) start(run func(context.Context, *nodefile.Settings, func() *nodefile.Settings, *slog.Logger) error, s *nodefile.Settings) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	m.running.Go(func() {
 		defer close(done)
-		never := func() *nodefile.Settings { <-ctx.Done(); return nil }
-		if err := run(ctx, s, never, slog.New(slog.DiscardHandler)); err != nil {
+		noReload := func() *nodefile.Settings { <-ctx.Done(); return nil }
+		if err := run(ctx, s, noReload, slog.New(slog.DiscardHandler)); err != nil {
 			m.t.Errorf("%s: %v", s.Node, err)
 		}
 	})
 	return func() { cancel(); <-done }
 }
 
-func (m *mesh) until(what string, f func() bool) {
+func (m *mesh) waitFor(condition string, holds func() bool) {
 	m.t.Helper()
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if f() {
+		if holds() {
 			return
 		}
 	}
-	m.t.Fatalf("waited for too long: %s", what)
+	m.t.Fatalf("timed out waiting for %s", condition)
 }
 
 func config(t testing.TB, revision int, prefix string) []byte {
@@ -144,8 +144,8 @@
 	return body
 }
 
-// TestWholeMesh starts three quorum members and one sidecar, serves a request, loses
-// the disk of one quorum member and then the leader, and finds all that was acknowledged.
+// TestWholeMesh checks that acknowledged configurations survive the loss of a quorum
+// member's disk, the loss of a quorum member's machine, and a restore from a backup.
 func TestWholeMesh(t *testing.T) {
 	t.Run("plain", func(t *testing.T) { wholeMesh(t, nil) })
 	t.Run("secured", func(t *testing.T) {
@@ -169,24 +169,24 @@
 	for n := 1; n <= 3; n++ {
 		stops[n] = m.start(server.Run, m.settings(n, nodefile.QuorumMachine, true))
 	}
-	core := m.operator(identity.Operator)
+	client := m.operator(identity.Operator)
 	ctx := context.Background()
 	first := config(t, 3, "/one/")
-	m.until("the first configuration", func() bool { return core.Apply(ctx, 0, first) == nil })
+	m.waitFor("the first configuration", func() bool { return client.Apply(ctx, 0, first) == nil })
 	if ca != nil {
 		node := m.operator(identity.Node)
 		if err := node.Apply(ctx, 3, config(t, 4, "/x/")); err == nil || !strings.Contains(err.Error(), "a certificate of an operator is needed") {
-			t.Errorf("a node changes the configuration: %v", err)
+			t.Errorf("applying a configuration with a node's certificate: %v", err)
 		}
 		if all, errs := node.Status(ctx); len(all) != 3 {
-			t.Errorf("a node can't ask who is there: %v", errs)
+			t.Errorf("reading the status with a node's certificate: %v", errs)
 		}
 	}
-	if err := core.Apply(ctx, 0, first); err != nil {
-		t.Errorf("the same again: %v", err)
+	if err := client.Apply(ctx, 0, first); err != nil {
+		t.Errorf("applying the same configuration again: %v", err)
 	}
-	if err := core.Apply(ctx, 0, config(t, 4, "/x/")); err == nil {
-		t.Error("a stale base was taken")
+	if err := client.Apply(ctx, 0, config(t, 4, "/x/")); err == nil {
+		t.Error("a configuration with a stale base revision was accepted")
 	}
 
 	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -195,10 +195,10 @@
 		io.WriteString(w, r.URL.Path)
 	}))
 	defer app.Close()
-	side := m.settings(9, nodefile.SidecarMachine, true)
-	stops[9] = m.start(Run, side)
+	sidecar := m.settings(9, nodefile.SidecarMachine, true)
+	stops[9] = m.start(Run, sidecar)
 	get := func(path string) int {
-		req, _ := http.NewRequest("GET", "http://"+side.Outbound+path, nil)
+		req, _ := http.NewRequest("GET", "http://"+sidecar.Outbound+path, nil)
 		req.Host = "h"
 		req.Header.Set("Attempt-Id", "a")
 		resp, err := http.DefaultClient.Do(req)
@@ -209,86 +209,86 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	beat, _ := msgpack.Marshal(map[string]any{"backend": "s", "address": strings.TrimPrefix(app.URL, "http://"), "zone": "z",
+	heartbeat, _ := msgpack.Marshal(map[string]any{"backend": "s", "address": strings.TrimPrefix(app.URL, "http://"), "zone": "z",
 		"slots": 4, "status": "in_service", "call_seq": 1})
-	beats, stopBeats := context.WithCancel(ctx)
-	defer stopBeats()
+	heartbeatCtx, stopHeartbeats := context.WithCancel(ctx)
+	defer stopHeartbeats()
 	m.running.Go(func() {
-		for beats.Err() == nil {
-			if resp, err := http.Post("http://"+side.Control+"/members/i-1/heartbeat", "application/msgpack", bytes.NewReader(beat)); err == nil {
+		for heartbeatCtx.Err() == nil {
+			if resp, err := http.Post("http://"+sidecar.Control+"/members/i-1/heartbeat", "application/msgpack", bytes.NewReader(heartbeat)); err == nil {
 				resp.Body.Close()
 			}
 			select {
 			case <-time.After(50 * time.Millisecond):
-			case <-beats.Done():
+			case <-heartbeatCtx.Done():
 			}
 		}
 	})
-	m.until("a ready node", func() bool {
-		resp, err := http.Get("http://" + side.Readiness + "/ready")
+	m.waitFor("a ready node", func() bool {
+		resp, err := http.Get("http://" + sidecar.Readiness + "/ready")
 		if err != nil {
 			return false
 		}
 		resp.Body.Close()
 		return resp.StatusCode == 200
 	})
-	m.until("a served request", func() bool { return get("/one/x") == 200 })
-	for n := range core.Addresses { // calls may be answered by any of them
-		one := *core
-		one.Addresses = core.Addresses[n : n+1]
-		m.until("a quorum member that knows of the node", func() bool { all, err := one.Nodes(ctx); return err == nil && all.Queried > 0 })
+	m.waitFor("a served request", func() bool { return get("/one/x") == 200 })
+	for n := range client.Addresses { // a call may reach any quorum member
+		single := *client
+		single.Addresses = client.Addresses[n : n+1]
+		m.waitFor("a quorum member that lists the node", func() bool { all, err := single.Nodes(ctx); return err == nil && all.Queried > 0 })
 	}
-	if all, err := core.Nodes(ctx); err != nil || all.Queried != 1 || all.Unresponsive != 0 || len(all.Nodes) != 1 || all.Nodes[0].Served == 0 ||
+	if all, err := client.Nodes(ctx); err != nil || all.Queried != 1 || all.Unresponsive != 0 || len(all.Nodes) != 1 || all.Nodes[0].Served == 0 ||
 		len(all.Nodes[0].Services) != 1 || len(all.Nodes[0].Servers) != 1 || all.Nodes[0].Servers[0].Server != "i-1" {
-		t.Errorf("the nodes see %+v, %v", all, err)
+		t.Errorf("the status of the nodes is %+v, %v", all, err)
 	}
-	way, err := core.Trace(ctx, "a")
-	var last []server.NodeTrace // of the served one
-	if len(way.Parts) > 1 {
-		last = way.Parts[len(way.Parts)-2:]
+	requestTrace, err := client.Trace(ctx, "a")
+	var last []server.NodeTrace // the last two records belong to the served request
+	if len(requestTrace.Parts) > 1 {
+		last = requestTrace.Parts[len(requestTrace.Parts)-2:]
 	}
-	if err != nil || way.Queried != 1 || way.Unresponsive != 0 || len(last) != 2 || !last[0].Entry || last[0].Route != "r" || last[0].Status != 200 ||
+	if err != nil || requestTrace.Queried != 1 || requestTrace.Unresponsive != 0 || len(last) != 2 || !last[0].Entry || last[0].Route != "r" || last[0].Status != 200 ||
 		last[0].Attempts != 1 || last[1].Entry || last[1].Server != "i-1" || last[1].Status != 200 || last[1].AgoMs > last[0].AgoMs {
-		t.Errorf("the way of a request is %+v, %v", way, err)
+		t.Errorf("the trace of a request is %+v, %v", requestTrace, err)
 	}
 
 	second := config(t, 7, "/two/")
-	m.until("a second configuration", func() bool { return core.Apply(ctx, 3, second) == nil })
-	m.until("its routes on the node", func() bool { return get("/two/x") == 200 })
+	m.waitFor("a second configuration", func() bool { return client.Apply(ctx, 3, second) == nil })
+	m.waitFor("its routes on the node", func() bool { return get("/two/x") == 200 })
 	if got := get("/one/x"); got != 404 {
-		t.Errorf("the old route answers %d beside the new one", got)
+		t.Errorf("the old route responds with %d after its removal, want 404", got)
 	}
-	before := ""
-	all, _ := core.Status(ctx)
+	replacedIdentity := ""
+	all, _ := client.Status(ctx)
 	for _, s := range all {
 		for _, p := range s.Members {
 			if strings.HasPrefix(p.Address, "127.7.0.2:") {
-				before = p.Identity
+				replacedIdentity = p.Identity
 			}
 		}
 	}
 	stops[2]()
-	lost := m.settings(2, nodefile.QuorumMachine, false)
-	lost.DataDir = filepath.Join(m.dir, "empty")
-	stops[2] = m.start(server.Run, lost)
+	replacement := m.settings(2, nodefile.QuorumMachine, false)
+	replacement.DataDir = filepath.Join(m.dir, "empty")
+	stops[2] = m.start(server.Run, replacement)
 	read := func() []byte {
-		body, _, err := core.Read(ctx)
+		body, _, err := client.Read(ctx)
 		if err != nil {
 			return nil
 		}
 		return body
 	}
-	m.until("the configuration after a lost disk", func() bool { return bytes.Equal(read(), second) })
-	// While the lost one is still a member, a further loss is more than is to be borne.
-	m.until("a core of three voters, one of them new", func() bool {
-		all, _ := core.Status(ctx)
+	m.waitFor("the configuration after a lost disk", func() bool { return bytes.Equal(read(), second) })
+	// A further loss is tolerated only once the replacement has become a voter instead of the lost member.
+	m.waitFor("a quorum of three voters, one of them new", func() bool {
+		all, _ := client.Status(ctx)
 		for _, s := range all {
 			voters, old := 0, false
 			for _, p := range s.Members {
 				if p.Voter {
 					voters++
 				}
-				old = old || p.Identity == before
+				old = old || p.Identity == replacedIdentity
 			}
 			if s.IsLeader {
 				return voters == 3 && !old && len(s.Servers) == 1
@@ -297,20 +297,20 @@
 		return false
 	})
 	third := config(t, 9, "/three/")
-	m.until("a third configuration", func() bool { return core.Apply(ctx, 7, third) == nil })
-	// Whoever leads goes: the two that are left are enough once the new member votes.
+	m.waitFor("a third configuration", func() bool { return client.Apply(ctx, 7, third) == nil })
+	// The two remaining voters, one of them the replacement, form a majority without member 1.
 	stops[1]()
 	delete(stops, 1)
-	m.until("the configuration after the loss of a machine", func() bool { return bytes.Equal(read(), third) })
-	m.until("its routes on the node", func() bool { return get("/three/x") == 200 })
+	m.waitFor("the configuration after the loss of a machine", func() bool { return bytes.Equal(read(), third) })
+	m.waitFor("its routes on the node", func() bool { return get("/three/x") == 200 })
 
-	// All that the core has is lost but a backup, and a change that came after it.
-	kept, err := core.Backup(ctx)
-	if err != nil || kept.State.Revision() != 9 || len(kept.State.Servers()) != 1 {
-		t.Fatalf("a backup: %v, %v", kept, err)
+	// All quorum members lose their data after a backup and one later change, and are restored from the backup.
+	backup, err := client.Backup(ctx)
+	if err != nil || backup.State.Revision() != 9 || len(backup.State.Servers()) != 1 {
+		t.Fatalf("taking a backup: %v, %v", backup, err)
 	}
-	m.until("a fourth configuration", func() bool { return core.Apply(ctx, 9, config(t, 11, "/four/")) == nil })
-	m.until("its routes on the node", func() bool { return get("/four/x") == 200 })
+	m.waitFor("a fourth configuration", func() bool { return client.Apply(ctx, 9, config(t, 11, "/four/")) == nil })
+	m.waitFor("its routes on the node", func() bool { return get("/four/x") == 200 })
 	for n := 2; n <= 3; n++ {
 		stops[n]()
 		delete(stops, n)
@@ -319,33 +319,33 @@
 		set := m.settings(n, nodefile.QuorumMachine, false)
 		set.DataDir = filepath.Join(m.dir, fmt.Sprint("restored", n))
 		if n == 1 {
-			if err := kept.Restore(set.DataDir, set.Internal(), set.Control, rand.New(rand.NewPCG(1, 1))); err != nil {
+			if err := backup.Restore(set.DataDir, set.Internal(), set.Control, rand.New(rand.NewPCG(1, 1))); err != nil {
 				t.Fatal(err)
 			}
 		}
 		stops[n] = m.start(server.Run, set)
 	}
-	m.until("the configuration of the backup", func() bool { return bytes.Equal(read(), third) })
-	m.until("its routes on a node that has outlived the core", func() bool { return get("/three/x") == 200 && get("/four/x") == 404 })
-	m.until("a change on top of it", func() bool { return core.Apply(ctx, 9, config(t, 12, "/five/")) == nil })
-	m.until("its routes on the node", func() bool { return get("/five/x") == 200 })
+	m.waitFor("the configuration of the backup", func() bool { return bytes.Equal(read(), third) })
+	m.waitFor("its routes on a node that kept running", func() bool { return get("/three/x") == 200 && get("/four/x") == 404 })
+	m.waitFor("a change after the restore", func() bool { return client.Apply(ctx, 9, config(t, 12, "/five/")) == nil })
+	m.waitFor("its routes on the node", func() bool { return get("/five/x") == 200 })
 }
 
-// BenchmarkChanges measures configurations that are acknowledged one after another by
-// a core of three on loopback, each on the disks of a majority.
+// BenchmarkChanges measures successive configuration changes on a quorum of three on
+// loopback. Each is acknowledged once it is on the disks of a majority.
 func BenchmarkChanges(b *testing.B) {
 	m := &mesh{t: b, ports: freePorts(b), dir: b.TempDir()}
 	defer m.running.Wait()
-	core := &operator.Client{}
+	client := &operator.Client{}
 	for n := 1; n <= 3; n++ {
 		defer m.start(server.Run, m.settings(n, nodefile.QuorumMachine, true))()
-		core.Addresses = append(core.Addresses, fmt.Sprintf("127.7.0.%d:%d", n, m.ports[1]))
+		client.Addresses = append(client.Addresses, fmt.Sprintf("127.7.0.%d:%d", n, m.ports[1]))
 	}
 	ctx := context.Background()
-	m.until("the first configuration", func() bool { return core.Apply(ctx, 0, config(b, 1, "/a/")) == nil })
+	m.waitFor("the first configuration", func() bool { return client.Apply(ctx, 0, config(b, 1, "/a/")) == nil })
 	revision := 1
 	for b.Loop() {
-		if err := core.Apply(ctx, uint64(revision), config(b, revision+1, "/a/")); err != nil {
+		if err := client.Apply(ctx, uint64(revision), config(b, revision+1, "/a/")); err != nil {
 			b.Fatal(err)
 		}
 		revision++
--- a/internal/dataplane/sidecar/metrics.go
+++ b/internal/dataplane/sidecar/metrics.go
@@ -8,18 +8,18 @@
 	"ivydeck/internal/transport/wire"
 )
 
-const exportedPriorities = 4 // priorities 0 to 3 have a reading of their own
+const exportedPriorities = 4 // priorities 0 to 3 are exported
 
-// newMetrics returns the node's metrics: see docs/operations.md. Their names are frozen.
+// newMetrics returns the node's metrics. Their names are a stable interface; see docs/operations.md.
 func (n *Node) newMetrics() *metrics.Set {
 	gauges := slices.Concat(n.serviceGauges(), n.serverGauges(), n.clusterGauges(), n.processGauges())
 	return metrics.New(gauges...)
 }
 
-// emitter takes the value of a reading with its labels.
+// emitter adds a reading with the values of its labels.
 type emitter func(value float64, labels ...string)
 
-// readings returns what a function emits as the readings of a gauge.
+// readings returns a function for Gauge.Read that collects what read emits.
 func readings(read func(emit emitter)) func() []metrics.Reading {
 	return func() (list []metrics.Reading) {
 		read(func(value float64, labels ...string) {
@@ -90,17 +90,17 @@
 				emit(float64(alive), "alive")
 				emit(float64(suspect), "suspect")
 			})},
-		metrics.One("ivydeck_update_index", "Index of the latest update that is known.", func() float64 { return float64(n.hub.Index()) }),
-		metrics.One("ivydeck_update_age_seconds", "Since the state was known to be the newest.", func() float64 { return n.follower.Age().Seconds() }),
-		metrics.One("ivydeck_update_depth", "Places between this node and the quorum.", func() float64 { return float64(n.hub.Depth()) }),
+		metrics.NewGauge("ivydeck_update_index", "Index of the latest update that is known.", func() float64 { return float64(n.hub.Index()) }),
+		metrics.NewGauge("ivydeck_update_age_seconds", "Since the state was known to be the newest.", func() float64 { return n.follower.Age().Seconds() }),
+		metrics.NewGauge("ivydeck_update_depth", "Places between this node and the quorum.", func() float64 { return float64(n.hub.Depth()) }),
 	}
 }
 
 func (n *Node) processGauges() []metrics.Gauge {
 	return []metrics.Gauge{
-		metrics.One("ivydeck_identity_refused", "Connections and calls of others that were refused for their identity.", func() float64 { return float64(n.refused.Load()) }),
-		metrics.One("ivydeck_identity_ends_seconds", "Time that is left of this process's certificate; -1: it has none.", func() float64 { return n.pool.Identity().Remaining().Seconds() }),
-		metrics.One("ivydeck_client_connections", "Open.", func() float64 { return float64(n.front.Open()) }),
-		metrics.One("ivydeck_client_requests", "Without an answer.", func() float64 { return float64(n.front.Pending()) }),
+		metrics.NewGauge("ivydeck_identity_refused", "Connections and calls of others that were refused for their identity.", func() float64 { return float64(n.refused.Load()) }),
+		metrics.NewGauge("ivydeck_identity_ends_seconds", "Time that is left of this process's certificate; -1: it has none.", func() float64 { return n.pool.Identity().Remaining().Seconds() }),
+		metrics.NewGauge("ivydeck_client_connections", "Open.", func() float64 { return float64(n.frontend.Open()) }),
+		metrics.NewGauge("ivydeck_client_requests", "Without an answer.", func() float64 { return float64(n.frontend.Pending()) }),
 	}
 }
--- a/internal/dataplane/sidecar/servers.go
+++ b/internal/dataplane/sidecar/servers.go
@@ -15,11 +15,11 @@
 
 const (
 	maxHeartbeatBytes = 4 << 10
-	maxWarmupMs       = 600_000                // bound on the slow start that a server announces
-	drainAckTimeout   = 800 * time.Millisecond // for a draining status to come back as an update; a heartbeat waits for a second
+	maxWarmupMs       = 600_000                // upper bound on warmup_left_ms
+	drainAckTimeout   = 800 * time.Millisecond // wait for a draining status in the registry; servers time out a heartbeat after 1 s
 )
 
-// heartbeatBody is the body of a server's heartbeat.
+// heartbeatBody is the msgpack body of a server's heartbeat.
 type heartbeatBody struct {
 	Backend  string  `msgpack:"backend"`
 	Address  string  `msgpack:"address"`
@@ -31,12 +31,12 @@
 	Seq      uint64  `msgpack:"call_seq"`
 }
 
-// serveHeartbeat serves the calls of this machine's server:
+// serveHeartbeat serves the HTTP calls of the local server:
 // POST /members/ID/heartbeat and POST /members/ID/deregister.
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	rest, ok := strings.CutPrefix(r.URL.Path, "/members/")
-	id, call, ok2 := strings.Cut(rest, "/")
-	if !ok || !ok2 || id == "" || len(id) > 256 || call != "heartbeat" && call != "deregister" {
+	id, action, found := strings.Cut(rest, "/")
+	if !ok || !found || id == "" || len(id) > 256 || action != "heartbeat" && action != "deregister" {
 		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
@@ -49,30 +49,31 @@
 		http.Error(w, "the body is too large or did not come", http.StatusBadRequest)
 		return
 	}
-	if call == "deregister" {
+	if action == "deregister" {
 		n.inbound.Deregister(id)
 		n.acknowledge(w)
 		return
 	}
-	b, err := readHeartbeat(body)
+	heartbeat, err := readHeartbeat(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	b.ID = id
-	if !n.inbound.Heartbeat(b, time.Now()) {
+	heartbeat.ID = id
+	if !n.inbound.Heartbeat(heartbeat, time.Now()) {
 		http.Error(w, "this life has ended", http.StatusConflict)
 		return
 	}
-	if b.Draining && !n.awaitDrainUpdate(r.Context(), id) {
+	if heartbeat.Draining && !n.awaitDrainUpdate(r.Context(), id) {
 		http.Error(w, "the mark is not in the log yet", http.StatusServiceUnavailable)
 		return
 	}
 	n.acknowledge(w)
 }
 
-// awaitDrainUpdate waits until the registry has the draining status. What is acknowledged must hold also after this process has
-// crashed, and the next one begins with the registry. Here the status binds at once, acknowledged or not.
+// awaitDrainUpdate waits until the registry contains the draining status, and reports whether it does before drainAckTimeout.
+// An acknowledged status must survive a crash of this process, and the next process restores its servers from the registry.
+// Locally the status takes effect at once, whether it is acknowledged or not.
 func (n *Node) awaitDrainUpdate(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, drainAckTimeout)
 	defer cancel()
@@ -89,13 +90,14 @@
 	}
 }
 
-// acknowledge answers with an empty map.
+// acknowledge responds with an empty msgpack map.
 func (n *Node) acknowledge(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/msgpack")
 	w.Header().Set("Content-Length", "1")
 	w.Write([]byte{0x80})
 }
 
+// readHeartbeat decodes and validates a heartbeat. Its error is sent to the server as the body of the response.
 func readHeartbeat(body []byte) (proxy.Heartbeat, error) {
 	var b heartbeatBody
 	if err := msgpack.Unmarshal(body, &b); err != nil {
--- a/internal/dataplane/sidecar/shutdown_test.go
+++ b/internal/dataplane/sidecar/shutdown_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestLateRequestsAreNotRead: what a client sends more than three seconds after SIGTERM is not read, as it could not be
-// waited for, and what is read has time to end before the process does.
+// TestLateRequestsAreNotRead checks that requests sent more than three seconds after SIGTERM are not read, and that requests
+// which are read have time to finish before the process exits.
 func TestLateRequestsAreNotRead(t *testing.T) {
-	const excused = 3 * time.Second
+	const maxWindow = 3 * time.Second
 	for grace := 4 * time.Second; grace <= time.Minute; grace += time.Second {
-		ends := readingEnds(grace)
-		if ends > excused {
-			t.Errorf("with a grace period of %v requests are read for %v, and %v are excused", grace, ends, excused)
+		window := readWindow(grace)
+		if window > maxWindow {
+			t.Errorf("grace period %v: requests are read for %v, want at most %v", grace, window, maxWindow)
 		}
-		if ends+stopMargin > grace || ends <= serverWorkEnd {
-			t.Errorf("with a grace period of %v requests are read for %v", grace, ends)
+		if window+stopMargin > grace || window <= serverDrainDelay {
+			t.Errorf("grace period %v: read window is %v", grace, window)
 		}
 	}
 }
--- a/internal/dataplane/sidecar/status.go
+++ b/internal/dataplane/sidecar/status.go
@@ -7,22 +7,22 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// handleStatus returns the present status of this node.
+// handleStatus returns the current status of this node.
 func (n *Node) handleStatus(context.Context, *wire.Empty) (*wire.NodeStatus, error) {
-	set := n.set.Load()
+	settings := n.settings.Load()
 	served, refused, failed := n.outbound.Counts()
-	l := &wire.NodeStatus{
-		Node: set.Node, Zone: set.Zone, Served: served, Refused: refused, Failed: failed, Pending: uint32(n.front.Pending()),
-		UpdateIndex: n.hub.Index(), UpdateAgeMs: uint32(min(n.follower.Age(), time.Hour).Milliseconds()), UpMs: uint32(time.Since(n.began).Milliseconds()),
+	status := &wire.NodeStatus{
+		Node: settings.Node, Zone: settings.Zone, Served: served, Refused: refused, Failed: failed, Pending: uint32(n.frontend.Pending()),
+		UpdateIndex: n.hub.Index(), UpdateAgeMs: uint32(min(n.follower.Age(), time.Hour).Milliseconds()), UpMs: uint32(time.Since(n.startTime).Milliseconds()),
 	}
-	for _, r := range n.outbound.ServiceStates(n.outbound.Priorities()) {
-		l.Services = append(l.Services, &wire.ServiceStatus{Service: r.Service, NormalizedLatency: r.NormalizedLatency, AdmissionProbabilities: r.Probabilities, RetryBudgetLeft: r.RetryBudgetLeft})
+	for _, service := range n.outbound.ServiceStates(n.outbound.Priorities()) {
+		status.Services = append(status.Services, &wire.ServiceStatus{Service: service.Service, NormalizedLatency: service.NormalizedLatency, AdmissionProbabilities: service.Probabilities, RetryBudgetLeft: service.RetryBudgetLeft})
 	}
 	unhealthy := n.inbound.Unhealthy()
 	servers, running, waiting := n.inbound.Load()
-	for i, b := range servers {
-		l.Servers = append(l.Servers, &wire.ServerStatus{Member: b.ID, Service: b.Service, Running: uint32(running[i]), Queued: uint32(waiting[i]),
-			Slots: uint32(b.Slots), EjectedZones: unhealthy[b.ID], Draining: b.Draining})
+	for i, server := range servers {
+		status.Servers = append(status.Servers, &wire.ServerStatus{Member: server.ID, Service: server.Service, Running: uint32(running[i]), Queued: uint32(waiting[i]),
+			Slots: uint32(server.Slots), EjectedZones: unhealthy[server.ID], Draining: server.Draining})
 	}
-	return l, nil
+	return status, nil
 }
--- a/internal/dataplane/sidecar/trace.go
+++ b/internal/dataplane/sidecar/trace.go
@@ -8,31 +8,31 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// record returns what keeps and logs records whose times begin so much later than the node. How many are kept is set
-// for a life; the part that is logged may change with the settings.
-func (n *Node) record(since time.Duration) func(trace.Record) {
+// recorder returns a function that stores records and logs a sample of them. It adds offset to their start times, which makes
+// them relative to the node's start. The logged share follows the current settings; the capacity is fixed at the start.
+func (n *Node) recorder(offset time.Duration) func(trace.Record) {
 	return func(r trace.Record) {
-		r.Began += since
+		r.Start += offset
 		n.traces.Add(r)
-		if trace.Sampled(r.Attempt, n.set.Load().AccessLogShare) {
+		if trace.Sampled(r.Attempt, n.settings.Load().AccessLogShare) {
 			n.log.Info("request", "attempt", r.Attempt, "entry", r.Entry, "route", r.Route, "service", r.Service, "server", r.Server,
 				"status", r.Status, "why", r.Reason, "tries", r.Attempts, "took", r.Took)
 		}
 	}
 }
 
-// handleTrace returns the records of a request that this node has kept.
-func (n *Node) handleTrace(_ context.Context, q *wire.TraceRequest) (*wire.TraceResponse, error) {
-	answer := new(wire.TraceResponse)
+// handleTrace returns the stored records of a request.
+func (n *Node) handleTrace(_ context.Context, request *wire.TraceRequest) (*wire.TraceResponse, error) {
+	response := new(wire.TraceResponse)
 	if n.traces == nil {
-		return answer, nil
+		return response, nil
 	}
-	now := time.Since(n.began)
-	for _, r := range n.traces.Of(q.Attempt) {
-		answer.Traces = append(answer.Traces, &wire.RequestTrace{
-			Attempt: r.Attempt, Node: n.set.Load().Node, Entry: r.Entry, Route: r.Route, Service: r.Service, Server: r.Server,
-			Status: int32(r.Status), Reason: r.Reason, Attempts: uint32(r.Attempts), AgoMs: uint32((now - r.Began).Milliseconds()), TookMs: uint32(r.Took.Milliseconds()),
+	now := time.Since(n.startTime)
+	for _, r := range n.traces.ByAttempt(request.Attempt) {
+		response.Traces = append(response.Traces, &wire.RequestTrace{
+			Attempt: r.Attempt, Node: n.settings.Load().Node, Entry: r.Entry, Route: r.Route, Service: r.Service, Server: r.Server,
+			Status: int32(r.Status), Reason: r.Reason, Attempts: uint32(r.Attempts), AgoMs: uint32((now - r.Start).Milliseconds()), TookMs: uint32(r.Took.Milliseconds()),
 		})
 	}
-	return answer, nil
+	return response, nil
 }
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	updatePauses   = 6 // times as long as an update took the next one waits ...
-	maxUpdatePause = 200 * time.Millisecond
+	updatePauseFactor = 6 // pause after an update, in durations of that update
+	maxUpdatePause    = 200 * time.Millisecond
 )
 
-// watch keeps the outbound side up to date with the updates and the members. What comes while an update is under way shares
-// the next one.
+// watch applies updates of the replicated state and membership changes to the request path until ctx ends. Changes that arrive
+// during an update are batched into the next one.
 func (n *Node) watch(ctx context.Context) {
-	tick := time.NewTicker(upkeepEvery)
+	tick := time.NewTicker(upkeepInterval)
 	defer tick.Stop()
-	var members uint64 // the version that was taken last
+	var applied uint64 // membership version that was applied last
 	for ctx.Err() == nil {
 		changed := n.hub.Changed()
-		if version := n.gossip.Version(); n.hub.Index() != n.cluster.Index() || version != members {
-			began := time.Now()
-			if version != members {
-				members = version
+		if version := n.gossip.Version(); n.hub.Index() != n.cluster.Index() || version != applied {
+			start := time.Now()
+			if version != applied {
+				applied = version
 				n.cluster.SetMembers(n.gossip.Members(), func(node string) bool { return n.gossip.DeadFor(node) > 0 })
 			}
 			n.update()
-			// An update of a service with thousands of servers costs milliseconds, one of the members of a large mesh too:
-			// where such updates come one behind the other, as at a start of all machines, several share one, so that most
-			// of the time is left for requests.
-			timerpool.Sleep(ctx, min(updatePauses*time.Since(began), maxUpdatePause))
+			// An update of a service with thousands of servers or of a large membership takes milliseconds. The pause
+			// batches frequent updates, for example when all machines start, and leaves most of the CPU time to requests.
+			timerpool.Sleep(ctx, min(updatePauseFactor*time.Since(start), maxUpdatePause))
 		}
 		select {
 		case <-changed:
@@ -44,29 +43,30 @@
 	}
 }
 
-// update hands on what has changed.
+// update applies the changes since the last update and publishes the new cluster state to the request path.
 func (n *Node) update() {
 	before := n.cluster.ClusterState().Config
 	changes, config := n.hub.State(n.cluster.Index())
 	n.cluster.Apply(changes, config)
 	n.adopt(changes)
 	n.outbound.Update(n.cluster.ClusterState())
-	n.served.Store(config != nil && n.cluster.Registered() > 0)
+	n.canServe.Store(config != nil && n.cluster.Registered() > 0)
 	if config != nil && config != before {
 		n.log.Info("config.applied", "revision", config.Revision, "index", n.cluster.Index(), "resources", len(changes.GetResources()))
 	}
 }
 
-// adopt adds the server that the previous process registered, until the server sends a heartbeat.
+// adopt adds the local server as registered by the previous process, until the server sends a heartbeat. It does nothing once
+// the process has run for two heartbeat intervals.
 func (n *Node) adopt(changes *wire.Changes) {
-	set := n.set.Load()
-	if time.Since(n.began) >= 2*set.HeartbeatInterval {
+	settings := n.settings.Load()
+	if time.Since(n.startTime) >= 2*settings.HeartbeatInterval {
 		return
 	}
-	for _, r := range changes.GetResources() {
-		s := r.GetServer()
-		if s != nil && s.Node == set.Node && s.Service == set.Backend && !s.Draining {
-			n.inbound.Adopt(proxy.Heartbeat{ID: s.Member, Service: s.Service, Address: set.AppAddress, Zone: s.Zone, Slots: int(s.Slots)}, time.Now())
+	for _, resource := range changes.GetResources() {
+		server := resource.GetServer()
+		if server != nil && server.Node == settings.Node && server.Service == settings.Backend && !server.Draining {
+			n.inbound.Adopt(proxy.Heartbeat{ID: server.Member, Service: server.Service, Address: settings.AppAddress, Zone: server.Zone, Slots: int(server.Slots)}, time.Now())
 		}
 	}
 }
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -1,5 +1,6 @@
-// Package trace keeps a node's records of the last requests, so that the path of one
-// through the mesh can be asked for by its id; and it draws those that are logged.
+// Package trace stores a node's records of recent requests, from which operators
+// reconstruct the path of a request through the mesh. It also samples the requests
+// that are logged.
 package trace
 
 import (
@@ -11,63 +12,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Record is one node's part in a request.
+// Record describes how one node handled a request.
 type Record struct {
 	Attempt  string
-	Began    time.Duration // since a moment of the owner's choice
+	Start    time.Duration // relative to a time chosen by the owner of the ring
 	Took     time.Duration
-	Entry    bool   // met here at its begin; else passed on to the server beside this node
-	Route    string // of an entry
+	Entry    bool   // true on the node that received the request from a client, false on the node of the server
+	Route    string // set if Entry is true
 	Service  string
-	Server   string // of a run
-	Status   int    // of the answer; 0: there was none
-	Reason   string // of an answer of the mesh's own, or of none
-	Attempts int    // servers that an entry has arrived at
+	Server   string // set if Entry is false
+	Status   int    // HTTP status of the response, zero if there was none
+	Reason   string // why the mesh responded itself or there was no response
+	Attempts int    // number of servers that the request was sent to, if Entry is true
 }
 
-// Ring keeps the last records.
+// Ring stores the most recent records. It is safe for concurrent use.
 type Ring struct {
-	mu   sync.Mutex
-	kept []Record
-	next int // place of the next one, where kept is full
+	mu      sync.Mutex
+	records []Record
+	next    int // index of the oldest record once records is full
 }
 
-// NewRing returns a ring for so many records, none among them; it takes no more memory than they do.
-func NewRing(capacity int) *Ring { return &Ring{kept: make([]Record, 0, capacity)} }
+// NewRing returns an empty ring. If capacity is 0, it stores nothing.
+func NewRing(capacity int) *Ring { return &Ring{records: make([]Record, 0, capacity)} }
 
-// Add keeps a record, in the place of the oldest where there is no room.
+// Add stores a record and overwrites the oldest one if the ring is full.
 func (r *Ring) Add(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if cap(r.kept) == 0 {
+	if cap(r.records) == 0 {
 		return
 	}
-	if len(r.kept) < cap(r.kept) {
-		r.kept = append(r.kept, rec)
+	if len(r.records) < cap(r.records) {
+		r.records = append(r.records, rec)
 		return
 	}
-	r.kept[r.next] = rec
-	r.next = (r.next + 1) % len(r.kept)
+	r.records[r.next] = rec
+	r.next = (r.next + 1) % len(r.records)
 }
 
-// Of returns what is kept of a request and of the calls that its runs made, the
-// first to begin first. Calls have ids that begin with the id of the run.
-func (r *Ring) Of(attempt string) []Record {
+// ByAttempt returns the records of a request and of the calls made on its behalf,
+// ordered by start time. The id of such a call starts with the id of the request and a
+// dot.
+func (r *Ring) ByAttempt(attempt string) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []Record
-	for _, rec := range r.kept {
+	for _, rec := range r.records {
 		if rest, ok := strings.CutPrefix(rec.Attempt, attempt); ok && (rest == "" || rest[0] == '.') {
 			list = append(list, rec)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b Record) int { return int(a.Began - b.Began) })
+	slices.SortStableFunc(list, func(a, b Record) int { return int(a.Start - b.Start) })
 	return list
 }
 
-// Sampled reports whether a request is among a part of all. Every node draws the same
-// ones, so that what one logs of a request another does as well; the calls of a
-// request are drawn with it.
+// Sampled reports whether a request belongs to the given share of all requests. The
+// result depends only on the first component of the id, so that all nodes sample the
+// same requests together with the calls made on their behalf.
 func Sampled(attempt string, share float64) bool {
 	root, _, _ := strings.Cut(attempt, ".")
 	return share > 0 && float64(xxhash.Sum64String(root)>>11)/(1<<53) < share
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics shows a process's figures in the Prometheus format, on an
-// address of the settings' own. Where none is given nothing is served, and a nil
-// *Set takes everything without a word.
+// Package metrics serves a process's metrics in the Prometheus format on the address
+// given in the settings. The methods of a nil *Set that record values do nothing, for
+// processes without such an address.
 package metrics
 
 import (
@@ -19,25 +19,25 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Reading is a value with its labels' values, in the order of Gauge.Labels.
+// Reading is a value of a gauge with its label values in the order of Gauge.Labels.
 type Reading struct {
 	Value  float64
 	Labels []string
 }
 
-// Gauge is a figure that is read when somebody asks, so that it costs nothing else.
+// Gauge is a metric whose values are read on each scrape.
 type Gauge struct {
 	Name, Help string
 	Labels     []string
 	Read       func() []Reading
 }
 
-// One returns a gauge of a single value.
-func One(name, help string, read func() float64) Gauge {
+// NewGauge returns a gauge with a single value and no labels.
+func NewGauge(name, help string, read func() float64) Gauge {
 	return Gauge{Name: name, Help: help, Read: func() []Reading { return []Reading{{Value: read()}} }}
 }
 
-// Set is a process's metrics.
+// Set holds all metrics of a process.
 type Set struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -45,7 +45,7 @@
 	syncs    prometheus.Histogram
 }
 
-// New returns a set with counters of its own and gauges.
+// New returns a set of the standard counters and histograms, the RPC traffic and the given gauges.
 func New(gauges ...Gauge) *Set {
 	s := &Set{
 		registry: prometheus.NewRegistry(),
@@ -65,7 +65,7 @@
 	return s
 }
 
-// collector reads a gauge when it is asked to.
+// collector implements prometheus.Collector for a gauge.
 type collector struct {
 	Gauge
 	desc *prometheus.Desc
@@ -76,54 +76,54 @@
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	for _, r := range c.Read() {
 		m, err := prometheus.NewConstMetric(c.desc, prometheus.GaugeValue, r.Value, r.Labels...)
-		if err != nil { // labels that are no text
+		if err != nil { // wrong number of labels, or invalid UTF-8
 			m = prometheus.NewInvalidMetric(c.desc, err)
 		}
 		ch <- m
 	}
 }
 
-// Request counts a response. Route is empty if none was found.
+// Request counts a response and its latency. route is empty if no route matched.
 func (s *Set) Request(route string, status int, notExecuted bool, took time.Duration) {
 	if s == nil {
 		return
 	}
-	promised := "no"
+	promise := "no"
 	if notExecuted {
-		promised = "yes"
+		promise = "yes"
 	}
-	s.requests.WithLabelValues(route, fmt.Sprint(status), promised).Inc()
+	s.requests.WithLabelValues(route, fmt.Sprint(status), promise).Inc()
 	s.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
-// Synced records the duration of a synced write of the log.
+// Synced records the duration of a synchronous write to the log.
 func (s *Set) Synced(took time.Duration) {
 	if s != nil {
 		s.syncs.Observe(took.Seconds())
 	}
 }
 
-// Serve answers GET /metrics on an address until the context ends. What goes wrong
-// is logged: a process does not end for want of its figures.
-// With a source it asks callers for an identity, whatever its role.
+// Serve serves GET /metrics on an address until ctx ends. It logs errors instead of
+// returning them, as the process can run without metrics. If source is not nil, it
+// requires TLS client certificates and accepts those of any role.
 func (s *Set) Serve(ctx context.Context, address string, source *identity.Source, log *slog.Logger) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		log.Error("metrics.listen_failed", "err", err)
 		return
 	}
 	if source != nil {
-		l = tls.NewListener(l, source.Server())
+		listener = tls.NewListener(listener, source.Server())
 	}
-	s.serve(ctx, l, log)
+	s.serve(ctx, listener, log)
 }
 
-func (s *Set) serve(ctx context.Context, l net.Listener, log *slog.Logger) {
+func (s *Set) serve(ctx context.Context, listener net.Listener, log *slog.Logger) {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn), MaxRequestsInFlight: 4}))
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
-	defer context.AfterFunc(ctx, func() { web.Close() })()
-	if err := web.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
+	defer context.AfterFunc(ctx, func() { server.Close() })()
+	if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		log.Error("metrics.serve_failed", "err", err)
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,23 +12,23 @@
 )
 
 func TestPage(t *testing.T) {
-	var off *Set
-	off.Request("r", 200, false, time.Second) // nothing is booked, and nothing fails
-	off.Synced(time.Second)
+	var disabled *Set
+	disabled.Request("r", 200, false, time.Second) // a nil set must ignore all calls
+	disabled.Synced(time.Second)
 
-	s := New(One("ivydeck_term", "Of the core.", func() float64 { return 7 }),
+	set := New(NewGauge("ivydeck_term", "Of the core.", func() float64 { return 7 }),
 		Gauge{"ivydeck_r", "In aims.", []string{"service"}, func() []Reading { return []Reading{{0.5, []string{"a"}}, {1.5, []string{"b"}}} }})
-	s.Request("order", 503, true, 3*time.Millisecond)
-	s.Request("order", 200, false, 30*time.Millisecond)
-	s.Synced(time.Millisecond)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	set.Request("order", 503, true, 3*time.Millisecond)
+	set.Request("order", 200, false, 30*time.Millisecond)
+	set.Synced(time.Millisecond)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); s.serve(ctx, l, slog.New(slog.DiscardHandler)) }()
-	resp, err := http.Get("http://" + l.Addr().String() + "/metrics")
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); set.serve(ctx, listener, slog.New(slog.DiscardHandler)) }()
+	resp, err := http.Get("http://" + listener.Addr().String() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,9 +42,9 @@
 		"ivydeck_disk_sync_seconds_count 1", "ivydeck_term 7", `ivydeck_rpc_bytes{direction="out"} 0`, `ivydeck_r{service="b"} 1.5`, "go_goroutines",
 	} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("no %s", want)
+			t.Errorf("the page lacks %s", want)
 		}
 	}
 	cancel()
-	<-ended
+	<-stopped
 }
