--- a/internal/simulation/simdisk/folder.go
+++ b/internal/simulation/simdisk/folder.go
@@ -11,55 +11,55 @@
 	"ivydeck/internal/controlplane/store"
 )
 
-// Folder models a folder of files under a store. After a loss of power each name that was made, replaced or removed since
-// the folder's last sync stands for what it stood for at any time since then, by itself; and of each file any part of
-// what was written to it since its own last sync is there.
+// Folder models a folder of files under a store, and its power loss. A name that was created, replaced or removed after
+// the folder's last Sync may refer, independently of other names, to any file that it referred to since that Sync. A
+// file keeps its synced bytes and a prefix of the bytes written after its own last Sync; the end of this prefix may be
+// zeros.
 //
-// A process without power runs nothing any more: from the moment of the loss, no operation on the folder or on a file
-// in it returns. Goroutines that call one stay blocked until the program ends, so the process under test must not share
-// its goroutine with the test: see PowerLost.
+// After the power loss no operation on the folder or its files returns, except Seek and Close. Goroutines that call one
+// block until the program ends, so a test runs the process under test in another goroutine and waits for PowerLost.
 type Folder struct {
-	mu      sync.Mutex
-	current map[string]*inode
-	durable map[string]*inode
-	changed map[string][]*inode // what a name stood for since the last sync, oldest first; nil: nothing
-	left    int                 // operations until the power goes; below 0: it stays
-	off     bool
-	lost    chan struct{} // closed when the power goes
+	mu             sync.Mutex
+	current        map[string]*inode
+	durable        map[string]*inode   // as of the last Sync
+	unsynced       map[string][]*inode // files that a name referred to since the last Sync, oldest first; nil after a removal
+	operationsLeft int                 // writes and syncs before the power loss; negative if none is scheduled
+	poweredOff     bool
+	powerLost      chan struct{} // closed at the power loss
 }
 
 // inode is a file's content.
 type inode struct {
 	data   []byte
-	synced int // bytes that are there for good
+	synced int // length of the durable prefix of data, in bytes
 }
 
 // NewFolder returns an empty folder.
 func NewFolder() *Folder {
-	return &Folder{current: map[string]*inode{}, durable: map[string]*inode{}, changed: map[string][]*inode{}, left: -1, lost: make(chan struct{})}
+	return &Folder{current: map[string]*inode{}, durable: map[string]*inode{}, unsynced: map[string][]*inode{}, operationsLeft: -1, powerLost: make(chan struct{})}
 }
 
-// PowerOffAfter takes the power away after so many more operations that change something or sync it.
+// PowerOffAfter lets the given number of further writes and syncs complete; the next one triggers the power loss.
 func (f *Folder) PowerOffAfter(operations int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.left = operations
+	f.operationsLeft = operations
 }
 
-// PowerLost is closed when the power goes.
-func (f *Folder) PowerLost() <-chan struct{} { return f.lost }
+// PowerLost returns a channel that is closed at the power loss.
+func (f *Folder) PowerLost() <-chan struct{} { return f.powerLost }
 
-// Crash returns the folder as it may be found after a loss of power at this moment.
+// Crash turns the power off and returns a possible state of the folder after it is back. All data in it is durable.
 func (f *Folder) Crash(rng *rand.Rand) *Folder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.powerOff()
 	after := NewFolder()
-	lossThirds := rng.IntN(4) // probability that a change that was not synced is lost, in thirds
+	lossThirds := rng.IntN(4) // probability that unsynced changes of a name are lost, in thirds
 	for name, node := range f.durable {
 		after.current[name] = node
 	}
-	for name, nodes := range f.changed {
+	for name, nodes := range f.unsynced {
 		node := nodes[len(nodes)-1]
 		if rng.IntN(3) < lossThirds {
 			states := append([]*inode{f.durable[name]}, nodes...)
@@ -81,47 +81,47 @@
 	return after
 }
 
-// crash returns what may be left of a file.
+// crash returns a possible state of the file after a power loss.
 func (n *inode) crash(rng *rand.Rand) *inode {
 	data := bytes.Clone(n.data[:n.synced+rng.IntN(len(n.data)-n.synced+1)])
-	if torn := len(data) - n.synced; torn > 0 && rng.IntN(2) == 0 {
-		clear(data[n.synced+rng.IntN(torn):]) // blocks that were given to the file, and not written
+	if unsynced := len(data) - n.synced; unsynced > 0 && rng.IntN(2) == 0 {
+		clear(data[n.synced+rng.IntN(unsynced):]) // blocks that were allocated but not written
 	}
 	return &inode{data: data, synced: len(data)}
 }
 
-// powerOff takes the power away; the caller holds the lock.
+// powerOff turns the power off. The caller holds f.mu.
 func (f *Folder) powerOff() {
-	if !f.off {
-		f.off = true
-		close(f.lost)
+	if !f.poweredOff {
+		f.poweredOff = true
+		close(f.powerLost)
 	}
 }
 
-// lockPowered takes the lock for an operation that changes nothing. It does not return once the power is gone.
-func (f *Folder) lockPowered() {
+// lockForRead locks f.mu for an operation without changes. It blocks forever after a power loss.
+func (f *Folder) lockForRead() {
 	f.mu.Lock()
-	if f.off {
+	if f.poweredOff {
 		f.mu.Unlock()
 		select {} // the process has no power
 	}
 }
 
-// lockSpending takes the lock for an operation that changes or syncs something, and counts it. It does not return once
-// the power is gone, which may be by this very operation.
-func (f *Folder) lockSpending() {
-	f.lockPowered()
-	if f.left == 0 {
+// lockForWrite locks f.mu for an operation that changes or syncs data, and counts the operation. It blocks forever after
+// a power loss, which the operation itself may trigger.
+func (f *Folder) lockForWrite() {
+	f.lockForRead()
+	if f.operationsLeft == 0 {
 		f.powerOff()
 		f.mu.Unlock()
 		select {} // the process has no power
 	}
-	f.left--
+	f.operationsLeft--
 }
 
-// set gives a name another meaning; nil: none.
+// set binds a name to a file, or removes the name if node is nil.
 func (f *Folder) set(name string, node *inode) {
-	f.changed[name] = append(f.changed[name], node)
+	f.unsynced[name] = append(f.unsynced[name], node)
 	if node == nil {
 		delete(f.current, name)
 	} else {
@@ -131,7 +131,7 @@
 
 // Create implements store.Folder.
 func (f *Folder) Create(name string) (store.File, error) {
-	f.lockSpending()
+	f.lockForWrite()
 	defer f.mu.Unlock()
 	node := &inode{}
 	f.set(name, node)
@@ -140,7 +140,7 @@
 
 // Append implements store.Folder.
 func (f *Folder) Append(name string) (store.File, error) {
-	f.lockSpending()
+	f.lockForWrite()
 	defer f.mu.Unlock()
 	if f.current[name] == nil {
 		f.set(name, &inode{})
@@ -150,7 +150,7 @@
 
 // Open implements store.Folder.
 func (f *Folder) Open(name string) (store.File, error) {
-	f.lockPowered()
+	f.lockForRead()
 	defer f.mu.Unlock()
 	if f.current[name] == nil {
 		return nil, fs.ErrNotExist
@@ -160,7 +160,7 @@
 
 // Rename implements store.Folder.
 func (f *Folder) Rename(from, to string) error {
-	f.lockSpending()
+	f.lockForWrite()
 	defer f.mu.Unlock()
 	node := f.current[from]
 	if node == nil {
@@ -173,7 +173,7 @@
 
 // Remove implements store.Folder.
 func (f *Folder) Remove(name string) error {
-	f.lockSpending()
+	f.lockForWrite()
 	defer f.mu.Unlock()
 	if f.current[name] == nil {
 		return fs.ErrNotExist
@@ -184,7 +184,7 @@
 
 // List implements store.Folder.
 func (f *Folder) List() (names []string, err error) {
-	f.lockPowered()
+	f.lockForRead()
 	defer f.mu.Unlock()
 	for name := range f.current {
 		names = append(names, name)
@@ -195,33 +195,33 @@
 
 // Sync implements store.Folder.
 func (f *Folder) Sync() error {
-	f.lockSpending()
+	f.lockForWrite()
 	defer f.mu.Unlock()
-	for name, nodes := range f.changed {
+	for name, nodes := range f.unsynced {
 		if node := nodes[len(nodes)-1]; node != nil {
 			f.durable[name] = node
 		} else {
 			delete(f.durable, name)
 		}
 	}
-	clear(f.changed)
+	clear(f.unsynced)
 	return nil
 }
 
-// Close implements store.Folder.
+// Close implements store.Folder. It does nothing.
 func (f *Folder) Close() error { return nil }
 
 // file is an open file.
 type file struct {
 	folder *Folder
 	node   *inode
-	at     int64 // of the next read
+	offset int64 // of the next read
 }
 
 // Read implements io.Reader.
 func (o *file) Read(p []byte) (int, error) {
-	n, err := o.ReadAt(p, o.at)
-	o.at += int64(n)
+	n, err := o.ReadAt(p, o.offset)
+	o.offset += int64(n)
 	if n > 0 {
 		err = nil
 	}
@@ -229,13 +229,13 @@
 }
 
 // ReadAt implements io.ReaderAt.
-func (o *file) ReadAt(p []byte, at int64) (int, error) {
-	o.folder.lockPowered()
+func (o *file) ReadAt(p []byte, offset int64) (int, error) {
+	o.folder.lockForRead()
 	defer o.folder.mu.Unlock()
-	if at >= int64(len(o.node.data)) {
+	if offset >= int64(len(o.node.data)) {
 		return 0, io.EOF
 	}
-	n := copy(p, o.node.data[at:])
+	n := copy(p, o.node.data[offset:])
 	if n < len(p) {
 		return n, io.EOF
 	}
@@ -248,30 +248,30 @@
 	defer o.folder.mu.Unlock()
 	switch whence {
 	case io.SeekStart:
-		o.at = offset
+		o.offset = offset
 	case io.SeekCurrent:
-		o.at += offset
+		o.offset += offset
 	case io.SeekEnd:
-		o.at = int64(len(o.node.data)) + offset
+		o.offset = int64(len(o.node.data)) + offset
 	}
-	return o.at, nil
+	return o.offset, nil
 }
 
-// Write implements io.Writer, at the file's end.
+// Write implements io.Writer. It appends to the file.
 func (o *file) Write(p []byte) (int, error) {
-	o.folder.lockSpending()
+	o.folder.lockForWrite()
 	defer o.folder.mu.Unlock()
 	o.node.data = append(o.node.data, p...)
 	return len(p), nil
 }
 
-// Sync makes what was written stay.
+// Sync makes all bytes written so far durable.
 func (o *file) Sync() error {
-	o.folder.lockSpending()
+	o.folder.lockForWrite()
 	defer o.folder.mu.Unlock()
 	o.node.synced = len(o.node.data)
 	return nil
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It does nothing.
 func (o *file) Close() error { return nil }
--- a/internal/simulation/simdisk/simdisk.go
+++ b/internal/simulation/simdisk/simdisk.go
@@ -1,6 +1,5 @@
-// Package simdisk models the disk under a quorum member's log, for simulations:
-// what was written and not synced when the power goes may be there afterwards, or
-// a part of it, in the order of the writes; what was synced is there.
+// Package simdisk models the storage of a quorum member for simulations of power loss. Synced data survives a crash. Of
+// the unsynced writes, a prefix in write order may survive.
 package simdisk
 
 import (
@@ -9,65 +8,64 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Disk is one machine's. Its zero value is empty.
+// Disk holds the Raft state of one machine. Its zero value is an empty disk. It is not safe for concurrent use.
 type Disk struct {
-	ID      uint64 // the identity, drawn when the disk was empty; 0: empty
+	ID      uint64 // identity of the member; zero on an empty disk
 	Hard    *wire.HardState
 	Snap    *wire.RaftSnapshot
-	Entries []*wire.Entry // behind the snapshot, and in front of it so many as are kept
-	Tail    int           // entries kept in front of a snapshot
+	Entries []*wire.Entry // up to Tail entries that the snapshot covers, and all entries after it
+	Tail    int           // number of covered entries that Compact keeps
 
-	cache []write // not synced
+	unsynced []write
 }
 
-// write is what was to be saved together.
+// write is a batch of records that is applied as a whole or not at all.
 type write struct {
 	hard    *wire.HardState
 	snap    *wire.RaftSnapshot
 	entries []*wire.Entry
 }
 
-// Write puts what has to be saved of a raft.Output into the disk's cache.
+// Write queues the persistent part of a raft.Output until the next Sync or Crash. A nil snapshot or hard state is unchanged.
 func (d *Disk) Write(snap *wire.RaftSnapshot, hard *wire.HardState, entries []*wire.Entry) {
-	d.cache = append(d.cache, write{hard, snap, entries})
+	d.unsynced = append(d.unsynced, write{hard, snap, entries})
 }
 
-// Sync returns once all that was written is there for good.
+// Sync applies all unsynced writes.
 func (d *Disk) Sync() {
-	for _, w := range d.cache {
-		d.keep(w)
+	for _, w := range d.unsynced {
+		d.apply(w)
 	}
-	d.cache = nil
+	d.unsynced = nil
 }
 
-// Compact puts a machine's own snapshot in front of its log.
+// Compact replaces the snapshot by one that the machine took itself. Of the entries that it covers, the last Tail are kept.
 func (d *Disk) Compact(s *wire.RaftSnapshot) {
-	d.Entries = d.Entries[max(0, int(s.Index-d.before())-d.Tail):]
+	d.Entries = d.Entries[max(0, int(s.Index-d.precedingIndex())-d.Tail):]
 	d.Snap = s
 }
 
-// before is the index in front of the entries.
-func (d *Disk) before() uint64 {
+// precedingIndex returns the index before the first entry.
+func (d *Disk) precedingIndex() uint64 {
 	if len(d.Entries) > 0 {
 		return d.Entries[0].Index - 1
 	}
 	return d.Snap.GetIndex()
 }
 
-// Crash takes the power away: some of what was not synced is there, in the order
-// of the writes. A write that is there in part fails its checksum, and the store
-// drops it with all behind it.
+// Crash simulates a power loss: it applies a random prefix of the unsynced writes and drops the others. Partial writes
+// need no model, as a partial record fails its checksum and the store drops it with all later ones.
 func (d *Disk) Crash(rng *rand.Rand) {
-	for _, w := range d.cache[:rng.IntN(len(d.cache)+1)] {
-		d.keep(w)
+	for _, w := range d.unsynced[:rng.IntN(len(d.unsynced)+1)] {
+		d.apply(w)
 	}
-	d.cache = nil
+	d.unsynced = nil
 }
 
-// Wipe empties the disk.
+// Wipe removes all data from the disk and keeps Tail.
 func (d *Disk) Wipe() { *d = Disk{Tail: d.Tail} }
 
-// Bytes is the size of what is kept.
+// Bytes returns the size of the data in the snapshot and the entries, without their metadata.
 func (d *Disk) Bytes() int {
 	n := len(d.Snap.GetData())
 	for _, e := range d.Entries {
@@ -76,7 +74,8 @@
 	return n
 }
 
-func (d *Disk) keep(w write) {
+// apply stores a write. A snapshot replaces all entries; an entry replaces those from its index on.
+func (d *Disk) apply(w write) {
 	if w.snap != nil {
 		d.Snap, d.Entries = w.snap, nil
 	}
@@ -84,6 +83,6 @@
 		d.Hard = w.hard
 	}
 	for _, e := range w.entries {
-		d.Entries = append(d.Entries[:e.Index-d.before()-1], e)
+		d.Entries = append(d.Entries[:e.Index-d.precedingIndex()-1], e)
 	}
 }
