--- a/internal/simulation/scale/agree.go
+++ b/internal/simulation/scale/agree.go
@@ -9,7 +9,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// latestIndex asks the quorum for the index of the last update.
+// latestIndex returns the index of the latest update; ok is false if no quorum member can confirm it.
 func (r *run) latestIndex(ctx context.Context) (uint64, bool) {
 	for member := range quorumSize {
 		call, cancel := context.WithTimeout(ctx, time.Second)
@@ -23,7 +23,7 @@
 	return 0, false
 }
 
-// registeredServers is the number of servers in the leader's registry.
+// registeredServers returns the number of servers in the leader's registry, or -1 if there is no leader.
 func (r *run) registeredServers(ctx context.Context) int {
 	all, _ := r.operatorClient.Status(ctx)
 	for _, s := range all {
@@ -34,11 +34,11 @@
 	return -1
 }
 
-// leader returns the leader's process; nil: there is none.
+// leader returns the leader's process, or nil if there is no leader.
 func (r *run) leader(ctx context.Context) *child {
 	all, _ := r.operatorClient.Status(ctx)
 	for _, s := range all {
-		for _, c := range r.list(quorumRole) {
+		for _, c := range r.childrenOf(quorumRole) {
 			if s.IsLeader && s.Node == c.name {
 				return c
 			}
@@ -49,14 +49,14 @@
 
 // convergence is the result of a check that all nodes have the same state.
 type convergence struct {
-	updates bool   // all have the latest update, and the list has all their servers
-	all     bool   // they know each other, too
-	reason  string // not all
+	updates   bool   // all nodes have the latest update, and all their servers are registered
+	converged bool   // updates holds, and all nodes list all members
+	reason    string // empty if converged is true
 }
 
 // checkConvergence compares the states of all nodes.
-func (r *run) checkConvergence(ctx context.Context) (a convergence) {
-	for _, c := range r.list(quorumRole, realRole) {
+func (r *run) checkConvergence(ctx context.Context) (result convergence) {
+	for _, c := range r.childrenOf(quorumRole, realRole) {
 		if err := c.exited(); err != nil {
 			return convergence{reason: err.Error()}
 		}
@@ -65,71 +65,72 @@
 	if !ok {
 		return convergence{reason: "no leader"}
 	}
-	answers, err := r.each(func(*child) *command { return &command{State: true} })
+	responses, err := r.each(func(*child) *command { return &command{State: true} })
 	if err != nil {
 		return convergence{reason: err.Error()}
 	}
-	for _, answer := range answers {
-		switch s := answer.State; {
+	for _, resp := range responses {
+		switch s := resp.State; {
 		case s.Nodes == 0:
 		case s.MinIndex < latest:
-			return convergence{reason: fmt.Sprintf("a node knows of update %d of %d", s.MinIndex, latest)}
+			return convergence{reason: fmt.Sprintf("a node has updates up to %d, the latest is %d", s.MinIndex, latest)}
 		case s.Ready < s.Nodes:
-			return convergence{reason: fmt.Sprintf("%d of %d nodes of a process are ready", s.Ready, s.Nodes)}
+			return convergence{reason: fmt.Sprintf("%d of %d nodes in a process are ready", s.Ready, s.Nodes)}
 		}
 	}
 	if n := r.registeredServers(ctx); n != len(r.running) {
-		return convergence{reason: fmt.Sprintf("%d of %d servers are listed", n, len(r.running))}
+		return convergence{reason: fmt.Sprintf("%d of %d servers are registered", n, len(r.running))}
 	}
-	a.updates = true
+	result.updates = true
 	members := quorumSize + len(r.running)
-	for _, answer := range answers {
-		if s := answer.State; s.Nodes > 0 && (s.MinMembers != members || s.MaxMembers != members) {
-			a.reason = fmt.Sprintf("nodes know %d to %d members, there are %d", s.MinMembers, s.MaxMembers, members)
-			return a
+	for _, resp := range responses {
+		if s := resp.State; s.Nodes > 0 && (s.MinMembers != members || s.MaxMembers != members) {
+			result.reason = fmt.Sprintf("nodes list %d to %d members, want %d", s.MinMembers, s.MaxMembers, members)
+			return result
 		}
 	}
-	a.reason = r.divergentRealNode(ctx, latest, members)
-	a.all = a.reason == ""
-	return a
+	result.reason = r.divergentRealNode(ctx, latest, members)
+	result.converged = result.reason == ""
+	return result
 }
 
-// divergentRealNode names a real node without an update, or with another number of members; empty: there is none. Real
-// nodes are asked last and seldom, as serving its metrics costs a node more than all else in a second without load.
+// divergentRealNode describes a real node that lacks an update or a member. It returns "" if there is none. It runs only
+// once the hollow nodes have converged, as serving metrics costs an idle node more than all its other work in a second.
 func (r *run) divergentRealNode(ctx context.Context, latest uint64, members int) string {
-	real, err := r.samples(ctx, realRole)
+	samples, err := r.samples(ctx, realRole)
 	if err != nil {
 		return err.Error()
 	}
-	for c, s := range real {
+	for c, s := range samples {
 		if s.index < latest || s.members != members {
-			return fmt.Sprintf("%s knows of update %d of %d and %d of %d members", c.name, s.index, latest, s.members, members)
+			return fmt.Sprintf("%s has updates up to %d, the latest is %d, and lists %d of %d members", c.name, s.index, latest, s.members, members)
 		}
 	}
 	return ""
 }
 
-// awaitConvergence waits until all nodes have the same state, and reports how long that took from a time.
+// awaitConvergence waits up to Settle until all nodes have the same state. It records in e the time that this took since
+// from, or the reason why the nodes still differ.
 func (r *run) awaitConvergence(ctx context.Context, e *EventReport, from time.Time) {
-	patience, cancel := context.WithTimeout(ctx, r.Settle)
+	waitCtx, cancel := context.WithTimeout(ctx, r.Settle)
 	defer cancel()
-	since := func() *float64 {
+	elapsed := func() *float64 {
 		took := time.Since(from).Seconds()
 		return &took
 	}
-	for polls := 0; patience.Err() == nil; polls++ { // seldom where it takes long
-		a := r.checkConvergence(patience)
-		if a.updates && e.UpdatesS == nil {
-			e.UpdatesS = since()
+	for polls := 0; waitCtx.Err() == nil; polls++ { // the interval grows with every 20 polls
+		result := r.checkConvergence(waitCtx)
+		if result.updates && e.UpdatesS == nil {
+			e.UpdatesS = elapsed()
 		}
-		if a.all {
-			e.AgreeS, e.Disagree = since(), ""
+		if result.converged {
+			e.ConvergedS, e.Divergence = elapsed(), ""
 			return
 		}
-		if patience.Err() == nil {
-			e.Disagree = a.reason
+		if waitCtx.Err() == nil {
+			e.Divergence = result.reason
 		}
-		timerpool.Sleep(patience, pollEvery*time.Duration(1+polls/20))
+		timerpool.Sleep(waitCtx, pollInterval*time.Duration(1+polls/20))
 	}
-	r.logf("  no agreement within %v: %s", r.Settle, e.Disagree)
+	r.logf("  no convergence within %v: %s", r.Settle, e.Divergence)
 }
--- a/internal/simulation/scale/changes.go
+++ b/internal/simulation/scale/changes.go
@@ -8,43 +8,43 @@
 	"ivydeck/internal/pkg/timerpool"
 )
 
-// appliedChange is an acknowledged change of the operator.
+// appliedChange is an acknowledged change of the configuration.
 type appliedChange struct {
 	index uint64
-	at    time.Time
+	at    time.Time // start of the operator's call
 }
 
-// changeRoute changes one route, and returns the index of its update.
-func (r *run) changeRoute(ctx context.Context) (s appliedChange, ack time.Duration, err error) {
+// changeRoute changes one route. It returns the index of the update and the time until the acknowledgement.
+func (r *run) changeRoute(ctx context.Context) (change appliedChange, ack time.Duration, err error) {
 	base := r.config.Revision
 	r.config.Revision++
 	r.config.Routes[int(r.config.Revision)%len(r.config.Routes)].TargetLatencyMs = 100 + float64(r.config.Revision%1000)
-	s.at = time.Now()
-	if err := r.apply(ctx, base); err != nil {
-		return s, 0, err
+	change.at = time.Now()
+	if err := r.applyConfig(ctx, base); err != nil {
+		return change, 0, err
 	}
-	ack = time.Since(s.at)
-	patience, cancel := context.WithTimeout(ctx, leaderWait)
+	ack = time.Since(change.at)
+	waitCtx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	for {
-		if index, ok := r.latestIndex(patience); ok {
-			s.index = index
-			return s, ack, nil
+		if index, ok := r.latestIndex(waitCtx); ok {
+			change.index = index
+			return change, ack, nil
 		}
-		if patience.Err() != nil {
-			return s, ack, fmt.Errorf("no leader behind an acknowledged change")
+		if waitCtx.Err() != nil {
+			return change, ack, fmt.Errorf("no quorum member returned the index of an acknowledged change")
 		}
-		timerpool.Sleep(patience, pollEvery)
+		timerpool.Sleep(waitCtx, pollInterval)
 	}
 }
 
-// changes makes changes at a rate for some time, and measures when each node has each.
-func (r *run) changes(ctx context.Context, e *EventReport, count int, every time.Duration) error {
-	spread := &Spread{}
-	e.Spread = spread
+// applyChanges makes a number of changes at an interval, and measures when each hollow node receives each.
+func (r *run) applyChanges(ctx context.Context, e *EventReport, count int, interval time.Duration) error {
+	propagation := &Propagation{}
+	e.Propagation = propagation
 	var acks []float64
-	var all []appliedChange
-	tick := time.NewTicker(every)
+	var changes []appliedChange
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for i := range count {
 		if i > 0 {
@@ -54,28 +54,28 @@
 				return ctx.Err()
 			}
 		}
-		s, ack, err := r.changeRoute(ctx)
+		change, ack, err := r.changeRoute(ctx)
 		if err != nil {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			spread.Refused++
-			r.logf("  a change was refused: %v", err)
+			propagation.Refused++
+			r.logf("  change not acknowledged: %v", err)
 			if e := r.readConfig(ctx); e != nil {
 				return e
 			}
 			continue
 		}
 		acks = append(acks, milliseconds(ack))
-		all = append(all, s)
+		changes = append(changes, change)
 	}
-	spread.Changes = len(all)
-	r.collect(ctx, spread, all)
-	spread.sum(acks)
+	propagation.Changes = len(changes)
+	r.collectArrivals(ctx, propagation, changes)
+	propagation.computeQuantiles(acks)
 	return ctx.Err()
 }
 
-// readConfig reads the configuration in force, after a change without a definite answer.
+// readConfig reads the current configuration after a change with an unknown outcome.
 func (r *run) readConfig(ctx context.Context) error {
 	_, config, err := r.operatorClient.Read(ctx)
 	if err == nil && config != nil {
@@ -84,49 +84,49 @@
 	return err
 }
 
-// collect waits until all nodes have the last change, and collects when they got each.
-func (r *run) collect(ctx context.Context, spread *Spread, all []appliedChange) {
+// collectArrivals waits until all hollow nodes have the last change, and collects the times at which they received each.
+func (r *run) collectArrivals(ctx context.Context, propagation *Propagation, changes []appliedChange) {
 	hollow := 0
 	for m := range r.running {
 		if m >= quorumSize+r.Real {
 			hollow++
 		}
 	}
-	patience, cancel := context.WithTimeout(ctx, changeWait)
+	waitCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	for i := len(all) - 1; i >= 0; i-- { // once all know of the last, they know of the others
-		arrivals := r.arrivals(all[i].index)
-		for len(arrivals) < hollow && patience.Err() == nil {
-			timerpool.Sleep(patience, arrivalPoll)
-			arrivals = r.arrivals(all[i].index)
+	for i := len(changes) - 1; i >= 0; i-- { // a node that has the last change has all earlier ones
+		arrivals := r.arrivals(changes[i].index)
+		for len(arrivals) < hollow && waitCtx.Err() == nil {
+			timerpool.Sleep(waitCtx, arrivalPoll)
+			arrivals = r.arrivals(changes[i].index)
 		}
-		spread.Missing += hollow - len(arrivals)
+		propagation.Missing += hollow - len(arrivals)
 		for _, at := range arrivals {
-			spread.durations = append(spread.durations, milliseconds(time.UnixMicro(at).Sub(all[i].at)))
+			propagation.durations = append(propagation.durations, milliseconds(time.UnixMicro(at).Sub(changes[i].at)))
 		}
 	}
 }
 
-// arrivals returns when hollow nodes received an update, in Unix microseconds.
+// arrivals returns the times at which hollow nodes received an update, in Unix microseconds. It returns nil after an error.
 func (r *run) arrivals(index uint64) (list []int64) {
-	answers, err := r.each(func(*child) *command { return &command{Index: index} })
+	responses, err := r.each(func(*child) *command { return &command{Index: index} })
 	if err != nil {
 		return nil
 	}
-	for _, a := range answers {
+	for _, a := range responses {
 		list = append(list, a.Arrivals...)
 	}
 	return list
 }
 
 func (r *run) oneChange(ctx context.Context, e *EventReport) error {
-	return r.changes(ctx, e, 1, time.Second)
+	return r.applyChanges(ctx, e, 1, time.Second)
 }
 
-// stream makes changes at a rate a second.
+// stream makes changes at a rate per second for the Stream duration, but at least two.
 func (r *run) stream(ctx context.Context, e *EventReport, rate float64) error {
 	count := max(2, int(rate*r.Stream.Seconds()))
-	return r.changes(ctx, e, count, time.Duration(float64(time.Second)/rate))
+	return r.applyChanges(ctx, e, count, time.Duration(float64(time.Second)/rate))
 }
 
 func (r *run) dayStream(ctx context.Context, e *EventReport) error {
--- a/internal/simulation/scale/events.go
+++ b/internal/simulation/scale/events.go
@@ -11,40 +11,40 @@
 const (
 	startEvent = "start"
 
-	dayChanges    = 49_000.0 / 86_400 // changes a second of the target
-	fastChanges   = 10.0
-	changeWait    = 15 * time.Second // for a change to be known everywhere
-	leaderWait    = 5 * time.Second  // for one to be found behind a change
-	arrivalPoll   = 20 * time.Millisecond
-	restartPause  = 500 * time.Millisecond
-	rollSteps     = 10
-	rollPause     = time.Second
-	tenth         = 10
-	operatorCalls = 5
-	readingTime   = 2 * time.Second // of the figures, at most
+	dayChanges      = 49_000.0 / 86_400 // per second
+	fastChanges     = 10.0              // per second
+	changeTimeout   = 15 * time.Second  // until all nodes have a change
+	leaderTimeout   = 5 * time.Second   // until a quorum member returns the index of a change
+	arrivalPoll     = 20 * time.Millisecond
+	restartPause    = 500 * time.Millisecond
+	rollSteps       = 10
+	rollPause       = time.Second
+	tenthStep       = 10 // selects a tenth of the hollow nodes
+	callsPerPath    = 5
+	maxSamplingTime = 2 * time.Second // maximum duration of sampling all processes
 )
 
-// event is a step of a run that is measured.
+// event is a measured step of a run.
 type event struct {
-	name  string
-	about string
-	play  func(r *run, ctx context.Context, e *EventReport) error
+	name        string
+	description string
+	run         func(r *run, ctx context.Context, e *EventReport) error
 }
 
-// events is all events in their order, also of runs with fewer of them.
+// events lists all events in the order in which a run plays them.
 var events = []event{
-	{startEvent, "all nodes start at once, beside a quorum with a configuration", (*run).start},
-	{"quiet", "nothing happens", (*run).quiet},
-	{"operator", "an operator reads", (*run).operatorCalls},
+	{startEvent, "all nodes start at once; the quorum already has a configuration", (*run).start},
+	{"quiet", "no changes and no failures", (*run).quiet},
+	{"operator", "an operator reads the status, the configuration and a backup", (*run).operatorCalls},
 	{"change", "one route is changed", (*run).oneChange},
-	{"stream-day", "one route is changed again and again, at the rate of 49,000 changes a day", (*run).dayStream},
-	{"stream-10", "the same, 10 times a second", (*run).fastStream},
-	{"restart", "a server and its node leave as planned and start again", (*run).restart},
-	{"roll", "a tenth of the hollow nodes restart as planned, in ten groups, a second apart", (*run).rollingRestart},
-	{"loss", "a tenth of the hollow nodes are lost in the same moment", (*run).zoneLoss},
-	{"return", "they start again", (*run).recover},
-	{"cut", "a region is cut off, and a route is changed meanwhile; the time until all agree is that from the healing on", (*run).regionPartition},
-	{"cold", "all processes are killed, and start again at the same time", (*run).coldStart},
+	{"stream-day", "one route is changed repeatedly, at a rate of 49,000 changes a day", (*run).dayStream},
+	{"stream-10", "one route is changed repeatedly, 10 times a second", (*run).fastStream},
+	{"restart", "a server and its node shut down gracefully and start again", (*run).restart},
+	{"roll", "a tenth of the hollow nodes restart gracefully, in ten groups, a second apart", (*run).rollingRestart},
+	{"loss", "a tenth of the hollow nodes fail at once", (*run).nodeLoss},
+	{"return", "the failed nodes start again", (*run).recover},
+	{"cut", "a region is partitioned, and a route is changed meanwhile; convergence is timed from the end of the partition", (*run).regionPartition},
+	{"cold", "all processes are killed and start again at once", (*run).coldStart},
 }
 
 // EventNames lists the events in their order.
@@ -55,20 +55,20 @@
 	return names
 }
 
-// event runs one event and reports its costs.
-func (r *run) event(ctx context.Context, e event) error {
-	r.logf("%s: %s", e.name, e.about)
-	report := EventReport{Name: e.name, About: e.about}
+// runEvent runs one event and adds its resource usage to the report.
+func (r *run) runEvent(ctx context.Context, e event) error {
+	r.logf("%s: %s", e.name, e.description)
+	report := EventReport{Name: e.name, About: e.description}
 	before, err := r.samples(ctx)
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	if err := e.play(r, ctx, &report); err != nil {
+	startedAt := time.Now()
+	if err := e.run(r, ctx, &report); err != nil {
 		return err
 	}
-	timerpool.Sleep(ctx, r.MinEvent-time.Since(began))
-	report.Seconds, report.Nodes = time.Since(began).Seconds(), len(r.running)
+	timerpool.Sleep(ctx, r.MinEvent-time.Since(startedAt))
+	report.Seconds, report.Nodes = time.Since(startedAt).Seconds(), len(r.running)
 	report.Load = loadAverage()
 	after, err := r.samples(ctx)
 	if err != nil {
@@ -76,16 +76,17 @@
 	}
 	r.addUsage(ctx, &report, before, after)
 	r.report.Events = append(r.report.Events, report)
-	r.summary(&report)
+	r.logSummary(&report)
 	return nil
 }
 
-// addUsage computes the usage of each role. A process that did not run at the beginning of the event counts from its start.
+// addUsage computes the usage of each role. A process that started during the event is counted from the estimated start of
+// the event.
 func (r *run) addUsage(ctx context.Context, report *EventReport, before, after map[*child]sample) {
 	leader := r.leader(ctx)
-	roles := map[string]*Use{}
-	began := time.Now().Add(-time.Duration(report.Seconds*float64(time.Second)) - readingTime)
-	for c, now := range after {
+	roles := map[string]*NodeUsage{}
+	startedAt := time.Now().Add(-time.Duration(report.Seconds*float64(time.Second)) - maxSamplingTime)
+	for c, current := range after {
 		name := string(c.role)
 		if c.role == quorumRole {
 			name = "follower"
@@ -95,52 +96,52 @@
 		}
 		u := roles[name]
 		if u == nil {
-			u = &Use{Methods: map[string]MethodRate{}}
+			u = &NodeUsage{Methods: map[string]MethodRate{}}
 			roles[name] = u
 		}
-		was, there := before[c]
-		if !there && c.began.Before(began) {
-			continue // it was not read before the event
+		previous, sampled := before[c]
+		if !sampled && c.startedAt.Before(startedAt) {
+			continue // it ran before the event, but its sample failed
 		}
-		if !there {
-			was = sample{at: began}
+		if !sampled {
+			previous = sample{at: startedAt}
 		}
-		u.add(c, was, now)
-		report.Machine += (now.processor - was.processor) / now.at.Sub(was.at).Seconds()
+		u.add(c, previous, current)
+		report.BusyCores += (current.processor - previous.processor) / current.at.Sub(previous.at).Seconds()
 	}
-	report.Roles = map[string]Use{}
+	report.Roles = map[string]NodeUsage{}
 	for name, u := range roles {
-		u.mean()
+		u.divideByNodes()
 		report.Roles[name] = *u
 	}
 }
 
-// summary prints the costs of an event in a line or two.
-func (r *run) summary(e *EventReport) {
+// logSummary logs the usage and the timings of an event.
+func (r *run) logSummary(e *EventReport) {
 	for _, name := range []string{"leader", "real", "hollow"} {
 		if u, ok := e.Roles[name]; ok {
-			r.logf("  %-6s a node: %8.0f B/s out, %6.1f messages/s out, %5.2f %% of a core, %6.1f MB, %4.0f sockets",
+			r.logf("  %-6s per node: %8.0f B/s out, %6.1f messages/s out, %5.2f %% of a core, %6.1f MB, %4.0f sockets",
 				name, u.BytesOut, u.MessagesOut, u.Processor, u.ResidentMB, u.Sockets)
 		}
 	}
-	if s := e.Spread; s != nil {
-		r.logf("  %d changes: acknowledged after %.0f ms (at most %.0f), known after %.0f ms, p99 %.0f, at most %.0f; %d missing, %d refused",
+	if s := e.Propagation; s != nil {
+		r.logf("  %d changes: acknowledged after %.0f ms (max %.0f), received after %.0f ms, p99 %.0f, max %.0f; %d missing, %d not acknowledged",
 			s.Changes, s.AckP50Ms, s.AckMaxMs, s.P50Ms, s.P99Ms, s.MaxMs, s.Missing, s.Refused)
 	}
-	if e.AgreeS != nil {
-		r.logf("  all agree after %.1f s (on updates after %.1f); %.1f cores", *e.AgreeS, *e.UpdatesS, e.Machine)
+	if e.ConvergedS != nil {
+		r.logf("  converged after %.1f s (updates after %.1f s); %.1f cores", *e.ConvergedS, *e.UpdatesS, e.BusyCores)
 	}
 }
 
 func (r *run) start(ctx context.Context, e *EventReport) error {
-	began := time.Now()
+	startedAt := time.Now()
 	if err := r.startRealNodes(); err != nil {
 		return err
 	}
 	if err := r.startNodes(r.hollowMachines()); err != nil {
 		return err
 	}
-	r.awaitConvergence(ctx, e, began)
+	r.awaitConvergence(ctx, e, startedAt)
 	return nil
 }
 
@@ -149,7 +150,7 @@
 	return ctx.Err()
 }
 
-// operatorCalls makes the calls that read, at the leader.
+// operatorCalls makes read calls to the leader, and reports the slowest of each path.
 func (r *run) operatorCalls(ctx context.Context, e *EventReport) error {
 	leader := r.leader(ctx)
 	if leader == nil {
@@ -157,7 +158,7 @@
 	}
 	for _, path := range []string{"/status", "/config/read", "/backup"} {
 		var slowest Call
-		for range operatorCalls {
+		for range callsPerPath {
 			c, err := r.fetch(ctx, leader.machines[0], path)
 			if err != nil {
 				return err
--- a/internal/simulation/scale/failures.go
+++ b/internal/simulation/scale/failures.go
@@ -7,7 +7,7 @@
 	"ivydeck/internal/pkg/timerpool"
 )
 
-// everyNth returns a part of the hollow nodes: each tenth, from one on.
+// everyNth returns every step-th hollow node, starting at index from.
 func (r *run) everyNth(from, step int) (list []int) {
 	all := r.hollowMachines()
 	for i := from; i < len(all); i += step {
@@ -17,22 +17,22 @@
 }
 
 func (r *run) restart(ctx context.Context, e *EventReport) error {
-	one := r.hollowMachines()[:1]
-	began := time.Now()
-	if err := r.stopNodes(one, true); err != nil {
+	machines := r.hollowMachines()[:1]
+	startedAt := time.Now()
+	if err := r.stopNodes(machines, true); err != nil {
 		return err
 	}
 	timerpool.Sleep(ctx, restartPause)
-	if err := r.startNodes(one); err != nil {
+	if err := r.startNodes(machines); err != nil {
 		return err
 	}
-	r.awaitConvergence(ctx, e, began)
+	r.awaitConvergence(ctx, e, startedAt)
 	return nil
 }
 
 func (r *run) rollingRestart(ctx context.Context, e *EventReport) error {
-	all := r.everyNth(1, tenth)
-	began := time.Now()
+	all := r.everyNth(1, tenthStep)
+	startedAt := time.Now()
 	for step := range rollSteps {
 		var group []int
 		for i := step; i < len(all); i += rollSteps {
@@ -50,20 +50,20 @@
 		}
 		timerpool.Sleep(ctx, rollPause)
 	}
-	r.awaitConvergence(ctx, e, began)
+	r.awaitConvergence(ctx, e, startedAt)
 	return nil
 }
 
-func (r *run) zoneLoss(ctx context.Context, e *EventReport) error {
-	began := time.Now()
-	if err := r.stopNodes(r.everyNth(2, tenth), false); err != nil {
+func (r *run) nodeLoss(ctx context.Context, e *EventReport) error {
+	startedAt := time.Now()
+	if err := r.stopNodes(r.everyNth(2, tenthStep), false); err != nil {
 		return err
 	}
-	r.awaitConvergence(ctx, e, began)
+	r.awaitConvergence(ctx, e, startedAt)
 	return nil
 }
 
-// recover starts all hollow nodes that do not run.
+// recover starts all hollow nodes that are not running.
 func (r *run) recover(ctx context.Context, e *EventReport) error {
 	var list []int
 	for _, m := range r.hollowMachines() {
@@ -71,15 +71,15 @@
 			list = append(list, m)
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := r.startNodes(list); err != nil {
 		return err
 	}
-	r.awaitConvergence(ctx, e, began)
+	r.awaitConvergence(ctx, e, startedAt)
 	return nil
 }
 
-// partitionRegion partitions a region from the others; -1 ends the partition.
+// partitionRegion partitions a region from the others. A region of -1 ends the partition.
 func (r *run) partitionRegion(region int) error {
 	_, err := r.each(func(*child) *command { return &command{Partition: &region} })
 	return err
@@ -91,7 +91,7 @@
 	}
 	timerpool.Sleep(ctx, r.Cut/2)
 	if _, _, err := r.changeRoute(ctx); err != nil {
-		r.logf("  a change during the cut: %v", err)
+		r.logf("  change during the partition not acknowledged: %v", err)
 		if err := r.readConfig(ctx); err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 func (r *run) coldStart(ctx context.Context, e *EventReport) error {
 	r.killAll()
 	clear(r.running)
-	began := time.Now()
+	startedAt := time.Now()
 	if err := r.startHollow(ctx); err != nil {
 		return err
 	}
@@ -121,6 +121,6 @@
 	if err := r.startNodes(r.hollowMachines()); err != nil {
 		return err
 	}
-	r.awaitConvergence(ctx, e, began)
+	r.awaitConvergence(ctx, e, startedAt)
 	return nil
 }
--- a/internal/simulation/scale/fit.go
+++ b/internal/simulation/scale/fit.go
@@ -12,29 +12,29 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-const confidence = 0.95
+const confidence = 0.95 // of all intervals
 
-// Target is the size that fits are extrapolated to, and the budget of a node there.
+// Target is the mesh size to which fits are extrapolated, and the budget per node at this size.
 type Target struct {
-	Nodes      int
-	BytesS     float64 // bytes a second
-	Processor  float64 // % of a core
-	ResidentMB float64
-	ChangeMs   float64 // until a change is known everywhere
+	Nodes          int
+	BytesPerSecond float64 // in each direction
+	Processor      float64 // in percent of a core
+	ResidentMB     float64
+	ChangeMs       float64 // until all nodes have a change
 }
 
 // UsersTarget is the target of docs/CAPACITY.md.
-var UsersTarget = Target{Nodes: 28_000, BytesS: 13_000, Processor: 2.9, ResidentMB: 32, ChangeMs: 4000}
+var UsersTarget = Target{Nodes: 28_000, BytesPerSecond: 13_000, Processor: 2.9, ResidentMB: 32, ChangeMs: 4000}
 
-// Line is a least-squares fit of points by a line, with the sums for its intervals.
+// Line is a least-squares fit of a line, with the sums that its intervals need.
 type Line struct {
 	Intercept, Slope float64
 	points           int
-	meanX, sumXX     float64 // of x: its mean, and the sum of the squares around it
-	residual         float64 // standard error of a point
+	meanX, sumXX     float64 // mean of x, and sum of the squared deviations from it
+	residual         float64 // residual standard error; zero for two points
 }
 
-// linearFit fits a line; ok is false for fewer than two distinct x.
+// linearFit fits a line by least squares; ok is false for fewer than two distinct values of x.
 func linearFit(x, y []float64) (l Line, ok bool) {
 	l.points = len(x)
 	if l.points < 2 {
@@ -59,32 +59,32 @@
 	return l, true
 }
 
-// half returns the half width of the interval of a standard error; infinite with two points.
-func (l Line) half(deviation float64) float64 {
+// halfWidth returns the half width of the confidence interval for a standard error. It is infinite for two points.
+func (l Line) halfWidth(deviation float64) float64 {
 	if l.points <= 2 {
 		return math.Inf(1)
 	}
 	return deviation * distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(l.points - 2)}.Quantile(0.5+confidence/2)
 }
 
-// SlopeError is the half width of the slope's interval.
-func (l Line) SlopeError() float64 { return l.half(l.residual / math.Sqrt(l.sumXX)) }
+// SlopeError returns the half width of the slope's confidence interval.
+func (l Line) SlopeError() float64 { return l.halfWidth(l.residual / math.Sqrt(l.sumXX)) }
 
-// At returns the line's value, and the half width of the prediction interval there.
-func (l Line) At(x float64) (y, half float64) {
-	spread := 1 + 1/float64(l.points) + (x-l.meanX)*(x-l.meanX)/l.sumXX
-	return l.Intercept + l.Slope*x, l.half(l.residual * math.Sqrt(spread))
+// At returns the line's value at x and the half width of the prediction interval there.
+func (l Line) At(x float64) (y, halfWidth float64) {
+	varianceFactor := 1 + 1/float64(l.points) + (x-l.meanX)*(x-l.meanX)/l.sumXX
+	return l.Intercept + l.Slope*x, l.halfWidth(l.residual * math.Sqrt(varianceFactor))
 }
 
 // Series is one measure at several sizes.
 type Series struct {
 	Event, Role, Measure string
 	Nodes, Values        []float64
-	Budget               float64 // 0: none
-	Method               bool    // it is of one method alone
+	Budget               float64 // zero if there is none
+	Method               bool    // the measure covers a single RPC method
 }
 
-// power fits y = c * n^slope; ok is false where a value is not above 0.
+// power fits y = c * n^slope; ok is false if a value is not positive or linearFit fails.
 func (s *Series) power() (Line, bool) {
 	var x, y []float64
 	for i, v := range s.Values {
@@ -96,29 +96,29 @@
 	return linearFit(x, y)
 }
 
-// measure is a measure of a node of a role.
+// measure is one figure of a role's usage, and its budget.
 type measure struct {
 	name   string
-	of     func(u Use) float64
+	value  func(u NodeUsage) float64
 	budget func(t Target) float64
 }
 
 func noBudget(Target) float64 { return 0 }
 
 var measures = []measure{
-	{"bytes out/s", func(u Use) float64 { return u.BytesOut }, func(t Target) float64 { return t.BytesS }},
-	{"bytes in/s", func(u Use) float64 { return u.BytesIn }, func(t Target) float64 { return t.BytesS }},
-	{"messages out/s", func(u Use) float64 { return u.MessagesOut }, noBudget},
-	{"processor, %", func(u Use) float64 { return u.Processor }, func(t Target) float64 { return t.Processor }},
-	{"resident, MB", func(u Use) float64 { return u.ResidentMB }, func(t Target) float64 { return t.ResidentMB }},
-	{"sockets", func(u Use) float64 { return u.Sockets }, noBudget},
-	{"goroutines", func(u Use) float64 { return u.Goroutines }, noBudget},
+	{"bytes out/s", func(u NodeUsage) float64 { return u.BytesOut }, func(t Target) float64 { return t.BytesPerSecond }},
+	{"bytes in/s", func(u NodeUsage) float64 { return u.BytesIn }, func(t Target) float64 { return t.BytesPerSecond }},
+	{"messages out/s", func(u NodeUsage) float64 { return u.MessagesOut }, noBudget},
+	{"processor, %", func(u NodeUsage) float64 { return u.Processor }, func(t Target) float64 { return t.Processor }},
+	{"resident, MB", func(u NodeUsage) float64 { return u.ResidentMB }, func(t Target) float64 { return t.ResidentMB }},
+	{"sockets", func(u NodeUsage) float64 { return u.Sockets }, noBudget},
+	{"goroutines", func(u NodeUsage) float64 { return u.Goroutines }, noBudget},
 }
 
-// stateMeasures are the measures of StateReport, listed as those of an event.
+// stateMeasures are the measures of a StateReport, under the event stateEvent.
 var stateMeasures = []struct {
 	role, name string
-	of         func(s StateSize) float64
+	value      func(s StateSize) float64
 }{
 	{"node", "heap of the configuration, MB", func(s StateSize) float64 { return s.ConfigHeapMB }},
 	{"node", "heap of the servers, MB", func(s StateSize) float64 { return s.ServersHeapMB }},
@@ -134,18 +134,18 @@
 
 const stateEvent = "state"
 
-// Times of an event.
+// Names of the measures of an event's timings, and their role.
 const (
-	agreeMeasure   = "all agree, s"
-	updatesMeasure = "all have the updates, s"
-	ackMeasure     = "acknowledged p50, ms"
-	p50Measure     = "known p50, ms"
-	p99Measure     = "known p99, ms"
-	maxMeasure     = "known by the last, ms"
-	allNodes       = "all"
+	convergedMeasure = "all agree, s"
+	updatesMeasure   = "all have the updates, s"
+	ackMeasure       = "acknowledged p50, ms"
+	p50Measure       = "known p50, ms"
+	p99Measure       = "known p99, ms"
+	maxMeasure       = "known by the last, ms"
+	allNodes         = "all"
 )
 
-// SeriesOf groups the measures of reports by event, role and measure.
+// SeriesOf groups the figures of reports by event, role and measure, each in order of the mesh size.
 func SeriesOf(reports []*Report, t Target) []*Series {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(a, b *Report) int { return cmp.Compare(a.Nodes, b.Nodes) })
@@ -165,7 +165,7 @@
 	for _, r := range reports {
 		for _, size := range r.Sizes {
 			for _, m := range stateMeasures {
-				add(stateEvent, m.role, m.name, size.Nodes, m.of(size), 0)
+				add(stateEvent, m.role, m.name, size.Nodes, m.value(size), 0)
 			}
 		}
 		for _, e := range r.Events {
@@ -178,20 +178,20 @@
 					if role == string(realRole) || role == string(hollowRole) {
 						budget = m.budget(t)
 					}
-					add(e.Name, role, m.name, r.Nodes, m.of(u), budget)
+					add(e.Name, role, m.name, r.Nodes, m.value(u), budget)
 				}
 				for method, rate := range u.Methods {
 					add(e.Name, role, method+" bytes out/s", r.Nodes, rate.BytesOut, 0).Method = true
 					add(e.Name, role, method+" messages out/s", r.Nodes, rate.MessagesOut, 0).Method = true
 				}
 			}
-			if e.AgreeS != nil {
-				add(e.Name, allNodes, agreeMeasure, r.Nodes, *e.AgreeS, 0)
+			if e.ConvergedS != nil {
+				add(e.Name, allNodes, convergedMeasure, r.Nodes, *e.ConvergedS, 0)
 			}
 			if e.UpdatesS != nil {
 				add(e.Name, allNodes, updatesMeasure, r.Nodes, *e.UpdatesS, 0)
 			}
-			if s := e.Spread; s != nil && s.Changes > 0 {
+			if s := e.Propagation; s != nil && s.Changes > 0 {
 				add(e.Name, allNodes, ackMeasure, r.Nodes, s.AckP50Ms, 0)
 				add(e.Name, allNodes, p50Measure, r.Nodes, s.P50Ms, 0)
 				add(e.Name, allNodes, p99Measure, r.Nodes, s.P99Ms, 0)
@@ -206,62 +206,62 @@
 	return all
 }
 
-// WriteTable prints series as a table, each with its fits and their values at the target.
+// WriteTable writes a Markdown table of the series, with their fits and the values extrapolated to the target.
 func WriteTable(w io.Writer, all []*Series, t Target) {
-	fmt.Fprintf(w, "| event | role | measure | nodes: value | power | linear | at %d by the power | by the line | budget | verdict |\n", t.Nodes)
+	fmt.Fprintf(w, "| event | role | measure | nodes: value | power | linear | at %d by power | by line | budget | verdict |\n", t.Nodes)
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|")
 	for _, s := range all {
 		fmt.Fprintln(w, s.row(t))
 	}
 }
 
-// row is a line of the table.
+// row returns the table row of a series.
 func (s *Series) row(t Target) string {
 	var values []string
 	for i, v := range s.Values {
-		values = append(values, fmt.Sprintf("%.0f: %s", s.Nodes[i], short(v)))
+		values = append(values, fmt.Sprintf("%.0f: %s", s.Nodes[i], formatNumber(v)))
 	}
 	power, linear, atPower, atLinear := "-", "-", "-", "-"
-	low, high := math.Inf(1), math.Inf(-1) // of the two models, without their intervals
+	low, high := math.Inf(1), math.Inf(-1) // range of the extrapolated values of both models, without their intervals
 	if l, ok := s.power(); ok {
-		y, half := l.At(math.Log(float64(t.Nodes)))
-		power, atPower = plusMinus(l.Slope, l.SlopeError()), fmt.Sprintf("%s (%s to %s)", short(math.Exp(y)), short(math.Exp(y-half)), short(math.Exp(y+half)))
+		y, halfWidth := l.At(math.Log(float64(t.Nodes)))
+		power, atPower = plusMinus(l.Slope, l.SlopeError()), fmt.Sprintf("%s (%s to %s)", formatNumber(math.Exp(y)), formatNumber(math.Exp(y-halfWidth)), formatNumber(math.Exp(y+halfWidth)))
 		low, high = min(low, math.Exp(y)), max(high, math.Exp(y))
 	}
 	if l, ok := linearFit(s.Nodes, s.Values); ok {
-		y, half := l.At(float64(t.Nodes))
-		linear, atLinear = fmt.Sprintf("%s + %s a node", short(l.Intercept), plusMinus(l.Slope, l.SlopeError())), plusMinus(y, half)
+		y, halfWidth := l.At(float64(t.Nodes))
+		linear, atLinear = fmt.Sprintf("%s + %s per node", formatNumber(l.Intercept), plusMinus(l.Slope, l.SlopeError())), plusMinus(y, halfWidth)
 		low, high = min(low, y), max(high, y)
 	}
 	budget, verdict := "", ""
 	if s.Budget > 0 {
-		budget, verdict = short(s.Budget), judge(low, high, s.Budget)
+		budget, verdict = formatNumber(s.Budget), compareWithBudget(low, high, s.Budget)
 	}
 	return "| " + strings.Join([]string{s.Event, s.Role, s.Measure, strings.Join(values, ", "), power, linear, atPower, atLinear, budget, verdict}, " | ") + " |"
 }
 
-// judge states whether the fitted values are within a budget.
-func judge(low, high, budget float64) string {
+// compareWithBudget compares the range of the fitted values with a budget. The range is empty (low > high) without a fit.
+func compareWithBudget(low, high, budget float64) string {
 	switch {
 	case low > high:
-		return "one size"
+		return "single mesh size"
 	case high <= budget:
-		return fmt.Sprintf("fits, by a factor of %s", short(budget/high))
+		return fmt.Sprintf("fits, by a factor of %s", formatNumber(budget/high))
 	case low > budget:
-		return fmt.Sprintf("does not fit, by a factor of %s", short(low/budget))
+		return fmt.Sprintf("does not fit, by a factor of %s", formatNumber(low/budget))
 	}
 	return "open: the models differ"
 }
 
-func plusMinus(x, half float64) string {
-	if math.IsInf(half, 0) || math.IsNaN(half) {
-		return short(x)
+func plusMinus(x, halfWidth float64) string {
+	if math.IsInf(halfWidth, 0) || math.IsNaN(halfWidth) {
+		return formatNumber(x)
 	}
-	return fmt.Sprintf("%s ± %s", short(x), short(half))
+	return fmt.Sprintf("%s ± %s", formatNumber(x), formatNumber(halfWidth))
 }
 
-// short formats a number with three digits.
-func short(x float64) string {
+// formatNumber rounds a number for the table.
+func formatNumber(x float64) string {
 	switch abs := math.Abs(x); {
 	case math.IsInf(x, 0):
 		return "∞"
--- a/internal/simulation/scale/hollow.go
+++ b/internal/simulation/scale/hollow.go
@@ -19,47 +19,48 @@
 	"ivydeck/internal/transport/rpc"
 )
 
-// HollowCommand is the argument with which the program itself runs hollow nodes, see RunHollow.
+// HollowCommand is the command of Options.Self that calls RunHollow.
 const HollowCommand = "hollow"
 
 const (
-	heartbeat  = 500 * time.Millisecond
-	maxArrival = 1024 // arrivals of updates that a node remembers
-	slots      = 16   // of a hollow node's server
+	heartbeatInterval = 500 * time.Millisecond
+	maxArrivals       = 1024 // arrivals that a node keeps
+	serverSlots       = 16   // concurrent requests that a server accepts
 
-	leaveWait = 2 * time.Second // for a server that goes to be off the list
-	leavePoll = 50 * time.Millisecond
-	lastWords = 300 * time.Millisecond
+	deregisterTimeout = 2 * time.Second // until the registry has dropped the server of a leaving node
+	deregisterPoll    = 50 * time.Millisecond
+	leaveTimeout      = 300 * time.Millisecond // for the leave message to other members
 )
 
-// hollowNode is a node that carries no requests.
+// hollowNode is the control-plane part of a node. It carries no requests.
 type hollowNode struct {
-	machine      int
-	agent        *agent.Agent
-	server       localserver.Heartbeat
-	deregistered atomic.Bool   // the server has left
-	changed      chan struct{} // tells of that
-	end          context.CancelFunc
-	ended        chan struct{}
+	machine        int
+	agent          *agent.Agent
+	server         localserver.Heartbeat
+	deregistered   atomic.Bool   // the node no longer reports its server
+	serversChanged chan struct{} // signals a change of deregistered to the agent
+	cancel         context.CancelFunc
+	done           chan struct{} // closed when all goroutines of the node have ended
 
 	mu       sync.Mutex
 	arrivals []arrival // oldest first
 }
 
-// arrival is when a node first had all updates up to an index.
+// arrival records when a node first had all updates up to an index.
 type arrival struct {
 	index uint64
 	at    time.Time
 }
 
-// hollowProcess is all hollow nodes of this process.
+// hollowProcess holds the hollow nodes of this process.
 type hollowProcess struct {
 	job     job
 	network *network
 	nodes   map[int]*hollowNode
 }
 
-// RunHollow runs hollow nodes by the commands on standard input, until that ends.
+// RunHollow reads a job and then commands from in as JSON, and writes a response to each command to w. When in ends, it
+// stops all nodes and returns.
 func RunHollow(in io.Reader, w io.Writer) error {
 	decoder, encoder := json.NewDecoder(in), json.NewEncoder(w)
 	p := &hollowProcess{nodes: map[int]*hollowNode{}}
@@ -69,13 +70,13 @@
 		}
 	}()
 	if err := decoder.Decode(&p.job); err != nil {
-		return fmt.Errorf("no job: %w", err)
+		return fmt.Errorf("reading the job: %w", err)
 	}
 	p.network = newNetwork(&p.job)
 	for {
 		var c command
 		if err := decoder.Decode(&c); err != nil {
-			return nil // whoever has started this process is gone
+			return nil // the parent process has closed the pipe or ended
 		}
 		if err := encoder.Encode(p.handle(&c)); err != nil {
 			return nil
@@ -83,64 +84,64 @@
 	}
 }
 
-// handle executes a command.
-func (p *hollowProcess) handle(c *command) (a answer) {
+// handle executes a command. It returns at the first node that can't be started.
+func (p *hollowProcess) handle(c *command) (resp response) {
 	for _, machine := range c.Stop {
 		p.stop(machine)
 	}
 	p.leave(c.Leave)
 	for _, machine := range c.Start {
 		if err := p.start(machine); err != nil {
-			a.Fault = err.Error()
-			return a
+			resp.Fault = err.Error()
+			return resp
 		}
 	}
 	if c.Partition != nil {
 		p.network.setPartition(*c.Partition)
 	}
 	if c.State {
-		a.State = p.state()
+		resp.State = p.state()
 	}
 	if c.Index > 0 {
-		a.Arrivals = p.arrivals(c.Index)
+		resp.Arrivals = p.arrivals(c.Index)
 	}
 	if c.Usage {
-		a.Usage = &usage{Traffic: rpc.ReadTraffic(), Goroutines: runtime.NumGoroutine()}
+		resp.Usage = &usage{Traffic: rpc.ReadTraffic(), Goroutines: runtime.NumGoroutine()}
 	}
-	return a
+	return resp
 }
 
-// settings are those of a hollow node's machine.
+// settings returns the node settings of a hollow node.
 func (j *job) settings(machine int) *nodefile.Settings {
-	set := &nodefile.Settings{
+	settings := &nodefile.Settings{
 		Node: nodeName(machine), Class: nodefile.SidecarMachine, IP: address(j.Network, machine), Zone: zoneName(j.zoneOf(machine), j.Zones, j.Regions),
-		Ports: [2]int{j.Ports.Nodes, j.Ports.Nodes}, HeartbeatInterval: heartbeat, Backend: serviceName(machine % j.Services), Bootstrap: true,
+		Ports: [2]int{j.Ports.Nodes, j.Ports.Nodes}, HeartbeatInterval: heartbeatInterval, Backend: serviceName(machine % j.Services), Bootstrap: true,
 	}
 	for member := range quorumSize {
-		set.Seeds = append(set.Seeds, fmt.Sprintf("%s:%d", address(j.Network, member), j.Ports.Control))
+		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s:%d", address(j.Network, member), j.Ports.Control))
 	}
-	return set
+	return settings
 }
 
 func nodeName(machine int) string    { return fmt.Sprintf("node-%05d", machine) }
 func serverName(machine int) string  { return fmt.Sprintf("server-%05d", machine) }
 func serviceName(service int) string { return fmt.Sprintf("service-%04d", service) }
 
-// start runs a hollow node.
+// start starts a hollow node, which runs until leave or stop.
 func (p *hollowProcess) start(machine int) error {
-	set := p.job.settings(machine)
-	listener, err := net.Listen("tcp", set.Internal())
+	settings := p.job.settings(machine)
+	listener, err := net.Listen("tcp", settings.Internal())
 	if err != nil {
 		return fmt.Errorf("node %d: %w", machine, err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	log := slog.New(slog.DiscardHandler)
 	pool := rpc.NewPool(ctx, rpc.PoolOptions{Dial: p.network.dialer(machine)})
-	heartbeat := localserver.Heartbeat{ID: serverName(machine), Service: set.Backend, Address: fmt.Sprintf("%s:%d", set.IP, p.job.Ports.Server), Zone: set.Zone, Slots: slots}
-	n := &hollowNode{machine: machine, server: heartbeat, changed: make(chan struct{}, 1), end: end, ended: make(chan struct{})}
+	heartbeat := localserver.Heartbeat{ID: serverName(machine), Service: settings.Backend, Address: fmt.Sprintf("%s:%d", settings.IP, p.job.Ports.Server), Zone: settings.Zone, Slots: serverSlots}
+	n := &hollowNode{machine: machine, server: heartbeat, serversChanged: make(chan struct{}, 1), cancel: cancel, done: make(chan struct{})}
 	n.agent = agent.New(agent.Options{
-		Settings: func() *nodefile.Settings { return set }, Pool: pool, Seed: rand.Uint64(), Log: log,
-		Servers: n.servers, ServersChanged: n.changed, Draining: func() bool { return false },
+		Settings: func() *nodefile.Settings { return settings }, Pool: pool, Seed: rand.Uint64(), Log: log,
+		Servers: n.servers, ServersChanged: n.serversChanged, Draining: func() bool { return false },
 	})
 	server := rpc.NewServer(rpc.ServerOptions{Log: log})
 	n.agent.Register(server)
@@ -148,15 +149,15 @@
 	running.Go(func() { server.Serve(ctx, p.network.listener(machine, listener)) })
 	running.Go(func() { n.agent.Run(ctx) })
 	running.Go(func() { n.watch(ctx) })
-	go func() { // ends with the node, for which stop waits
+	go func() { // stop waits for n.done
 		running.Wait()
-		close(n.ended)
+		close(n.done)
 	}()
 	p.nodes[machine] = n
 	return nil
 }
 
-// servers are the application servers on the node's machine.
+// servers returns the application servers that the node registers.
 func (n *hollowNode) servers() []localserver.Heartbeat {
 	if n.deregistered.Load() {
 		return nil
@@ -164,9 +165,9 @@
 	return []localserver.Heartbeat{n.server}
 }
 
-// leave shuts nodes down gracefully: they deregister their servers and announce their end.
+// leave shuts nodes down gracefully: they deregister their servers and announce their departure to other members.
 func (p *hollowProcess) leave(machines []int) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	var draining sync.WaitGroup
 	for _, machine := range machines {
@@ -180,33 +181,34 @@
 	}
 }
 
+// leave deregisters the server, waits until the node has received this update or ctx ends, and sends the leave message.
 func (n *hollowNode) leave(ctx context.Context) {
 	n.deregistered.Store(true)
 	select {
-	case n.changed <- struct{}{}:
+	case n.serversChanged <- struct{}{}:
 	default:
 	}
 	for ctx.Err() == nil && n.agent.Hub.Server(n.server.ID) != nil {
 		select {
 		case <-n.agent.Hub.Changed():
-		case <-time.After(leavePoll):
+		case <-time.After(deregisterPoll):
 		case <-ctx.Done():
 		}
 	}
-	last, cancel := context.WithTimeout(context.Background(), lastWords)
+	leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	n.agent.Gossip.Leave(last)
+	n.agent.Gossip.Leave(leaveCtx)
 }
 
-// stop ends a node without an announcement, like the loss of its machine.
+// stop ends a node without an announcement, like a machine failure.
 func (p *hollowProcess) stop(machine int) {
 	n := p.nodes[machine]
 	if n == nil {
 		return
 	}
 	delete(p.nodes, machine)
-	n.end()
-	<-n.ended
+	n.cancel()
+	<-n.done
 }
 
 // watch records when updates arrive.
@@ -221,19 +223,20 @@
 	}
 }
 
+// recordArrival records the first arrival of an index and drops the oldest arrival beyond maxArrivals.
 func (n *hollowNode) recordArrival(index uint64, at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.arrivals) > 0 && n.arrivals[len(n.arrivals)-1].index >= index {
 		return
 	}
-	if len(n.arrivals) == maxArrival {
+	if len(n.arrivals) == maxArrivals {
 		n.arrivals = append(n.arrivals[:0], n.arrivals[1:]...)
 	}
 	n.arrivals = append(n.arrivals, arrival{index, at})
 }
 
-// arrivals returns when each node received an update; nodes without it are left out.
+// arrivals returns the times at which nodes received an update, in Unix microseconds. Nodes without it are left out.
 func (p *hollowProcess) arrivals(index uint64) (list []int64) {
 	for _, n := range p.nodes {
 		n.mu.Lock()
@@ -248,7 +251,7 @@
 	return list
 }
 
-// state returns the range of the nodes' states.
+// state returns the minima and maxima over the nodes' states.
 func (p *hollowProcess) state() *state {
 	s := &state{Nodes: len(p.nodes)}
 	first := true
--- a/internal/simulation/scale/machines.go
+++ b/internal/simulation/scale/machines.go
@@ -13,16 +13,16 @@
 	"ivydeck/internal/simulation/standin"
 )
 
-// list returns the processes of some roles; of all if none is named.
-func (r *run) list(roles ...role) (list []*child) {
+// childrenOf returns the processes of the given roles, or all processes if no role is given.
+func (r *run) childrenOf(roles ...role) (children []*child) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.children {
 		if len(roles) == 0 || slices.Contains(roles, c.role) {
-			list = append(list, c)
+			children = append(children, c)
 		}
 	}
-	return list
+	return children
 }
 
 func (r *run) add(c *child) {
@@ -31,7 +31,7 @@
 	r.children = append(r.children, c)
 }
 
-// stopAll kills all processes that the run has started, by their ids, and waits for their ends.
+// stopAll stops the stand-in servers and kills all processes that the run has started. It waits until they have ended.
 func (r *run) stopAll() {
 	for _, s := range r.servers {
 		s.Stop()
@@ -41,47 +41,47 @@
 }
 
 func (r *run) killAll(roles ...role) {
-	var ending sync.WaitGroup
-	for _, c := range r.list(roles...) {
-		ending.Go(c.kill)
+	var kills sync.WaitGroup
+	for _, c := range r.childrenOf(roles...) {
+		kills.Go(c.kill)
 	}
-	ending.Wait()
+	kills.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.children = slices.DeleteFunc(r.children, func(c *child) bool { return len(roles) == 0 || slices.Contains(roles, c.role) })
 }
 
-// settings writes the settings file of a real process.
-func (r *run) settings(machine int, class string) (string, error) {
+// writeSettings writes the settings file of a real process and returns its path.
+func (r *run) writeSettings(machine int, class string) (string, error) {
 	ip := r.ip(machine)
-	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
+	endpoint := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	var seeds []string
 	for member := range quorumSize {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", r.ip(member), r.ports.Control))
 	}
 	lines := []string{
 		"node_name=" + nodeName(machine), "machine_class=" + class, "ip_address=" + ip, "zone=" + r.zone(machine),
-		"listeners.control_plane=" + at(r.ports.Control), "listeners.outbound=" + at(r.ports.Outbound),
-		"listeners.readiness=" + at(r.ports.Readiness), "metrics.address=" + at(r.ports.Metrics), "app_address=" + at(r.ports.Server),
+		"listeners.control_plane=" + endpoint(r.ports.Control), "listeners.outbound=" + endpoint(r.ports.Outbound),
+		"listeners.readiness=" + endpoint(r.ports.Readiness), "metrics.address=" + endpoint(r.ports.Metrics), "app_address=" + endpoint(r.ports.Server),
 		"backend=" + serviceName(machine%r.Services), fmt.Sprintf("internal_ports=%d", r.ports.Nodes), "bootstrap=true",
-		"data_dir=" + filepath.Join(r.dir, nodeName(machine)), fmt.Sprintf("heartbeat_ms=%d", heartbeat.Milliseconds()),
+		"data_dir=" + filepath.Join(r.dir, nodeName(machine)), fmt.Sprintf("heartbeat_ms=%d", heartbeatInterval.Milliseconds()),
 		"request_limits.memory_mb=2048", "seed_nodes=" + strings.Join(seeds, ","),
 	}
 	file := filepath.Join(r.dir, nodeName(machine)+".conf")
 	return file, os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o644)
 }
 
-// startReal starts a real process of a machine.
-func (r *run) startReal(machine int, class, program string, as role) error {
-	file, err := r.settings(machine, class)
+// startReal starts a program of its own for a machine.
+func (r *run) startReal(machine int, class, program string, processRole role) error {
+	file, err := r.writeSettings(machine, class)
 	if err != nil {
 		return err
 	}
-	c, err := startChild(r.dir, nodeName(machine), as, filepath.Join(r.Programs, program), "--settings", file)
+	c, err := startChild(r.dir, nodeName(machine), processRole, filepath.Join(r.Programs, program), "--settings", file)
 	if err != nil {
 		return err
 	}
-	c.machines, c.metrics = []int{machine}, fmt.Sprintf("http://%s:%d/metrics", r.ip(machine), r.ports.Metrics)
+	c.machines, c.metricsURL = []int{machine}, fmt.Sprintf("http://%s:%d/metrics", r.ip(machine), r.ports.Metrics)
 	r.add(c)
 	return nil
 }
@@ -107,12 +107,12 @@
 	return nil
 }
 
-// startServers starts the stand-ins beside real nodes.
+// startServers starts a stand-in server beside each real node.
 func (r *run) startServers() error {
 	for machine := quorumSize; machine < quorumSize+r.Real; machine++ {
 		ip := r.ip(machine)
 		s, err := standin.Start(standin.Options{ID: serverName(machine), Service: serviceName(machine % r.Services), Zone: r.zone(machine),
-			Address: fmt.Sprintf("%s:%d", ip, r.ports.Server), Control: fmt.Sprintf("%s:%d", ip, r.ports.Control), Slots: slots, Heartbeat: heartbeat})
+			Address: fmt.Sprintf("%s:%d", ip, r.ports.Server), Control: fmt.Sprintf("%s:%d", ip, r.ports.Control), Slots: serverSlots, Heartbeat: heartbeatInterval})
 		if err != nil {
 			return err
 		}
@@ -121,10 +121,10 @@
 	return nil
 }
 
-// startHollow starts the processes of hollow nodes, without any nodes yet.
+// startHollow starts the processes for hollow nodes and records their base usage, before they run any nodes.
 func (r *run) startHollow(ctx context.Context) error {
 	first := quorumSize + r.Real
-	for i := range r.processes() {
+	for i := range r.processCount() {
 		c, err := startChild(r.dir, fmt.Sprintf("hollow-%03d", i), hollowRole, r.Self, HollowCommand)
 		if err != nil {
 			return err
@@ -133,64 +133,65 @@
 			c.machines = append(c.machines, machine)
 		}
 		r.add(c)
-		if err := c.in.Encode(&job{Network: r.network, Real: r.Real, Zones: r.Zones, Regions: r.Regions, Services: r.Services, Ports: r.ports}); err != nil {
-			return fmt.Errorf("%s: %w", c.name, errEnded)
+		if err := c.commands.Encode(&job{Network: r.network, Real: r.Real, Zones: r.Zones, Regions: r.Regions, Services: r.Services, Ports: r.ports}); err != nil {
+			return fmt.Errorf("%s: %w", c.name, errExited)
 		}
 	}
-	if _, err := r.each(func(*child) *command { return &command{State: true} }); err != nil { // they are there
+	if _, err := r.each(func(*child) *command { return &command{State: true} }); err != nil { // waits until the processes respond
 		return err
 	}
 	samples, err := r.samples(ctx, hollowRole)
 	for c, s := range samples {
-		c.base, c.baseFiles = s.resident, s.files
+		c.baseResident, c.baseFiles = s.resident, s.files
 		r.report.BaseMB += megabytes(s.resident) / float64(len(samples))
 	}
 	return err
 }
 
-// each calls all hollow processes concurrently; f makes the command for each, nil: none.
-func (r *run) each(f func(c *child) *command) ([]*answer, error) {
+// each sends commands to all hollow processes concurrently and returns their responses. build returns the command for a
+// process, or nil to skip it.
+func (r *run) each(build func(c *child) *command) ([]*response, error) {
 	var mu sync.Mutex
-	var answers []*answer
-	var faults []error
-	var asking sync.WaitGroup
-	for _, c := range r.list(hollowRole) {
-		q := f(c)
-		if q == nil {
+	var responses []*response
+	var errs []error
+	var calls sync.WaitGroup
+	for _, c := range r.childrenOf(hollowRole) {
+		request := build(c)
+		if request == nil {
 			continue
 		}
-		asking.Go(func() {
-			a, err := c.call(q)
+		calls.Go(func() {
+			resp, err := c.call(request)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				faults = append(faults, err)
+				errs = append(errs, err)
 				return
 			}
-			answers = append(answers, a)
+			responses = append(responses, resp)
 		})
 	}
-	asking.Wait()
-	return answers, errors.Join(faults...)
+	calls.Wait()
+	return responses, errors.Join(errs...)
 }
 
-// change starts or stops hollow nodes of some machines, in each process its own.
-func (r *run) change(machines []int, build func(mine []int) *command) error {
+// sendToOwners sends a command to each hollow process that runs some of the machines. build returns the command for these.
+func (r *run) sendToOwners(machines []int, build func(owned []int) *command) error {
 	wanted := map[int]bool{}
 	for _, m := range machines {
 		wanted[m] = true
 	}
 	_, err := r.each(func(c *child) *command {
-		var mine []int
+		var owned []int
 		for _, m := range c.machines {
 			if wanted[m] {
-				mine = append(mine, m)
+				owned = append(owned, m)
 			}
 		}
-		if len(mine) == 0 {
+		if len(owned) == 0 {
 			return nil
 		}
-		return build(mine)
+		return build(owned)
 	})
 	return err
 }
@@ -199,23 +200,23 @@
 	for _, m := range machines {
 		r.running[m] = true
 	}
-	return r.change(machines, func(mine []int) *command { return &command{Start: mine} })
+	return r.sendToOwners(machines, func(owned []int) *command { return &command{Start: owned} })
 }
 
-// stopNodes ends hollow nodes: planned ones gracefully, others like the loss of their machines.
+// stopNodes ends hollow nodes, gracefully if planned is true, otherwise like machine failures.
 func (r *run) stopNodes(machines []int, planned bool) error {
 	for _, m := range machines {
 		delete(r.running, m)
 	}
-	return r.change(machines, func(mine []int) *command {
+	return r.sendToOwners(machines, func(owned []int) *command {
 		if planned {
-			return &command{Leave: mine}
+			return &command{Leave: owned}
 		}
-		return &command{Stop: mine}
+		return &command{Stop: owned}
 	})
 }
 
-// hollowMachines are all hollow nodes.
+// hollowMachines returns the machines of all hollow nodes.
 func (r *run) hollowMachines() (list []int) {
 	for m := quorumSize + r.Real; m < quorumSize+r.Nodes; m++ {
 		list = append(list, m)
--- a/internal/simulation/scale/network.go
+++ b/internal/simulation/scale/network.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-const dialTime = 250 * time.Millisecond // of one try of a connection
+const dialTimeout = 250 * time.Millisecond // of a connection attempt
 
-// network is the hollow nodes' network. A region can be partitioned from the others: bytes between them are dropped
-// without an error, as in a real partition.
+// network simulates partitions between the regions of hollow nodes. Bytes between partitioned regions are dropped without
+// an error.
 type network struct {
 	number      int
 	region      func(machine int) int
-	partitioned atomic.Int64 // region, -1: none
+	partitioned atomic.Int64 // partitioned region, or -1
 
-	mu   sync.Mutex
-	open map[*crossing]bool
+	mu          sync.Mutex
+	connections map[*regionConn]bool
 }
 
 func newNetwork(j *job) *network {
 	perRegion := j.Zones / j.Regions
-	n := &network{number: j.Network, region: func(machine int) int { return j.zoneOf(machine) / perRegion }, open: map[*crossing]bool{}}
+	n := &network{number: j.Network, region: func(machine int) int { return j.zoneOf(machine) / perRegion }, connections: map[*regionConn]bool{}}
 	n.partitioned.Store(-1)
 	return n
 }
 
-// crossing is a connection that may be between two regions.
-type crossing struct {
+// regionConn is a connection of a hollow node, which drops bytes once a partition has separated its ends.
+type regionConn struct {
 	net.Conn
 	network  *network
-	from, to int         // regions, -1 for one that is not known: it is outside of any cut
-	lost     atomic.Bool // what is sent or received is lost from now on
+	from, to int         // regions; -1 if unknown, which counts as outside of the partitioned region
+	dropping atomic.Bool // all bytes are dropped from now on
 }
 
 func (n *network) regionAt(address string) int {
@@ -55,61 +55,63 @@
 	return region >= 0 && (from == region) != (to == region)
 }
 
-// setPartition partitions a region from the others; -1 ends it. Connections that lost bytes stay broken.
+// setPartition partitions a region from the others. A region of -1 ends the partition; connections that it separated keep
+// dropping bytes.
 func (n *network) setPartition(region int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned.Store(int64(region))
-	for c := range n.open {
+	for c := range n.connections {
 		if n.separated(c.from, c.to) {
-			c.lost.Store(true)
+			c.dropping.Store(true)
 		}
 	}
 }
 
 func (n *network) add(nc net.Conn, from, to int) net.Conn {
-	c := &crossing{Conn: nc, network: n, from: from, to: to}
+	c := &regionConn{Conn: nc, network: n, from: from, to: to}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.open[c] = true
-	c.lost.Store(n.separated(from, to))
+	n.connections[c] = true
+	c.dropping.Store(n.separated(from, to))
 	return c
 }
 
-// Write reports dropped bytes as written.
-func (c *crossing) Write(b []byte) (int, error) {
-	if c.lost.Load() {
+// Write implements net.Conn. It reports dropped bytes as written.
+func (c *regionConn) Write(b []byte) (int, error) {
+	if c.dropping.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// Read drops bytes that arrive during a partition.
-func (c *crossing) Read(b []byte) (int, error) {
+// Read implements net.Conn. It discards the bytes that arrive after a partition has separated the ends.
+func (c *regionConn) Read(b []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(b)
-		if err != nil || !c.lost.Load() {
+		if err != nil || !c.dropping.Load() {
 			return count, err
 		}
 	}
 }
 
-// Close closes the connection.
-func (c *crossing) Close() error {
+// Close implements net.Conn.
+func (c *regionConn) Close() error {
 	c.network.mu.Lock()
-	delete(c.network.open, c)
+	delete(c.network.connections, c)
 	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// dialer connects from a machine's own address, so that the other side can tell its region.
+// dialer returns a dial function that uses a machine's address as the source, from which the listener derives the region.
+// A dial to a separated region times out.
 func (n *network) dialer(machine int) func(ctx context.Context, address string) (net.Conn, error) {
 	own := n.region(machine)
-	dialer := net.Dialer{Timeout: dialTime, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(n.number, machine))}}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(n.number, machine))}}
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		other := n.regionAt(to)
 		if n.separated(own, other) {
-			timer := time.NewTimer(dialTime)
+			timer := time.NewTimer(dialTimeout)
 			defer timer.Stop()
 			select {
 			case <-timer.C:
@@ -125,19 +127,19 @@
 	}
 }
 
-// accepting is a machine's listener.
-type accepting struct {
+// regionListener is the listener of a hollow node.
+type regionListener struct {
 	net.Listener
 	network *network
 	region  int
 }
 
 func (n *network) listener(machine int, l net.Listener) net.Listener {
-	return &accepting{Listener: l, network: n, region: n.region(machine)}
+	return &regionListener{Listener: l, network: n, region: n.region(machine)}
 }
 
-// Accept waits for the next connection.
-func (a *accepting) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (a *regionListener) Accept() (net.Conn, error) {
 	nc, err := a.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/simulation/scale/plot.go
+++ b/internal/simulation/scale/plot.go
@@ -15,21 +15,21 @@
 	plotPoints = 200
 )
 
-// plot draws, for each event with changes, the share of the nodes that had a change over time.
+// plot draws, for each event with changes, the share of the nodes that have received a change over time.
 func (r *Report) plot(path string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%d nodes: changes of one route of %d", r.Nodes, r.Routes)
-	p.X.Label.Text, p.Y.Label.Text = "ms after the operator's call", "part of the nodes that know of it"
+	p.Title.Text = fmt.Sprintf("%d nodes: change of one of %d routes", r.Nodes, r.Routes)
+	p.X.Label.Text, p.Y.Label.Text = "ms after the operator's call", "share of the nodes that have received it"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Left = false
 	lines := 0
 	for _, e := range r.Events {
-		if e.Spread == nil || len(e.Spread.durations) == 0 {
+		if e.Propagation == nil || len(e.Propagation.durations) == 0 {
 			continue
 		}
-		curve, err := plotter.NewLine(e.Spread.points())
+		curve, err := plotter.NewLine(e.Propagation.points())
 		if err != nil {
-			return fmt.Errorf("the plot: %w", err)
+			return fmt.Errorf("drawing the plot: %w", err)
 		}
 		curve.Color = plotutil.Color(lines)
 		lines++
@@ -37,13 +37,13 @@
 		p.Legend.Add(e.Name, curve)
 	}
 	if err := p.Save(plotWidth, plotHeight, path); err != nil {
-		return fmt.Errorf("the plot: %w", err)
+		return fmt.Errorf("writing the plot: %w", err)
 	}
 	return nil
 }
 
-// points are the distribution function of sorted durations.
-func (s *Spread) points() plotter.XYs {
+// points returns the cumulative distribution of the durations, which must be sorted.
+func (s *Propagation) points() plotter.XYs {
 	points := make(plotter.XYs, 0, plotPoints+1)
 	for i := range plotPoints + 1 {
 		q := float64(i) / plotPoints
--- a/internal/simulation/scale/process.go
+++ b/internal/simulation/scale/process.go
@@ -19,7 +19,7 @@
 	"ivydeck/internal/transport/rpc"
 )
 
-// role is the role of a process in the mesh.
+// role is the role of a process in the mesh. It is written to logs and reports.
 type role string
 
 const (
@@ -28,113 +28,114 @@
 	hollowRole role = "hollow"
 )
 
-const metricsWait = 8 * time.Second
+const metricsTimeout = 8 * time.Second
 
-const clockTicks = 100 // of processor time in a second, as /proc counts it
+const clockTicks = 100 // per second of processor time in /proc (USER_HZ)
 
-var errEnded = errors.New("the process has ended")
+var errExited = errors.New("the process has exited")
 
 // child is a process that the run has started.
 type child struct {
-	name     string
-	role     role
-	machines []int // it stands for
-	log      string
-	command  *exec.Cmd
-	began    time.Time
-	ended    chan struct{}
-	metrics  string // URL; of real processes
-	// Of a hollow process before its first node: resident bytes, and descriptors.
-	base      int64
-	baseFiles int
+	name       string
+	role       role
+	machines   []int  // machines whose nodes it runs
+	logPath    string // path of its log file
+	cmd        *exec.Cmd
+	startedAt  time.Time
+	done       chan struct{} // closed after the process has exited
+	metricsURL string        // URL; empty for a hollow process
+	// Resident bytes and descriptors of a hollow process before its first node.
+	baseResident int64
+	baseFiles    int
 
-	mu        sync.Mutex // of a hollow process's standard input and output
-	in        *json.Encoder
+	mu        sync.Mutex // serializes commands to a hollow process
+	commands  *json.Encoder
 	responses *json.Decoder
 }
 
-// startChild starts a program, with a log file in a folder.
+// startChild starts a program that logs to a file in dir. The standard input and output of a hollow process carry JSON
+// messages.
 func startChild(dir, name string, r role, program string, arguments ...string) (*child, error) {
-	c := &child{name: name, role: r, log: filepath.Join(dir, name+".log"), command: exec.Command(program, arguments...), ended: make(chan struct{})}
-	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	c := &child{name: name, role: r, logPath: filepath.Join(dir, name+".log"), cmd: exec.Command(program, arguments...), done: make(chan struct{})}
+	logFile, err := os.OpenFile(c.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	c.command.Stderr = log
+	defer logFile.Close()
+	c.cmd.Stderr = logFile
 	if r != hollowRole {
-		c.command.Stdout = log
+		c.cmd.Stdout = logFile
 		return c, c.start()
 	}
-	in, err := c.command.StdinPipe()
+	stdin, err := c.cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	stdout, err := c.command.StdoutPipe()
+	stdout, err := c.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.in, c.responses = json.NewEncoder(in), json.NewDecoder(stdout)
+	c.commands, c.responses = json.NewEncoder(stdin), json.NewDecoder(stdout)
 	return c, c.start()
 }
 
 func (c *child) start() error {
-	c.began = time.Now()
-	if err := c.command.Start(); err != nil {
+	c.startedAt = time.Now()
+	if err := c.cmd.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", c.name, err)
 	}
 	if c.role == hollowRole {
-		return nil // Wait would close its output before that is read
+		return nil // Wait closes the output pipe, so kill calls it instead
 	}
 	go c.wait()
 	return nil
 }
 
-// wait waits for the end of the process.
+// wait waits until the process has exited, and closes done.
 func (c *child) wait() {
-	c.command.Wait()
-	close(c.ended)
+	c.cmd.Wait()
+	close(c.done)
 }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (c *child) kill() {
-	c.command.Process.Kill()
+	c.cmd.Process.Kill()
 	if c.role == hollowRole {
 		c.wait()
 		return
 	}
-	<-c.ended
+	<-c.done
 }
 
-// exited returns an error if the process has ended by itself.
+// exited returns an error with the end of the log if the process has exited. It always returns nil for a hollow process.
 func (c *child) exited() error {
 	select {
-	case <-c.ended:
-		text, _ := os.ReadFile(c.log)
-		return fmt.Errorf("%s has ended: %s", c.name, bytes.TrimSpace(text[max(0, len(text)-300):]))
+	case <-c.done:
+		text, _ := os.ReadFile(c.logPath)
+		return fmt.Errorf("%s has exited: %s", c.name, bytes.TrimSpace(text[max(0, len(text)-300):]))
 	default:
 		return nil
 	}
 }
 
-// call sends a command to a hollow process and returns its answer.
-func (c *child) call(q *command) (*answer, error) {
+// call sends a command to a hollow process and returns the response. It is safe for concurrent use.
+func (c *child) call(request *command) (*response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.in.Encode(q); err != nil {
-		return nil, fmt.Errorf("%s: %w", c.name, errEnded)
+	if err := c.commands.Encode(request); err != nil {
+		return nil, fmt.Errorf("%s: %w", c.name, errExited)
 	}
-	a := new(answer)
-	if err := c.responses.Decode(a); err != nil {
-		return nil, fmt.Errorf("%s: %w", c.name, errEnded)
+	resp := new(response)
+	if err := c.responses.Decode(resp); err != nil {
+		return nil, fmt.Errorf("%s: %w", c.name, errExited)
 	}
-	if a.Fault != "" {
-		return nil, fmt.Errorf("%s: %s", c.name, a.Fault)
+	if resp.Fault != "" {
+		return nil, fmt.Errorf("%s: %s", c.name, resp.Fault)
 	}
-	return a, nil
+	return resp, nil
 }
 
-// sample is the usage of a process so far, and its memory and descriptors now.
+// sample is the usage of a process at one time. Processor time and traffic count from the start of the process.
 type sample struct {
 	at         time.Time
 	processor  float64 // seconds
@@ -143,13 +144,13 @@
 	sockets    int
 	goroutines int
 	traffic    rpc.Traffic
-	index      uint64 // newest update that a real node knows of
-	members    int    // others that a real node knows
+	index      uint64 // index of the latest update that a real node has
+	members    int    // alive members in the view of a real node
 }
 
 // sample reads the usage of the process.
 func (c *child) sample(ctx context.Context) (s sample, err error) {
-	proc := "/proc/" + strconv.Itoa(c.command.Process.Pid)
+	proc := "/proc/" + strconv.Itoa(c.cmd.Process.Pid)
 	s.at = time.Now()
 	if s.processor, err = processorTime(proc); err != nil {
 		return s, fmt.Errorf("%s: %w", c.name, err)
@@ -163,12 +164,12 @@
 	}
 	s.files = len(files)
 	if c.role == hollowRole {
-		s.sockets = s.files - c.baseFiles // it opens nothing else, and has some thousands
-		a, err := c.call(&command{Usage: true})
+		s.sockets = s.files - c.baseFiles // nodes open only sockets, and a readlink for each of thousands is slow
+		resp, err := c.call(&command{Usage: true})
 		if err != nil {
 			return s, err
 		}
-		s.traffic, s.goroutines = a.Usage.Traffic, a.Usage.Goroutines
+		s.traffic, s.goroutines = resp.Usage.Traffic, resp.Usage.Goroutines
 		return s, nil
 	}
 	for _, f := range files {
@@ -176,16 +177,16 @@
 			s.sockets++
 		}
 	}
-	return s, s.readMetrics(ctx, c.metrics)
+	return s, s.readMetrics(ctx, c.metricsURL)
 }
 
-// processorTime is the processor time of a process, in seconds.
+// processorTime returns the user and system time of the process at the /proc path proc, in seconds.
 func processorTime(proc string) (float64, error) {
 	text, err := os.ReadFile(proc + "/stat")
 	if err != nil {
 		return 0, err
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // behind the name, which may hold anything
+	_, rest, _ := strings.Cut(string(text), ") ") // skip the process name, which may contain spaces
 	fields := strings.Fields(rest)
 	const userField, systemField = 11, 12
 	if len(fields) <= systemField {
@@ -212,7 +213,7 @@
 	return pages * int64(os.Getpagesize()), err
 }
 
-// loadAverage is the machine's, over a minute; 0 where it can't be read.
+// loadAverage returns the machine's load average over a minute, or 0 if it can't be read.
 func loadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -223,9 +224,9 @@
 	return load
 }
 
-// readMetrics reads the metrics of a real process.
+// readMetrics reads the metrics of a real process in the Prometheus text format.
 func (s *sample) readMetrics(ctx context.Context, url string) error {
-	ctx, cancel := context.WithTimeout(ctx, metricsWait)
+	ctx, cancel := context.WithTimeout(ctx, metricsTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "GET", url, nil)
 	if err != nil {
@@ -244,15 +245,15 @@
 	for line := range strings.Lines(string(text)) {
 		if name, value, ok := strings.Cut(strings.TrimSpace(line), " "); ok && !strings.HasPrefix(name, "#") {
 			if number, err := strconv.ParseFloat(value, 64); err == nil {
-				s.take(name, number)
+				s.setMetric(name, number)
 			}
 		}
 	}
 	return nil
 }
 
-// take takes one metric.
-func (s *sample) take(name string, value float64) {
+// setMetric stores the value of one metric, and ignores metrics that the report does not use.
+func (s *sample) setMetric(name string, value float64) {
 	switch name {
 	case "go_goroutines":
 		s.goroutines = int(value)
--- a/internal/simulation/scale/run.go
+++ b/internal/simulation/scale/run.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	quorumWait  = 20 * time.Second
-	pollEvery   = 100 * time.Millisecond
-	memoryEvery = time.Second
-	routeHost   = "scale.example"
+	quorumTimeout  = 20 * time.Second
+	pollInterval   = 100 * time.Millisecond
+	memoryInterval = time.Second
+	routeHost      = "scale.example"
 )
 
-// Reasons for which a run ends early.
+// Errors that end a run early.
 var (
-	errMemory      = errors.New("the run's processes take more memory than they may")
-	errInterrupted = errors.New("interrupted; all that was started is ended")
+	errMemory      = errors.New("the run's processes exceed the memory limit")
+	errInterrupted = errors.New("interrupted; all started processes were stopped")
 )
 
 // run is a running benchmark.
@@ -42,17 +42,17 @@
 	operatorClient *operator.Client
 	pool           *rpc.Pool
 	client         http.Client
-	began          time.Time
+	startedAt      time.Time
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards children
 	children []*child
 	servers  []*standin.Server
 
 	config  *meshconfig.Config
-	running map[int]bool // machines of nodes
+	running map[int]bool // machines whose real or hollow nodes run
 }
 
-// Run runs the events, and stops everything that it has started.
+// Run plays the events, stops all processes and servers that it started, and writes the report and the plot.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	l, err := plan(o)
 	if err != nil {
@@ -67,10 +67,10 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &run{layout: l, dir: dir, operatorClient: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), began: time.Now(), running: map[int]bool{}}
+	r := &run{layout: l, dir: dir, operatorClient: &operator.Client{}, pool: rpc.NewPool(ctx, rpc.PoolOptions{}), startedAt: time.Now(), running: map[int]bool{}}
 	r.report = &Report{
-		Command: o.Command, Began: r.began.UTC().Truncate(time.Second), Cores: runtime.NumCPU(), Nodes: o.Nodes, Real: o.Real,
-		Processes: l.processes(), Routes: o.Routes, Services: o.Services, Zones: o.Zones, Regions: o.Regions,
+		Command: o.Command, StartedAt: r.startedAt.UTC().Truncate(time.Second), Cores: runtime.NumCPU(), Nodes: o.Nodes, Real: o.Real,
+		Processes: l.processCount(), Routes: o.Routes, Services: o.Services, Zones: o.Zones, Regions: o.Regions,
 	}
 	var guard sync.WaitGroup
 	guard.Go(func() { r.guardMemory(ctx, fail) })
@@ -81,14 +81,14 @@
 	return r.report, r.finish(ctx, err)
 }
 
-// finish writes the report, also of a run that has ended early.
+// finish writes the report and the plot, also if the run ended early. Reaching the time limit is not an error.
 func (r *run) finish(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if err != nil && cause != nil && !errors.Is(cause, context.Canceled) {
 		err = cause
 	}
 	if err != nil && errors.Is(cause, context.DeadlineExceeded) {
-		r.report.Fault, err = fmt.Sprintf("the bound of %v was reached", r.Bound), nil
+		r.report.Fault, err = fmt.Sprintf("the time limit of %v was reached", r.Bound), nil
 	}
 	if errors.Is(cause, context.Canceled) && errors.Is(err, context.Canceled) {
 		err = errInterrupted
@@ -96,7 +96,7 @@
 	if err != nil {
 		r.report.Fault = err.Error()
 	}
-	r.report.Seconds = time.Since(r.began).Seconds()
+	r.report.Seconds = time.Since(r.startedAt).Seconds()
 	if r.report.Fault != "" {
 		r.logf("ended early: %s", r.report.Fault)
 	}
@@ -117,12 +117,12 @@
 }
 
 func (r *run) logf(format string, arguments ...any) {
-	fmt.Fprintf(r.Progress, "%6.1f s  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, arguments...))
+	fmt.Fprintf(r.Progress, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// guardMemory ends the run if it uses too much memory.
+// guardMemory cancels the run if its processes use more than maxMemory.
 func (r *run) guardMemory(ctx context.Context, fail context.CancelCauseFunc) {
-	tick := time.NewTicker(memoryEvery)
+	tick := time.NewTicker(memoryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -131,47 +131,48 @@
 			return
 		}
 		var sum int64
-		for _, c := range r.list() {
-			if resident, err := residentBytes(fmt.Sprintf("/proc/%d", c.command.Process.Pid)); err == nil {
+		for _, c := range r.childrenOf() {
+			if resident, err := residentBytes(fmt.Sprintf("/proc/%d", c.cmd.Process.Pid)); err == nil {
 				sum += resident
 			}
 		}
 		if sum > maxMemory {
-			fail(fmt.Errorf("%w: %.1f GB, of %.0f", errMemory, gigabytes(sum), gigabytes(maxMemory)))
+			fail(fmt.Errorf("%w: %.1f GB of %.0f GB", errMemory, gigabytes(sum), gigabytes(maxMemory)))
 			return
 		}
 	}
 }
 
-// samples samples processes. One that does not answer in time is left out.
+// samples samples the processes of the given roles, or all processes if no role is given. Processes that fail to respond
+// are logged and left out; an error is returned only if all fail.
 func (r *run) samples(ctx context.Context, roles ...role) (map[*child]sample, error) {
 	var mu sync.Mutex
 	all := map[*child]sample{}
-	var faults []error
-	var reading sync.WaitGroup
-	for _, c := range r.list(roles...) {
-		reading.Go(func() {
+	var errs []error
+	var sampling sync.WaitGroup
+	for _, c := range r.childrenOf(roles...) {
+		sampling.Go(func() {
 			s, err := c.sample(ctx)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				faults = append(faults, err)
+				errs = append(errs, err)
 				return
 			}
 			all[c] = s
 		})
 	}
-	reading.Wait()
-	for _, err := range faults {
-		r.logf("  not read: %v", err)
+	sampling.Wait()
+	for _, err := range errs {
+		r.logf("  sampling failed: %v", err)
 	}
-	if len(all) == 0 && len(faults) > 0 {
-		return nil, faults[0]
+	if len(all) == 0 && len(errs) > 0 {
+		return nil, errs[0]
 	}
 	return all, nil
 }
 
-// firstConfig is the configuration that a run begins with.
+// firstConfig returns the configuration that a run starts with.
 func (r *run) firstConfig() *meshconfig.Config {
 	c := &meshconfig.Config{Revision: 1}
 	for i := range r.Services {
@@ -186,8 +187,8 @@
 	return c
 }
 
-// apply sends the configuration to the quorum.
-func (r *run) apply(ctx context.Context, base uint64) error {
+// applyConfig sends the configuration to the quorum, as a change of revision base.
+func (r *run) applyConfig(ctx context.Context, base uint64) error {
 	body, err := msgpack.Marshal(r.config)
 	if err != nil {
 		return err
@@ -198,7 +199,7 @@
 
 // runEvents starts the mesh and runs the events.
 func (r *run) runEvents(ctx context.Context) error {
-	r.logf("%d nodes: %d real, %d hollow in %d processes, %d quorum members, on 127.%d.0.0/16", r.Nodes, r.Real, r.hollow(), r.processes(), quorumSize, r.network)
+	r.logf("%d nodes: %d real, %d hollow in %d processes, %d quorum members, on 127.%d.0.0/16", r.Nodes, r.Real, r.hollowCount(), r.processCount(), quorumSize, r.network)
 	for member := range quorumSize {
 		r.operatorClient.Addresses = append(r.operatorClient.Addresses, fmt.Sprintf("%s:%d", r.ip(member), r.ports.Control))
 	}
@@ -209,7 +210,7 @@
 		return err
 	}
 	r.config = r.firstConfig()
-	if err := r.firstApply(ctx); err != nil {
+	if err := r.applyFirstConfig(ctx); err != nil {
 		return err
 	}
 	r.logf("the quorum has a leader and a configuration of %d routes, %d bytes", r.Routes, r.report.ConfigBytes)
@@ -221,42 +222,42 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			r.report.Events = append(r.report.Events, EventReport{Name: e.name, NotRun: "the run was over"})
+			r.report.Events = append(r.report.Events, EventReport{Name: e.name, NotRun: "the run had ended"})
 			continue
 		}
-		if err := r.event(ctx, e); err != nil && ctx.Err() == nil {
+		if err := r.runEvent(ctx, e); err != nil && ctx.Err() == nil {
 			return fmt.Errorf("%s: %w", e.name, err)
 		} else if err != nil {
-			r.report.Events = append(r.report.Events, EventReport{Name: e.name, NotRun: "the run's end came in its midst"})
+			r.report.Events = append(r.report.Events, EventReport{Name: e.name, NotRun: "the run ended during the event"})
 		}
 	}
 	return ctx.Err()
 }
 
-// firstApply applies the first configuration, once there is a quorum.
-func (r *run) firstApply(ctx context.Context) error {
-	patience, cancel := context.WithTimeout(ctx, quorumWait)
+// applyFirstConfig applies the first configuration, and retries until there is a leader.
+func (r *run) applyFirstConfig(ctx context.Context) error {
+	waitCtx, cancel := context.WithTimeout(ctx, quorumTimeout)
 	defer cancel()
 	for {
-		err := r.apply(patience, 0)
+		err := r.applyConfig(waitCtx, 0)
 		if err == nil {
 			return nil
 		}
-		for _, c := range r.list(quorumRole) {
+		for _, c := range r.childrenOf(quorumRole) {
 			if err := c.exited(); err != nil {
 				return err
 			}
 		}
-		if patience.Err() != nil {
-			return fmt.Errorf("no configuration in force within %v: %w", quorumWait, err)
+		if waitCtx.Err() != nil {
+			return fmt.Errorf("applying the first configuration: not accepted within %v: %w", quorumTimeout, err)
 		}
-		timerpool.Sleep(patience, pollEvery)
+		timerpool.Sleep(waitCtx, pollInterval)
 	}
 }
 
-// fetch makes a call of the operator's interface at the leader.
+// fetch calls a path of the operator API at a quorum member.
 func (r *run) fetch(ctx context.Context, member int, path string) (Call, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s:%d%s", r.ip(member), r.ports.Control, path), nil)
 	if err != nil {
 		return Call{}, err
@@ -267,5 +268,5 @@
 	}
 	defer resp.Body.Close()
 	bytes, err := io.Copy(io.Discard, resp.Body)
-	return Call{Path: path, Ms: milliseconds(time.Since(began)), Bytes: int(bytes)}, err
+	return Call{Path: path, Ms: milliseconds(time.Since(startedAt)), Bytes: int(bytes)}, err
 }
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -23,22 +23,22 @@
 )
 
 const (
-	stateChanges = 101 // of each kind, whose median time is told
-	stateZones   = 12
-	stateRegions = 4
-	maxState     = 60_000
+	changeSamples = 101 // changes of each kind, of which the median is reported
+	stateZones    = 12
+	stateRegions  = 4
+	maxStateNodes = 60_000
 )
 
 // StateOptions are the options of MeasureState.
 type StateOptions struct {
-	Nodes            []int
+	Nodes            []int // sizes of the meshes
 	Services, Routes int
-	Report           string
-	Command          string
+	Report           string // file of the JSON report; empty for none
+	Command          string // command line, for the report
 	Progress         io.Writer
 }
 
-// StateReport is the memory and time that the state of a mesh takes at one node, without connections and runtime.
+// StateReport holds the memory and processing time of the state of a mesh at one node, without connections and runtime.
 type StateReport struct {
 	Command  string      `json:"command"`
 	Routes   int         `json:"routes"`
@@ -46,55 +46,55 @@
 	Sizes    []StateSize `json:"sizes"`
 }
 
-// StateSize is the state of a mesh of one size. Heap is the live heap after a collection.
+// StateSize holds the measurements for one mesh size. Heap sizes are of the live heap after a garbage collection.
 type StateSize struct {
 	Nodes         int     `json:"nodes"`
-	ConfigHeapMB  float64 `json:"config_heap_mb"`  // routes and services alone, with the tables of requests
-	ServersHeapMB float64 `json:"servers_heap_mb"` // the list of servers, the same
-	MembersHeapMB float64 `json:"members_heap_mb"` // the view of members
-	StateBytes    int     `json:"state_bytes"`     // of a first feed: configuration and list
-	MembersBytes  int     `json:"members_bytes"`   // of an answer with a whole view
+	ConfigHeapMB  float64 `json:"config_heap_mb"`  // routes and services, with their routing tables
+	ServersHeapMB float64 `json:"servers_heap_mb"` // registered servers, with their routing tables
+	MembersHeapMB float64 `json:"members_heap_mb"` // membership view
+	StateBytes    int     `json:"state_bytes"`     // size of a full feed: configuration and servers
+	MembersBytes  int     `json:"members_bytes"`   // size of a probe response with the full membership view
 	ServerChange  int     `json:"server_change_bytes"`
 	RouteChange   int     `json:"route_change_bytes"`
-	ServerMicros  float64 `json:"server_change_us"` // to take in a change of one server, median
-	RouteMicros   float64 `json:"route_change_us"`
-	MemberMicros  float64 `json:"member_change_us"` // to take in the death of a node of another zone
-	SourceHeapMB  float64 `json:"source_heap_mb"`   // of a quorum member's replicated state, for as many servers
-	AnswerMs      float64 `json:"answer_ms"`        // of processor time to make and encode an answer with a whole view
+	ServerMicros  float64 `json:"server_change_us"` // median time to apply a change of one server
+	RouteMicros   float64 `json:"route_change_us"`  // median time to apply a change of one route
+	MemberMicros  float64 `json:"member_change_us"` // median time to apply the death of a member in another zone
+	SourceHeapMB  float64 `json:"source_heap_mb"`   // replicated state of a quorum member
+	AnswerMs      float64 `json:"answer_ms"`        // time to build and encode a probe response with the full view
 }
 
-// nodeState is the state of one node, in the types of the real program.
+// nodeState is the state of one node, in the types that ivydeck-data uses.
 type nodeState struct {
-	hub      *relay.Hub
-	group    *membership.Memberlist
-	cluster  router.ClusterStateBuilder
-	outbound *proxy.Outbound
+	hub        *relay.Hub
+	memberlist *membership.Memberlist
+	cluster    router.ClusterStateBuilder
+	outbound   *proxy.Outbound
 }
 
-// liveHeap is the live heap after a collection, in bytes.
+// liveHeap returns the size of the live heap after a garbage collection, in bytes.
 func liveHeap() int64 {
 	runtime.GC()
-	runtime.GC() // finalizers, and pools
+	runtime.GC() // frees pooled objects and those with finalizers, which survive the first collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// MeasureState measures the state of one node in meshes of some sizes, and writes a report.
+// MeasureState measures the state of one node for each mesh size, and writes a report.
 func MeasureState(o StateOptions) (*StateReport, error) {
 	report := &StateReport{Command: o.Command, Routes: o.Routes, Services: o.Services}
 	for _, nodes := range o.Nodes {
-		if nodes < 2 || nodes > maxState || o.Services < 1 || o.Routes < 1 {
-			return nil, fmt.Errorf("scale: %d nodes, %d routes, %d services: 2 to %d nodes, and one of the others at least", nodes, o.Routes, o.Services, maxState)
+		if nodes < 2 || nodes > maxStateNodes || o.Services < 1 || o.Routes < 1 {
+			return nil, fmt.Errorf("scale: %d nodes, %d routes, %d services: must be 2 to %d nodes, and at least one route and one service", nodes, o.Routes, o.Services, maxStateNodes)
 		}
 		size, err := o.measure(nodes)
 		if err != nil {
 			return nil, fmt.Errorf("scale: %d nodes: %w", nodes, err)
 		}
 		report.Sizes = append(report.Sizes, *size)
-		fmt.Fprintf(o.Progress, "%6d nodes: heap of configuration %.1f MB, servers %.1f, members %.1f; quorum member's state %.1f; first feed %d bytes, whole view %d\n",
+		fmt.Fprintf(o.Progress, "%6d nodes: heap of configuration %.1f MB, servers %.1f, members %.1f; quorum member's state %.1f; full feed %d bytes, full view %d\n",
 			nodes, size.ConfigHeapMB, size.ServersHeapMB, size.MembersHeapMB, size.SourceHeapMB, size.StateBytes, size.MembersBytes)
-		fmt.Fprintf(o.Progress, "              a change of a server %d bytes, %.0f µs; of a route %d bytes, %.0f µs; of a member %.0f µs; a whole view %.1f ms\n",
+		fmt.Fprintf(o.Progress, "              change of a server %d bytes, %.0f µs; of a route %d bytes, %.0f µs; of a member %.0f µs; full view %.1f ms\n",
 			size.ServerChange, size.ServerMicros, size.RouteChange, size.RouteMicros, size.MemberMicros, size.AnswerMs)
 	}
 	if o.Report == "" {
@@ -110,7 +110,7 @@
 func (o *StateOptions) server(machine int) *wire.Server {
 	const network, port = 77, 30000
 	return &wire.Server{Member: serverName(machine), Service: serviceName(machine % o.Services), Node: nodeName(machine),
-		Address: fmt.Sprintf("%s:%d", address(network, machine), port), Zone: o.zone(machine), Slots: slots, ProtocolVersion: 1}
+		Address: fmt.Sprintf("%s:%d", address(network, machine), port), Zone: o.zone(machine), Slots: serverSlots, ProtocolVersion: 1}
 }
 
 func (o *StateOptions) member(machine int) *wire.Member {
@@ -122,8 +122,8 @@
 	return zoneName(machine%stateZones, stateZones, stateRegions)
 }
 
-// source is the replicated state of a mesh, as a quorum member holds it.
-func (o *StateOptions) source(nodes int) (*catalog.Catalog, error) {
+// buildSource builds the replicated state of a mesh as a quorum member holds it.
+func (o *StateOptions) buildSource(nodes int) (*catalog.Catalog, error) {
 	config := (&run{layout: &layout{Options: Options{Services: o.Services, Routes: o.Routes}}}).firstConfig()
 	body, err := msgpack.Marshal(config)
 	if err != nil {
@@ -141,14 +141,14 @@
 	return c, nil
 }
 
-// take applies an encoded feed, up to the routing tables.
-func (n *nodeState) take(data []byte) error {
+// applyFeed applies an encoded feed and updates the routing tables.
+func (n *nodeState) applyFeed(data []byte) error {
 	feed := new(wire.Feed)
 	if err := proto.Unmarshal(data, feed); err != nil {
 		return err
 	}
 	if !n.hub.Apply(feed.Changes) {
-		return errors.New("a difference does not begin where the node stands")
+		return errors.New("the changes of a feed do not follow the index of the node's state")
 	}
 	changes, config := n.hub.State(n.cluster.Index())
 	n.cluster.Apply(changes, config)
@@ -156,27 +156,27 @@
 	return nil
 }
 
-// takeMembers applies encoded updates of members.
-func (n *nodeState) takeMembers(now time.Duration, data []byte) error {
-	answer := new(wire.ProbeResponse)
-	if err := proto.Unmarshal(data, answer); err != nil {
+// applyMembers applies encoded membership updates and updates the routing tables.
+func (n *nodeState) applyMembers(now time.Duration, data []byte) error {
+	resp := new(wire.ProbeResponse)
+	if err := proto.Unmarshal(data, resp); err != nil {
 		return err
 	}
-	n.group.Merge(now, answer.Updates...)
-	n.cluster.SetMembers(n.group.Members(), func(node string) bool { return n.group.DeadFor(now, node) > 0 })
+	n.memberlist.Merge(now, resp.Updates...)
+	n.cluster.SetMembers(n.memberlist.Members(), func(node string) bool { return n.memberlist.DeadFor(now, node) > 0 })
 	n.outbound.Update(n.cluster.ClusterState())
 	return nil
 }
 
-// median returns the median of some times, in µs.
-func median(f func(i int) error) (float64, error) {
+// medianMicros runs f changeSamples times and returns the median duration in microseconds.
+func medianMicros(f func(i int) error) (float64, error) {
 	var all []float64
-	for i := range stateChanges {
-		began := time.Now()
+	for i := range changeSamples {
+		startedAt := time.Now()
 		if err := f(i); err != nil {
 			return 0, err
 		}
-		all = append(all, float64(time.Since(began).Nanoseconds())/1000)
+		all = append(all, float64(time.Since(startedAt).Nanoseconds())/1000)
 	}
 	slices.Sort(all)
 	return quantile(all, 0.5), nil
@@ -184,37 +184,37 @@
 
 // newNodeState returns a node with an empty state.
 func newNodeState(o *StateOptions) *nodeState {
-	n := &nodeState{hub: relay.NewHub(func() time.Duration { return 0 }), group: membership.New(o.member(0), 1, 0)}
+	n := &nodeState{hub: relay.NewHub(func() time.Duration { return 0 }), memberlist: membership.New(o.member(0), 1, 0)}
 	n.outbound = &proxy.Outbound{Node: nodeName(0), Zone: o.zone(0), Backend: serviceName(0), Ratio: 0.2, Window: 10 * time.Second,
 		Log: slog.New(slog.DiscardHandler), Graph: func(string, string) (inner, repeat bool) { return false, false }, CallFailed: func(string) {}}
 	n.outbound.Start(1)
 	return n
 }
 
-// measure builds the state of a mesh of some size, and a node's copy of it, step by step.
+// measure builds the state of a mesh and a node's copy of it, and measures the heap after each step.
 func (o *StateOptions) measure(nodes int) (*StateSize, error) {
 	size := &StateSize{Nodes: nodes}
-	begin := liveHeap()
-	source, err := o.source(nodes)
+	heapBefore := liveHeap()
+	source, err := o.buildSource(nodes)
 	if err != nil {
 		return nil, err
 	}
-	size.SourceHeapMB = megabytes(liveHeap() - begin)
-	first, err := o.firstFeeds(source, size)
+	size.SourceHeapMB = megabytes(liveHeap() - heapBefore)
+	feeds, err := o.firstFeeds(source, size)
 	if err != nil {
 		return nil, err
 	}
 	n := newNodeState(o)
-	for i, data := range first {
+	for i, data := range feeds {
 		before := liveHeap()
-		if err := n.take(data); err != nil {
+		if err := n.applyFeed(data); err != nil {
 			return nil, err
 		}
-		grown := megabytes(liveHeap() - before)
+		growth := megabytes(liveHeap() - before)
 		if i == 0 {
-			size.ConfigHeapMB = grown
+			size.ConfigHeapMB = growth
 		} else {
-			size.ServersHeapMB = grown
+			size.ServersHeapMB = growth
 		}
 	}
 	if err := o.measureMembers(n, size); err != nil {
@@ -223,8 +223,8 @@
 	return size, o.measureChanges(source, n, size)
 }
 
-// firstFeeds returns the first feeds of a node: the configuration, and then the registry as a difference. Together they
-// are the full state that a node gets in one feed.
+// firstFeeds splits the full state, which a new node gets in one feed, into a full feed of the configuration and a delta
+// feed of the servers. It records the size of the unsplit feed.
 func (o *StateOptions) firstFeeds(source *catalog.Catalog, size *StateSize) (feeds [][]byte, err error) {
 	full := source.FullChanges()
 	data, err := proto.Marshal(&wire.Feed{Changes: full})
@@ -251,7 +251,7 @@
 	return feeds, nil
 }
 
-// measureMembers gives a node the membership list, and measures single deaths.
+// measureMembers measures the full membership view at a node, and the deaths of single members.
 func (o *StateOptions) measureMembers(n *nodeState, size *StateSize) error {
 	all := &wire.ProbeResponse{}
 	for machine := 1; machine < size.Nodes; machine++ {
@@ -263,51 +263,51 @@
 	}
 	all = nil
 	before := liveHeap()
-	if err := n.takeMembers(0, data); err != nil {
+	if err := n.applyMembers(0, data); err != nil {
 		return err
 	}
 	size.MembersHeapMB = megabytes(liveHeap() - before)
-	began := time.Now()
-	answer, err := proto.Marshal(n.group.HandleProbe(&wire.ProbeRequest{FullView: true}))
+	startedAt := time.Now()
+	encoded, err := proto.Marshal(n.memberlist.HandleProbe(&wire.ProbeRequest{FullView: true}))
 	if err != nil {
 		return err
 	}
-	size.AnswerMs, size.MembersBytes = milliseconds(time.Since(began)), len(answer)
-	size.MemberMicros, err = median(func(i int) error {
-		dead := o.member(1 + (1+i*stateZones)%(size.Nodes-1)) // never of the node's own zone
+	size.AnswerMs, size.MembersBytes = milliseconds(time.Since(startedAt)), len(encoded)
+	size.MemberMicros, err = medianMicros(func(i int) error {
+		dead := o.member(1 + (1+i*stateZones)%(size.Nodes-1)) // in another zone than the node, unless the index wraps around
 		dead.State = wire.Member_DEAD
 		data, err := proto.Marshal(&wire.ProbeResponse{Updates: []*wire.Member{dead}})
 		if err != nil {
 			return err
 		}
-		return n.takeMembers(0, data)
+		return n.applyMembers(0, data)
 	})
 	return err
 }
 
-// measureChanges changes servers and routes one by one at the source, and applies each at the node.
+// measureChanges changes servers and routes one by one at the source, and measures the time to apply each at the node.
 func (o *StateOptions) measureChanges(source *catalog.Catalog, n *nodeState, size *StateSize) (err error) {
 	var feeds [][]byte
 	size.ServerChange, feeds, err = changeFeeds(source, func(i int) *wire.Command {
 		s := o.server(i % size.Nodes)
-		s.Draining = i/size.Nodes%2 == 0 // another value in each round
+		s.Draining = i/size.Nodes%2 == 0 // differs from the value in the previous round
 		return &wire.Command{Change: &wire.Command_Server{Server: s}}
 	})
 	if err != nil {
 		return err
 	}
-	if size.ServerMicros, err = median(func(i int) error { return n.take(feeds[i]) }); err != nil {
+	if size.ServerMicros, err = medianMicros(func(i int) error { return n.applyFeed(feeds[i]) }); err != nil {
 		return err
 	}
 	size.RouteChange, feeds, err = changeFeeds(source, func(i int) *wire.Command { return o.routeCommand(source, i) })
 	if err != nil {
 		return err
 	}
-	size.RouteMicros, err = median(func(i int) error { return n.take(feeds[i]) })
+	size.RouteMicros, err = medianMicros(func(i int) error { return n.applyFeed(feeds[i]) })
 	return err
 }
 
-// routeCommand changes one route of the configuration in force.
+// routeCommand returns a command that changes one route. It returns nil if the configuration can't be encoded.
 func (o *StateOptions) routeCommand(source *catalog.Catalog, i int) *wire.Command {
 	config := (&run{layout: &layout{Options: Options{Services: o.Services, Routes: o.Routes}}}).firstConfig()
 	config.Revision = source.Revision() + 1
@@ -319,16 +319,16 @@
 	return &wire.Command{Change: &wire.Command_Config{Config: &wire.PutConfig{Base: source.Revision(), Body: body}}}
 }
 
-// changeFeeds makes changes at the source, and returns their feeds, and the median of their bytes.
+// changeFeeds applies commands at the source. It returns the encoded feed of each and their median size.
 func changeFeeds(source *catalog.Catalog, command func(i int) *wire.Command) (bytes int, feeds [][]byte, err error) {
 	var lengths []float64
-	for i := range stateChanges {
+	for i := range changeSamples {
 		changes, err := source.Apply(command(i))
 		if err != nil {
 			return 0, nil, err
 		}
 		if changes == nil {
-			return 0, nil, errors.New("a change has changed nothing")
+			return 0, nil, errors.New("a command produced no changes")
 		}
 		data, err := proto.Marshal(&wire.Feed{Changes: changes})
 		if err != nil {
