--- a/internal/simulation/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -329,8 +329,8 @@
 	return sum, nil
 }
 
-// measureLoad measures the nodes' processor time per call, with Workers that make calls of one hop without pause. It subtracts the
-// idle processor time, measured before over a period of the same length.
+// measureLoad measures the nodes' processor time per call while Workers make calls of one hop without pause. It subtracts
+// the idle processor time, which it measures before over a period of the same length.
 func (c *hopBenchmark) measureLoad(ctx context.Context) (*LoadResult, error) {
 	measureProcessor := func(f func()) (processor, seconds float64, err error) {
 		before, err := c.nodeProcessorTime()
