--- a/internal/simulation/scale/process.go
+++ b/internal/simulation/scale/process.go
@@ -38,7 +38,7 @@
 type child struct {
 	name       string
 	role       role
-	machines   []int  // machines whose nodes it runs
+	machines   []int  // machines that it runs
 	logPath    string // path of its log file
 	cmd        *exec.Cmd
 	startedAt  time.Time
@@ -107,7 +107,7 @@
 	<-c.done
 }
 
-// exited returns an error with the end of the log if the process has exited. It always returns nil for a hollow process.
+// exited returns an error with the end of the log if the process has exited. For a hollow process it returns nil until kill.
 func (c *child) exited() error {
 	select {
 	case <-c.done:
