--- a/cmd/meshlab/check.go
+++ b/cmd/meshlab/check.go
@@ -37,16 +37,16 @@
 }
 
 // sets are the searches that are asked for.
-func (c *checkCmd) sets() []modelcheck.Set {
+func (c *checkCmd) sets() []modelcheck.SearchConfig {
 	if c.Terms > 0 {
-		return []modelcheck.Set{{Name: "own", Bounds: modelcheck.Bounds{
+		return []modelcheck.SearchConfig{{Name: "own", Bounds: modelcheck.Bounds{
 			Members: c.Members, Terms: c.Terms, Link: c.Link, Proposals: c.Proposals, Reads: c.Reads, Heartbeats: c.Heartbeats,
 			Crashes: c.Crashes, Wipes: c.Wipes, Changes: c.Changes, Snapshots: c.Snapshots, Transfers: c.Transfers,
-			Duplicates: c.Duplicates, Batch: c.Batch, Old: c.Old, Unordered: c.Unordered,
+			Duplicates: c.Duplicates, Batch: c.Batch, KeepStale: c.Old, Unordered: c.Unordered,
 		}}}
 	}
-	var list []modelcheck.Set
-	for _, set := range modelcheck.Named {
+	var list []modelcheck.SearchConfig
+	for _, set := range modelcheck.Searches {
 		if c.wanted(set.Name) {
 			list = append(list, set)
 		}
@@ -73,7 +73,7 @@
 		if !r.Complete {
 			extent = "not all"
 		}
-		fmt.Printf("%-18s %9d states (%s), %9d steps, %2d deep, %s\n", set.Name, r.States, extent, r.Steps, r.Depth, r.Took.Round(time.Millisecond))
+		fmt.Printf("%-18s %9d states (%s), %9d steps, %2d deep, %s\n", set.Name, r.States, extent, r.Steps, r.Depth, r.Elapsed.Round(time.Millisecond))
 		if r.Violation != "" {
 			fmt.Println("  " + strings.Join(r.Trace, "\n  "))
 			return fmt.Errorf("%s: after %d steps and %d states %s", set.Name, len(r.Trace), r.States, r.Violation)
@@ -92,7 +92,7 @@
 		opt.Limit = max(time.Nanosecond, c.Limit-time.Since(began))
 	}
 	r := modelcheck.Walks(opt)
-	fmt.Printf("%-18s %9d walks, %9d steps, %s\n", "walks", r.Walks, r.Steps, r.Took.Round(time.Millisecond))
+	fmt.Printf("%-18s %9d walks, %9d steps, %s\n", "walks", r.Walks, r.Steps, r.Elapsed.Round(time.Millisecond))
 	if r.Violation != "" {
 		fmt.Println("  " + strings.Join(r.Trace, "\n  "))
 		return fmt.Errorf("walks: after %d steps and %d walks, with seed %d, %s", len(r.Trace), r.Walks, r.Seed, r.Violation)
--- a/internal/simulation/modelcheck/directed.go
+++ b/internal/simulation/modelcheck/directed.go
@@ -1,8 +1,8 @@
 package modelcheck
 
-// directed are searches after a scenario. The scenario itself violates no property; the search looks for a violation after it.
-var directed = []Set{
-	// Figure 8 of the Raft paper: an entry of term 2 on one disk, a later one in its place on another.
+// directed are searches that start after a scenario. A scenario itself must not violate a property.
+var directed = []SearchConfig{
+	// Figure 8 of the Raft paper: an entry of term 2 on one disk conflicts with an entry of a later term on another.
 	{"figure-8", `
 		campaign 0
 		deliver 0 1 REQUEST_VOTE@2
@@ -22,7 +22,7 @@
 		deliver 1 0 REQUEST_VOTE_RESPONSE@4
 	`, Bounds{Members: 3, Terms: 5, Link: 1, Batch: 1, States: 400_000}},
 
-	// A leader of four members whose entry is committed, with votes still to come for others.
+	// Membership changes with four members: under a stable leader, and after an uncommitted change while elections continue.
 	{"members-of-four", `
 		campaign 0
 		deliver all
@@ -44,14 +44,14 @@
 		campaign 0
 	`, Bounds{Members: 4, Terms: 4, Link: 1, Changes: 1, States: 200_000}},
 
-	// A leader that all follow, for reads by it or by a later one.
+	// Reads by an established leader or by its successor.
 	{"reads-settled", `
 		campaign 0
 		deliver all
 	`, Bounds{Members: 3, Terms: 3, Link: 1, Proposals: 1, Reads: 1, States: 400_000}},
 
-	// The answers to a leader's rounds of contact are still in flight when it has restarted and leads again; a third member
-	// leads after it, unknown to it.
+	// Responses to a leader's heartbeats are still in flight after it has restarted and been re-elected. Meanwhile another
+	// member has been elected in a later term.
 	{"late-answers", `
 		campaign 0
 		deliver all
@@ -73,9 +73,9 @@
 		campaign 2
 		deliver 2 1 REQUEST_VOTE
 		deliver 1 2 REQUEST_VOTE_RESPONSE
-	`, Bounds{Members: 3, Terms: 4, Link: 4, Proposals: 1, Reads: 1, Old: true, Unordered: true, States: 400_000}},
+	`, Bounds{Members: 3, Terms: 4, Link: 4, Proposals: 1, Reads: 1, KeepStale: true, Unordered: true, States: 400_000}},
 
-	// A snapshot is in flight to a member that gets the entries another way meanwhile.
+	// A snapshot is in flight to a member that meanwhile receives the entries through AppendEntries.
 	{"late-snapshot", `
 		campaign 0
 		deliver all 0 1
@@ -83,7 +83,7 @@
 		deliver all 0 1
 	`, Bounds{Members: 3, Terms: 3, Link: 3, Proposals: 1, Snapshots: 2, Heartbeats: 1, Duplicates: 2, Unordered: true, States: 400_000}},
 
-	// A leadership transfer that was given up, while its message is still in flight.
+	// A leadership transfer was aborted while its TimeoutNow message is still in flight.
 	{"late-transfer", `
 		campaign 0
 		deliver all
--- a/internal/simulation/modelcheck/doc.go
+++ b/internal/simulation/modelcheck/doc.go
@@ -1,16 +1,17 @@
-// Package modelcheck is a model checker of Raft. It runs package raft's own code, with the driver (disk,
-// messages, state machine) modelled, and checks the properties of properties.go after each event.
+// Package modelcheck is a model checker for package raft. It runs the code of package raft on a model of the driver (disk,
+// messages, state machine), and checks the properties in properties.go after each event.
 //
-// Search explores all histories within some Bounds, breadth first: each message may arrive at any time or never, each
-// member may crash or lose its disk. It keeps a hash of each state that it has visited, so that it ends, and treats states that
-// differ by the members' names alone as one; the first violated property is reported with a shortest trace. A search may start
-// after a scenario, a script of events that leads to a state too deep to reach from the initial one.
+// Search explores all histories within the given Bounds, breadth first: a message may arrive at any time or never, and a
+// member may crash or lose its disk. It stores a hash of each visited state, and treats states that differ only in the
+// members' names as equal. It reports the first violated property with a shortest trace. A search may start after a
+// scenario, a script of events that leads to a state too deep to reach from the initial state.
 //
-// Walk explores one random history, much longer than a search can. Each seed draws how likely each kind of event is
-// (swarm testing), so that rare combinations occur.
+// Walks explores random histories, which are much longer than those of a search. Each seed draws the probability of each
+// kind of event (swarm testing), so that rare combinations occur.
 //
-// Links keep the newest few messages; older ones are lost, as any message may be. By default a link keeps its order;
-// Bounds.Unordered lets messages overtake each other, and Bounds.Duplicates lets them arrive again.
+// A link keeps only the newest messages, up to Bounds.Link. It delivers them in order, unless Bounds.Unordered is set.
+// Bounds.Duplicates allows it to deliver a message again.
 //
-// The package is called by meshlab check, and by the mutation testing through it. It touches no clock, disk or network.
+// The command meshlab check runs the model checker; mutation testing runs it through that command. The model uses no
+// clock, disk or network.
 package modelcheck
--- a/internal/simulation/modelcheck/driver.go
+++ b/internal/simulation/modelcheck/driver.go
@@ -9,46 +9,45 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// handleReady handles the Ready of a member as the driver does: disk first, then messages, then committed entries, then
-// reads.
+// handleReady processes the Ready of a member in the order of the driver: disk writes, messages, committed entries, reads.
 func (s *state) handleReady(n int, m *member) {
 	for m.node != nil {
-		o := m.node.Ready()
-		if o.Empty() {
+		ready := m.node.Ready()
+		if ready.Empty() {
 			return
 		}
-		if o.Snapshot != nil {
-			s.checkSnapshot(n, m, o.Snapshot)
-			m.snapshot, m.entries = o.Snapshot, nil
-			m.applied, m.digest = o.Snapshot.Index, decodeDigest(o.Snapshot.Data)
+		if ready.Snapshot != nil {
+			s.checkSnapshot(n, m, ready.Snapshot)
+			m.snapshot, m.entries = ready.Snapshot, nil
+			m.applied, m.digest = ready.Snapshot.Index, decodeDigest(ready.Snapshot.Data)
 		}
-		if o.HardState != nil {
-			s.checkVote(n, m.announced, o.HardState)
-			m.announced = o.HardState
+		if ready.HardState != nil {
+			s.checkVote(n, m.announced, ready.HardState)
+			m.announced = ready.HardState
 			if !s.bounds.LoseVotes {
-				m.hard = o.HardState
+				m.hardState = ready.HardState
 			}
 		}
-		for _, e := range o.Entries {
+		for _, e := range ready.Entries {
 			m.entries = append(m.entries[:e.Index-m.snapshot.GetIndex()-1], e)
 		}
-		if k := len(o.Entries); k > 0 {
-			m.node.StableTo(o.Entries[k-1].Index)
+		if count := len(ready.Entries); count > 0 {
+			m.node.StableTo(ready.Entries[count-1].Index)
 		}
-		for _, message := range o.Messages {
+		for _, message := range ready.Messages {
 			s.checkMessage(n, m, message)
 			s.send(message)
 		}
-		for _, e := range o.CommittedEntries {
+		for _, e := range ready.CommittedEntries {
 			s.applyEntry(n, m, e)
 		}
-		for _, r := range o.ReadStates {
+		for _, r := range ready.ReadStates {
 			s.checkRead(n, m, r)
 		}
 	}
 }
 
-// applyEntry applies a committed entry to the member's state machine, which is a digest of all entries.
+// applyEntry applies a committed entry to the member's state machine, which is a digest of the applied entries.
 func (s *state) applyEntry(n int, m *member, e *wire.Entry) {
 	if !s.checkApply(n, m, e) {
 		return
@@ -57,12 +56,12 @@
 	if term, ok := m.proposed[e.Index]; ok {
 		delete(m.proposed, e.Index)
 		if term == e.Term && e.Index > s.history.acked {
-			s.ownHistory().acked = e.Index
+			s.mutableHistory().acked = e.Index
 		}
 	}
 }
 
-// takeSnapshot compacts the member's log up to what it has applied.
+// takeSnapshot compacts the member's log up to its applied index.
 func (m *member) takeSnapshot() {
 	if snapshot := m.node.Compact(m.applied, encodeDigest(m.digest)); snapshot != nil {
 		m.entries = m.entries[snapshot.Index-m.snapshot.GetIndex():]
@@ -70,28 +69,28 @@
 	}
 }
 
-// send puts a message on its link. Where the link is full, the oldest is lost.
+// send appends a message to its link. If the link is full, the oldest message is lost.
 func (s *state) send(m *wire.RaftMessage) {
 	if m.To == 0 || memberOf(m.To) >= len(s.members) {
 		return
 	}
-	at := memberOf(m.From)*len(s.members) + memberOf(m.To)
-	link := append(slices.Clone(s.links[at]), m)
-	s.links[at] = link[max(0, len(link)-max(1, s.bounds.Link)):]
+	index := memberOf(m.From)*len(s.members) + memberOf(m.To)
+	link := append(slices.Clone(s.links[index]), m)
+	s.links[index] = link[max(0, len(link)-max(1, s.bounds.Link)):]
 }
 
-// sweep takes messages off their links that are for an earlier incarnation of a member's disk, or of a term before its
-// own: those could only inform their senders of the newer term, and count as lost.
-func (s *state) sweep(n int, m *member) {
+// dropStaleMessages drops messages to a member that are addressed to an earlier incarnation of its disk or have a lower term
+// than the member. The member's response to a lower term would only carry its own term, so the message counts as lost.
+func (s *state) dropStaleMessages(n int, m *member) {
 	if m.node == nil {
 		return
 	}
 	id, term := m.node.ID(), m.node.Term()
-	dead := func(q *wire.RaftMessage) bool { return q.To != id || q.Term < term && !s.bounds.Old }
+	stale := func(msg *wire.RaftMessage) bool { return msg.To != id || msg.Term < term && !s.bounds.KeepStale }
 	for from := range s.members {
-		at := from*len(s.members) + n
-		if slices.ContainsFunc(s.links[at], dead) {
-			s.links[at] = slices.DeleteFunc(slices.Clone(s.links[at]), dead)
+		index := from*len(s.members) + n
+		if slices.ContainsFunc(s.links[index], stale) {
+			s.links[index] = slices.DeleteFunc(slices.Clone(s.links[index]), stale)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -29,7 +29,7 @@
 	eventKinds // the number of kinds
 )
 
-// eventNames are the kinds as traces and scenarios write them.
+// eventNames are the names of the kinds in traces and scenarios.
 var eventNames = [eventKinds]string{
 	"deliver", "duplicate", "lose", "campaign", "heartbeat", "propose", "read", "transfer", "change", "snapshot", "crash", "wipe", "start",
 }
@@ -37,22 +37,22 @@
 // event is one transition of a state.
 type event struct {
 	kind        eventKind
-	member      int // where it happens
+	member      int // member at which the event occurs; for messages, the receiver
 	from        int // sender of the message
-	index       int // of the message on its link
+	index       int // position of the message on its link
 	messageKind wire.RaftMessage_Kind
-	term        uint64 // of the message
+	term        uint64 // term of the message
 	change      change
 }
 
-// change is a change of the members.
+// change is a membership change.
 type change struct {
-	kind   string // what becomes of the member: join, learner or voter
+	kind   string // join, or the new role of the member: learner or voter
 	member int
-	next   []*wire.Peer // all members after it
+	next   []*wire.Peer // membership after the change
 }
 
-// String is the event as a line of a trace, or of a scenario.
+// String formats the event as a line of a trace or scenario.
 func (e event) String() string {
 	switch e.kind {
 	case deliver, duplicate, lose:
@@ -80,15 +80,15 @@
 }
 
 func (s *state) messageEvents(list []event) []event {
-	for at, link := range s.links {
-		from, to := at/len(s.members), at%len(s.members)
+	for index, link := range s.links {
+		from, to := index/len(s.members), index%len(s.members)
 		down := s.members[to].node == nil
-		for place, m := range link {
-			if place > 0 && !s.bounds.Unordered {
+		for position, m := range link {
+			if position > 0 && !s.bounds.Unordered {
 				break
 			}
-			e := event{member: to, from: from, index: place, messageKind: m.Kind, term: m.Term}
-			if !s.bounds.Unordered && (len(link) > 1 || down) { // otherwise a lost message is as if it never arrived
+			e := event{member: to, from: from, index: position, messageKind: m.Kind, term: m.Term}
+			if !s.bounds.Unordered && (len(link) > 1 || down) { // otherwise a loss is equivalent to a message that never arrives
 				e.kind = lose
 				list = append(list, e)
 			}
@@ -124,10 +124,10 @@
 
 func (s *state) leaderEvents(list []event, n int, m *member) []event {
 	for _, e := range []struct {
-		kind eventKind
-		left int
+		kind      eventKind
+		remaining int
 	}{{heartbeat, s.bounds.Heartbeats}, {propose, s.bounds.Proposals}, {read, s.bounds.Reads}, {transfer, s.bounds.Transfers}} {
-		if e.left > 0 {
+		if e.remaining > 0 {
 			list = append(list, event{kind: e.kind, member: n})
 		}
 	}
@@ -137,8 +137,7 @@
 	return list
 }
 
-// mayLoseDisk reports whether the loss of a disk is one that Raft tolerates: all members run, under their first
-// identities, and are voters.
+// mayLoseDisk reports whether Raft tolerates the loss of a disk: all members run, have lost no disk before, and are voters.
 func (s *state) mayLoseDisk() bool {
 	for _, m := range s.members {
 		if m.incarnation > 0 || m.node == nil || raft.Voters(m.node.Peers()) < len(s.members) {
@@ -148,8 +147,8 @@
 	return true
 }
 
-// changes are the sets of members that a leader may propose: one voter less, one more, or a member that has lost
-// its disk as a new one.
+// changes returns the membership changes that a leader may propose: to demote or promote a member, or to add a running process
+// whose identity is not a member, such as one that has lost its disk.
 func (s *state) changes(n int, leader *raft.Node) []event {
 	var list []event
 	add := func(c change) {
@@ -172,8 +171,8 @@
 		if m.node == nil {
 			continue
 		}
-		if move, known := leader.JoinChange(&wire.Peer{Id: identity(i, m.incarnation), Address: strconv.Itoa(i)}); !known {
-			add(change{"join", i, move.Next})
+		if join, isMember := leader.JoinChange(&wire.Peer{Id: identity(i, m.incarnation), Address: strconv.Itoa(i)}); !isMember {
+			add(change{"join", i, join.Next})
 		}
 	}
 	return list
@@ -186,12 +185,12 @@
 	next.members[e.member] = m
 	next.perform(e, m)
 	next.handleReady(e.member, m)
-	next.sweep(e.member, m)
+	next.dropStaleMessages(e.member, m)
 	next.checkAfter(e.member, s.members[e.member])
 	return next
 }
 
-// perform executes an event at its member, which the state owns.
+// perform executes an event at its member m, which no other state may share.
 func (s *state) perform(e event, m *member) {
 	switch e.kind {
 	case deliver, duplicate, lose:
@@ -213,7 +212,7 @@
 		m.node.TransferLeadership(m.clock)
 	case changeMembers:
 		s.bounds.Changes--
-		// A proposal that the leader rejects changes nothing.
+		// The leader may reject the proposal, which changes nothing.
 		_ = m.node.ProposeMembership(m.clock, e.change.next)
 	case takeSnapshot:
 		s.bounds.Snapshots--
@@ -230,17 +229,17 @@
 }
 
 func (s *state) performMessage(e event, m *member) {
-	at := e.from*len(s.members) + e.member
-	message := s.links[at][e.index]
+	linkIndex := e.from*len(s.members) + e.member
+	message := s.links[linkIndex][e.index]
 	if e.kind == duplicate {
 		s.bounds.Duplicates--
 	} else {
-		s.links[at] = slices.Delete(slices.Clone(s.links[at]), e.index, e.index+1)
+		s.links[linkIndex] = slices.Delete(slices.Clone(s.links[linkIndex]), e.index, e.index+1)
 	}
 	if e.kind == lose {
 		return
 	}
-	if message.Kind == wire.RaftMessage_REQUEST_VOTE && !m.isLeader() { // a voter in contact with its leader does not answer, as if this were lost
+	if message.Kind == wire.RaftMessage_REQUEST_VOTE && !m.isLeader() { // a voter ignores the request while it is in contact with a leader
 		m.clock += leaderTimeout
 	}
 	m.node.Step(m.clock, message)
--- a/internal/simulation/modelcheck/key.go
+++ b/internal/simulation/modelcheck/key.go
@@ -12,12 +12,14 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// key is a hash of the state, equal for states that differ by the members' names only.
+// key returns a hash of the state, which is equal for states that differ only in the members' names. It sorts the members by an
+// encoding that does not contain names, and hashes the smallest encoding of the state over all permutations of members for
+// which that encoding is equal.
 func (s *state) key() uint64 {
 	n := len(s.members)
-	own := make([][]byte, n)
-	for i, m := range s.members { // as seen from itself, whatever the others are called
-		own[i] = m.append(nil, func(id uint64) uint64 {
+	local := make([][]byte, n)
+	for i, m := range s.members { // replaces the number of any other member by a constant
+		local[i] = m.append(nil, func(id uint64) uint64 {
 			switch {
 			case id == 0:
 				return 0
@@ -31,34 +33,34 @@
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return bytes.Compare(own[a], own[b]) })
-	best := []byte(nil)
-	permute(order, 0, func(a, b int) bool { return bytes.Equal(own[a], own[b]) }, func(order []int) {
-		if b := s.append(order); best == nil || bytes.Compare(b, best) < 0 {
-			best = b
+	slices.SortStableFunc(order, func(a, b int) int { return bytes.Compare(local[a], local[b]) })
+	smallest := []byte(nil)
+	permute(order, 0, func(a, b int) bool { return bytes.Equal(local[a], local[b]) }, func(order []int) {
+		if b := s.append(order); smallest == nil || bytes.Compare(b, smallest) < 0 {
+			smallest = b
 		}
 	})
-	return xxhash.Sum64(best)
+	return xxhash.Sum64(smallest)
 }
 
-// permute calls f with all orders that differ by places that are alike.
-func permute(order []int, from int, alike func(a, b int) bool, f func([]int)) {
+// permute calls f with each order that results from permuting equal elements of a sorted order.
+func permute(order []int, from int, equal func(a, b int) bool, f func([]int)) {
 	if from == len(order) {
 		f(order)
 		return
 	}
-	for i := from; i < len(order) && alike(order[from], order[i]); i++ {
+	for i := from; i < len(order) && equal(order[from], order[i]); i++ {
 		order[from], order[i] = order[i], order[from]
-		permute(order, from+1, alike, f)
+		permute(order, from+1, equal, f)
 		order[from], order[i] = order[i], order[from]
 	}
 }
 
-// append encodes the state with the members in an order.
+// append encodes the state with the members in the given order.
 func (s *state) append(order []int) []byte {
 	position := make([]uint64, len(order))
-	for at, n := range order {
-		position[n] = uint64(at)
+	for i, n := range order {
+		position[n] = uint64(i)
 	}
 	rename := func(id uint64) uint64 {
 		if id == 0 {
@@ -76,14 +78,15 @@
 		}
 	}
 	b = s.history.append(b, rename)
-	l := s.bounds
-	for _, left := range []int{l.Proposals, l.Reads, l.Heartbeats, l.Crashes, l.Wipes, l.Changes, l.Snapshots, l.Transfers, l.Duplicates} {
-		b = binary.AppendUvarint(b, uint64(left))
+	bounds := s.bounds
+	for _, remaining := range []int{bounds.Proposals, bounds.Reads, bounds.Heartbeats, bounds.Crashes,
+		bounds.Wipes, bounds.Changes, bounds.Snapshots, bounds.Transfers, bounds.Duplicates} {
+		b = binary.AppendUvarint(b, uint64(remaining))
 	}
 	return b
 }
 
-// appendLink encodes a link's messages, as a set where they may overtake each other.
+// appendLink encodes the messages of a link, sorted if the link may reorder them.
 func (s *state) appendLink(b []byte, link []*wire.RaftMessage, rename func(uint64) uint64) []byte {
 	b = binary.AppendUvarint(b, uint64(len(link)))
 	if !s.bounds.Unordered || len(link) < 2 {
@@ -107,21 +110,22 @@
 	}
 	for _, e := range h.committed {
 		b = binary.AppendUvarint(b, e.term)
-		b = binary.AppendUvarint(b, e.in)
+		b = binary.AppendUvarint(b, e.appliedTerm)
 		b = binary.AppendUvarint(b, uint64(len(e.data)))
 		b = append(b, e.data...)
 	}
 	return binary.AppendUvarint(b, h.acked)
 }
 
-// append encodes a member. A running one's disk has what it has in memory: each output is settled before the next event.
+// append encodes a member. For a running member the encoding omits the disk, which equals the state in memory: handleReady
+// processes all output before the next event.
 func (m *member) append(b []byte, rename func(uint64) uint64) []byte {
 	b = binary.AppendUvarint(b, m.incarnation)
 	if m.node != nil {
 		b = append(b, 1)
 		b = m.node.AppendFingerprint(b, rename)
-		for _, want := range m.readIndexes {
-			b = binary.AppendUvarint(b, want)
+		for _, index := range m.readIndexes {
+			b = binary.AppendUvarint(b, index)
 		}
 		for _, index := range slices.Sorted(maps.Keys(m.proposed)) {
 			b = binary.AppendUvarint(b, index)
@@ -130,8 +134,8 @@
 		return b
 	}
 	b = append(b, 0)
-	b = binary.AppendUvarint(b, m.hard.GetTerm())
-	b = binary.AppendUvarint(b, rename(m.hard.GetVote()))
+	b = binary.AppendUvarint(b, m.hardState.GetTerm())
+	b = binary.AppendUvarint(b, rename(m.hardState.GetVote()))
 	b = binary.AppendUvarint(b, m.snapshot.GetIndex())
 	for _, e := range m.entries {
 		b = raft.AppendEntry(b, e, rename)
--- a/internal/simulation/modelcheck/scenario.go
+++ b/internal/simulation/modelcheck/scenario.go
@@ -6,37 +6,39 @@
 	"strings"
 )
 
-// unlimited are the bounds within a scenario; those of its set apply after it.
+// unlimited is the bound for events of a scenario and of a random walk.
 const unlimited = 1 << 20
 
-// play returns the state where a set's search begins: after its scenario, or the initial one.
+// play returns the state in which a search starts: the state after its scenario, or the initial state if it has none.
 //
-// A scenario has an event a line, as traces print them ("deliver 0 1 REQUEST_VOTE@2"); the first that fits is taken, so that the
-// detail may be left out ("deliver 0 1"). "deliver all" delivers messages until none is in flight, and "deliver all 0 1"
-// messages in flight among these members; "lose all" loses all messages in flight, and "lose 0 1" what is between two members.
-func play(set Set) (*state, error) {
-	free := set.Bounds
-	free.Terms = unlimited
-	for _, budget := range []*int{
-		&free.Proposals, &free.Reads, &free.Heartbeats, &free.Crashes, &free.Wipes, &free.Changes, &free.Snapshots, &free.Transfers, &free.Duplicates,
+// A scenario contains one event per line in the format of a trace, such as "deliver 0 1 REQUEST_VOTE@2". A line may omit the
+// end of an event ("deliver 0 1"); it then selects the first possible event that matches. "deliver all" delivers messages
+// until none is in flight, and "deliver all 0 1" does so for messages among the named members. "lose all" drops all messages
+// in flight, and "lose 0 1" drops those from member 0 to member 1.
+func play(config SearchConfig) (*state, error) {
+	bounds := config.Bounds
+	bounds.Terms = unlimited
+	for _, remaining := range []*int{
+		&bounds.Proposals, &bounds.Reads, &bounds.Heartbeats, &bounds.Crashes,
+		&bounds.Wipes, &bounds.Changes, &bounds.Snapshots, &bounds.Transfers, &bounds.Duplicates,
 	} {
-		*budget = unlimited
+		*remaining = unlimited
 	}
-	s := newState(free)
-	for _, line := range strings.Split(set.Scenario, "\n") {
+	s := newState(bounds)
+	for _, line := range strings.Split(config.Scenario, "\n") {
 		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
 		next, err := s.replayLine(line)
 		if err != nil {
-			return nil, fmt.Errorf("modelcheck: scenario of %s: %w", set.Name, err)
+			return nil, fmt.Errorf("modelcheck: scenario of %s: %w", config.Name, err)
 		}
 		if next.violation != "" {
-			return nil, fmt.Errorf("modelcheck: scenario of %s: %q: %s", set.Name, line, next.violation)
+			return nil, fmt.Errorf("modelcheck: scenario of %s: %q: %s", config.Name, line, next.violation)
 		}
 		s = next
 	}
-	s.bounds = set.Bounds
+	s.bounds = config.Bounds
 	return s, nil
 }
 
@@ -55,32 +57,32 @@
 		}
 		possible = append(possible, text)
 	}
-	return nil, fmt.Errorf("%q can't happen; these can: %s", line, strings.Join(possible, ", "))
+	return nil, fmt.Errorf("event %q is not possible; possible events: %s", line, strings.Join(possible, ", "))
 }
 
-// loseAll takes the messages off all links ("all"), or off one ("0 1").
-func (s *state) loseAll(which string) (*state, error) {
+// loseAll drops the messages of all links ("all") or of one link ("0 1").
+func (s *state) loseAll(target string) (*state, error) {
 	next := *s
 	next.links = slices.Clone(s.links)
-	if which == "all" {
+	if target == "all" {
 		clear(next.links)
 		return &next, nil
 	}
 	var from, to int
-	if _, err := fmt.Sscan(which, &from, &to); err != nil || min(from, to) < 0 || max(from, to) >= len(s.members) {
-		return nil, fmt.Errorf("lose %q: neither all nor two members", which)
+	if _, err := fmt.Sscan(target, &from, &to); err != nil || min(from, to) < 0 || max(from, to) >= len(s.members) {
+		return nil, fmt.Errorf("lose %q: want \"all\" or two members", target)
 	}
 	next.links[from*len(s.members)+to] = nil
 	return &next, nil
 }
 
-// deliverAll delivers messages among some members, or among all, until none is in flight.
-func (s *state) deliverAll(among []string) *state {
-	wanted := func(n int) bool {
-		if len(among) == 0 {
+// deliverAll delivers messages among the named members until none is in flight. If members is empty, it includes all.
+func (s *state) deliverAll(members []string) *state {
+	included := func(n int) bool {
+		if len(members) == 0 {
 			return true
 		}
-		for _, name := range among {
+		for _, name := range members {
 			if name == fmt.Sprint(n) {
 				return true
 			}
@@ -90,7 +92,7 @@
 	for range 1000 {
 		var found *event
 		for _, e := range s.messageEvents(nil) {
-			if e.kind == deliver && wanted(e.from) && wanted(e.member) {
+			if e.kind == deliver && included(e.from) && included(e.member) {
 				found = &e
 				break
 			}
--- a/internal/simulation/modelcheck/search.go
+++ b/internal/simulation/modelcheck/search.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Search explores all states within a set's bounds, or stops at the first that violates a property. A scenario with
-// an event that is not possible, or that violates a property itself, is an error.
-func Search(set Set) (*Result, error) {
-	first, err := play(set)
+// Search explores all states within the bounds of a search, or stops at the first state that violates a property. It
+// returns an error if the scenario contains an event that is not possible or violates a property.
+func Search(config SearchConfig) (*Result, error) {
+	initial, err := play(config)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	q := &searcher{maxStates: set.States, visited: map[uint64]bool{first.key(): true}, visits: []visit{{parent: -1}}}
-	q.run(first)
-	q.result.States, q.result.Took = len(q.visited), time.Since(began)
+	startedAt := time.Now()
+	q := &searcher{maxStates: config.States, visited: map[uint64]bool{initial.key(): true}, visits: []visit{{parent: -1}}}
+	q.run(initial)
+	q.result.States, q.result.Elapsed = len(q.visited), time.Since(startedAt)
 	return &q.result, nil
 }
 
-// visit is how a state was reached first.
+// visit records how the search first reached a state.
 type visit struct {
-	parent int32
+	parent int32 // index of the preceding state's visit
 	event  event
 }
 
 // searcher is the state of a breadth-first search.
 type searcher struct {
-	maxStates int // 0: no bound
-	visited   map[uint64]bool
+	maxStates int             // zero means no limit
+	visited   map[uint64]bool // keys of the visited states
 	visits    []visit
 	result    Result
 }
@@ -38,14 +38,14 @@
 // full reports whether the maximum number of states has been visited.
 func (q *searcher) full() bool { return q.maxStates > 0 && len(q.visited) >= q.maxStates }
 
-// reached is a state of the level that is searched, with its place among the visits.
-type reached struct {
+// levelState is a state of one level of the search.
+type levelState struct {
 	state *state
-	visit int32
+	visit int32 // index of its visit
 }
 
-func (q *searcher) run(first *state) {
-	level := []reached{{first, 0}}
+func (q *searcher) run(initial *state) {
+	level := []levelState{{initial, 0}}
 	for len(level) > 0 {
 		next := q.level(level)
 		if q.result.Violation != "" {
@@ -64,8 +64,8 @@
 	q.result.Complete = true
 }
 
-// level returns the new successors of a level.
-func (q *searcher) level(level []reached) (next []reached) {
+// level returns the successors of a level that have not been visited.
+func (q *searcher) level(level []levelState) (next []levelState) {
 	for len(level) > 0 && !q.full() && q.result.Violation == "" {
 		batch := level[:min(len(level), maxBatch)]
 		level = level[len(batch):]
@@ -74,63 +74,63 @@
 	return next
 }
 
-// visit appends the new successors of a batch.
-func (q *searcher) visit(level, next []reached) []reached {
-	for i, successors := range expand(level) {
-		for _, f := range successors {
+// visit appends the successors of a batch that have not been visited to next.
+func (q *searcher) visit(batch, next []levelState) []levelState {
+	for i, successors := range expand(batch) {
+		for _, candidate := range successors {
 			q.result.Steps++
-			if q.visited[f.key] {
+			if q.visited[candidate.key] {
 				continue
 			}
-			q.visited[f.key] = true
-			q.visits = append(q.visits, visit{level[i].visit, f.event})
-			at := int32(len(q.visits) - 1)
-			if f.state.violation != "" {
-				q.result.Violation, q.result.Trace = f.state.violation, q.trace(at)
+			q.visited[candidate.key] = true
+			q.visits = append(q.visits, visit{batch[i].visit, candidate.event})
+			index := int32(len(q.visits) - 1)
+			if candidate.state.violation != "" {
+				q.result.Violation, q.result.Trace = candidate.state.violation, q.trace(index)
 				return nil
 			}
-			next = append(next, reached{f.state, at})
+			next = append(next, levelState{candidate.state, index})
 		}
-		level[i].state = nil
+		batch[i].state = nil // allows the state to be collected
 	}
 	return next
 }
 
 // trace returns the events that led to a visit.
-func (q *searcher) trace(at int32) (trace []string) {
-	for ; at > 0; at = q.visits[at].parent {
-		trace = append(trace, q.visits[at].event.String())
+func (q *searcher) trace(index int32) (trace []string) {
+	for ; index > 0; index = q.visits[index].parent {
+		trace = append(trace, q.visits[index].event.String())
 	}
 	slices.Reverse(trace)
 	return trace
 }
 
-// maxBatch bounds the states that are expanded at a time.
+// maxBatch is the maximum number of states that are expanded before their successors are deduplicated.
 const maxBatch = 20_000
 
-// successor is a state that follows another by one event.
+// successor is a state after one more event.
 type successor struct {
 	state *state
 	event event
 	key   uint64
 }
 
-// expand computes the successors of each state of a batch, on all processors. It returns them in the order of the batch,
-// so that searches repeat.
-func expand(level []reached) [][]successor {
-	successors := make([][]successor, len(level))
-	var running sync.WaitGroup
+// expand computes the successors of each state of a batch on all processors. It returns them in the order of the batch,
+// so that searches are deterministic.
+func expand(batch []levelState) [][]successor {
+	successors := make([][]successor, len(batch))
+	var wg sync.WaitGroup
 	workers := runtime.GOMAXPROCS(0)
-	share := (len(level) + workers - 1) / workers
-	for from := 0; from < len(level); from += share {
-		to := min(from+share, len(level))
-		running.Go(func() {
+	chunk := (len(batch) + workers - 1) / workers
+	for from := 0; from < len(batch); from += chunk {
+		to := min(from+chunk, len(batch))
+		wg.Go(func() {
 			for i := from; i < to; i++ {
-				successors[i] = level[i].state.successors()
+				successors[i] = batch[i].state.successors()
 			}
 		})
 	}
-	running.Wait()
+	wg.Wait()
 	return successors
 }
 
--- a/internal/simulation/modelcheck/walk.go
+++ b/internal/simulation/modelcheck/walk.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// WalkOptions are the options of Walks.
+// WalkOptions configures Walks.
 type WalkOptions struct {
 	Walks int
-	Seed  uint64        // the first of them
+	Seed  uint64        // seed of the first walk; each following walk increments it
 	Steps int           // maximum number of events in one walk
-	Limit time.Duration // no walk starts after it; 0: no bound
+	Limit time.Duration // time after which no walk starts; zero means no limit
 }
 
-// Walks explores random histories, on all processors. Each seed draws its own bounds, and how likely each kind of
-// event is. The result is that of the smallest seed that violates a property, if any does.
+// Walks explores random histories on all processors. Each seed draws its own bounds and the probability of each kind of event.
+// The result contains the violation of the smallest seed that was found.
 func Walks(opt WalkOptions) *Result {
-	began := time.Now()
+	startedAt := time.Now()
 	total := &Result{Complete: true}
 	var mu sync.Mutex
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	next := uint64(0)
-	take := func() (seed uint64, ok bool) {
+	nextSeed := func() (seed uint64, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		if next >= uint64(opt.Walks) || total.Violation != "" {
 			return 0, false
 		}
-		if opt.Limit > 0 && time.Since(began) > opt.Limit {
+		if opt.Limit > 0 && time.Since(startedAt) > opt.Limit {
 			total.Complete = false
 			return 0, false
 		}
@@ -37,9 +37,9 @@
 		return opt.Seed + next - 1, true
 	}
 	for range runtime.GOMAXPROCS(0) {
-		running.Go(func() {
+		wg.Go(func() {
 			for {
-				seed, ok := take()
+				seed, ok := nextSeed()
 				if !ok {
 					return
 				}
@@ -55,22 +55,22 @@
 			}
 		})
 	}
-	running.Wait()
-	total.Took = time.Since(began)
+	wg.Wait()
+	total.Elapsed = time.Since(startedAt)
 	return total
 }
 
-// drawBounds draws how many members there are, and what the network does.
+// drawBounds draws the number of members, the behaviour of the network, and which events may occur.
 func drawBounds(rng *rand.Rand) Bounds {
 	return Bounds{
 		Members: 3 + rng.IntN(3), Terms: unlimited, Link: 2 + rng.IntN(12), Batch: rng.IntN(3),
-		Unordered: rng.IntN(4) > 0, Old: rng.IntN(2) == 0,
+		Unordered: rng.IntN(4) > 0, KeepStale: rng.IntN(2) == 0,
 		Proposals: unlimited, Reads: unlimited, Heartbeats: unlimited, Crashes: unlimited, Wipes: rng.IntN(2), Changes: unlimited * rng.IntN(2),
 		Snapshots: unlimited, Transfers: unlimited, Duplicates: unlimited,
 	}
 }
 
-// drawWeights draws the probability of each kind of event: some never occur, some often. Messages mostly arrive.
+// drawWeights draws the weight of each kind of event. Some kinds never occur; message delivery is the most frequent kind.
 func drawWeights(rng *rand.Rand) (weights [eventKinds]float64) {
 	levels := []float64{0, 0.02, 0.1, 0.3, 1}
 	for kind := range weights {
@@ -90,7 +90,7 @@
 	s := newState(bounds)
 	r := &Result{Seed: seed}
 	for range steps {
-		e, ok := draw(rng, s, &weights)
+		e, ok := drawEvent(rng, s, &weights)
 		if !ok {
 			break
 		}
@@ -105,8 +105,9 @@
 	return r
 }
 
-// draw draws a kind of event by the weights of those that are possible, and then one of that kind.
-func draw(rng *rand.Rand, s *state, weights *[eventKinds]float64) (event, bool) {
+// drawEvent draws a kind by the weights of the possible kinds, and then one event of that kind. It returns false if no event
+// with a positive weight is possible.
+func drawEvent(rng *rand.Rand, s *state, weights *[eventKinds]float64) (event, bool) {
 	var byKind [eventKinds][]event
 	for _, e := range s.events() {
 		byKind[e.kind] = append(byKind[e.kind], e)
