--- a/cmd/ivydeck-control/main.go
+++ b/cmd/ivydeck-control/main.go
@@ -1,5 +1,5 @@
-// Command ivydeck-control is the mesh's control plane: the process on each core
-// machine, which together keep the configuration and the registry.
+// Command ivydeck-control runs a member of the control-plane quorum, which replicates the mesh's configuration and the registry of
+// servers.
 package main
 
 import (
--- a/cmd/ivydeck-data/main.go
+++ b/cmd/ivydeck-data/main.go
@@ -1,5 +1,4 @@
-// Command ivydeck-data is the mesh's data plane: the process on each sidecar
-// machine that carries the requests which begin there.
+// Command ivydeck-data runs the sidecar proxy of the mesh, which routes the requests that originate on its machine.
 package main
 
 import (
--- a/cmd/meshlab/demo.go
+++ b/cmd/meshlab/demo.go
@@ -10,9 +10,9 @@
 )
 
 type demoCmd struct {
-	Seconds  float64 `default:"12" help:"Of traffic."`
-	Rate     float64 `default:"300" help:"Requests a second."`
-	Programs string  `placeholder:"DIR" help:"Folder of ivydeck-data and ivydeck-control; this program's own where it is not given."`
+	Seconds  float64 `default:"12" help:"Duration of the traffic in seconds."`
+	Rate     float64 `default:"300" help:"Requests per second."`
+	Programs string  `placeholder:"DIR" help:"Folder of ivydeck-data and ivydeck-control; by default the folder of this program."`
 }
 
 func (c *demoCmd) Run(ctx context.Context) error {
--- a/cmd/meshlab/hops.go
+++ b/cmd/meshlab/hops.go
@@ -10,21 +10,21 @@
 )
 
 type hopsCmd struct {
-	Depth    int           `default:"10" help:"The longest chain of calls; all lengths from 1 on are measured."`
-	Requests int           `default:"1000" help:"Chains of each length, each way."`
-	Workers  int           `default:"16" help:"Callers of the load."`
-	Load     time.Duration `default:"5s" help:"Length of the load; 0: none."`
-	Bound    time.Duration `default:"150s" help:"The benchmark ends by then."`
-	Report   string        `type:"path" placeholder:"FILE" help:"Write the measurements here, as JSON."`
-	Programs string        `placeholder:"DIR" help:"Folder of ivydeck-data and ivydeck-control; this program's own where it is not given."`
+	Depth    int           `default:"10" help:"Maximum length of a chain of calls; all lengths from 1 are measured."`
+	Requests int           `default:"1000" help:"Number of chains of each length, with and without nodes."`
+	Workers  int           `default:"16" help:"Number of concurrent callers in the load phase."`
+	Load     time.Duration `default:"5s" help:"Duration of the load phase; 0 skips it."`
+	Bound    time.Duration `default:"150s" help:"Time limit of the benchmark."`
+	Report   string        `type:"path" placeholder:"FILE" help:"Write the measurements to this file as JSON."`
+	Programs string        `placeholder:"DIR" help:"Folder of ivydeck-data and ivydeck-control; by default the folder of this program."`
 }
 
-// Help explains the command.
+// Help returns the detailed help text.
 func (c *hopsCmd) Help() string {
-	return `Starts three ivydeck-control processes and an ivydeck-data process with a stand-in server for each hop, on loopback. A chain of N
-hops is a call whose server makes the next one, N deep. Chains are made in pairs, one through the nodes and one straight from server
-to server, in turn; the difference is what nodes add. Then callers make calls of one hop as fast as they can, for the
-processor time that a call costs the two nodes on its way.`
+	return `Starts three ivydeck-control processes and, for each hop, an ivydeck-data process with a test server, on loopback. In a chain of N
+hops each server calls the next one, up to N calls. Chains run in pairs, one through the nodes and one directly between the
+servers; the difference is the latency that nodes add. In the load phase, callers then make calls of one hop at the maximum rate,
+to measure the CPU time of a call in the two nodes on its path.`
 }
 
 func (c *hopsCmd) Run(ctx context.Context) error {
--- a/cmd/meshlab/main.go
+++ b/cmd/meshlab/main.go
@@ -1,4 +1,4 @@
-// Command meshlab simulates whole meshes in simulated time, and compares them.
+// Command meshlab simulates meshes, checks and compares the results, and runs benchmarks with real processes.
 package main
 
 import (
@@ -18,30 +18,30 @@
 type commands struct {
 	Version    kong.VersionFlag `help:"Print the version and exit."`
 	Run        runCmd           `cmd:"" help:"Run a scenario once."`
-	Sweep      sweepCmd         `cmd:"" help:"Run a scenario with some settings and many seeds."`
+	Sweep      sweepCmd         `cmd:"" help:"Run a scenario with several settings and many seeds."`
 	Compare    compareCmd       `cmd:"" help:"Compare two scenarios, paired by seed."`
-	Report     reportCmd        `cmd:"" help:"Write a page about the results in a folder."`
-	Check      checkCmd         `cmd:"" help:"Model-check the consensus: look at all histories within some bounds."`
-	Mutate     mutateCmd        `cmd:"" aliases:"planted" help:"Mutation testing: put bugs into the sources, one at a time, and see which check finds each (needs the Go tools)."`
-	Timeline   timelineCmd      `cmd:"" help:"Say how the last start of many machines went, step by step, out of their logs."`
-	Demo       demoCmd          `cmd:"" help:"Start a small mesh of real processes on loopback, and send it traffic."`
-	Scale      scaleCmd         `cmd:"" help:"Measure what a mesh of real and hollow nodes on loopback costs as it grows."`
-	ScaleFit   scaleFitCmd      `cmd:"" help:"Fit how figures of scale's reports grow, and carry that on to the target."`
-	ScaleState scaleStateCmd    `cmd:"" help:"Measure what one node holds of meshes of some sizes, and what single changes cost it."`
-	Hops       hopsCmd          `cmd:"" help:"Measure what nodes add to a call, by pairs of chains with and without them."`
-	Hollow     hollowCmd        `cmd:"" hidden:"" help:"Run hollow nodes for the command scale."`
+	Report     reportCmd        `cmd:"" help:"Write an HTML report on the results in a folder."`
+	Check      checkCmd         `cmd:"" help:"Model-check Raft: explore all histories within bounds, and random ones."`
+	Mutate     mutateCmd        `cmd:"" aliases:"planted" help:"Mutation testing: apply known bugs to the sources, one at a time, and report which checks find each (requires the go command)."`
+	Timeline   timelineCmd      `cmd:"" help:"Print the timeline of the last common start of many machines from their logs."`
+	Demo       demoCmd          `cmd:"" help:"Start a small mesh of real processes on loopback and send traffic through it."`
+	Scale      scaleCmd         `cmd:"" help:"Measure the resource use and propagation delays of a mesh of real and hollow nodes on loopback."`
+	ScaleFit   scaleFitCmd      `cmd:"" help:"Fit the growth of the measures in reports of scale, and extrapolate to the target size."`
+	ScaleState scaleStateCmd    `cmd:"" help:"Measure the memory of the replicated state and the cost of single changes for several mesh sizes."`
+	Hops       hopsCmd          `cmd:"" help:"Measure the latency that nodes add to a call, with pairs of call chains with and without nodes."`
+	Hollow     hollowCmd        `cmd:"" hidden:"" help:"Run hollow nodes for the scale command."`
 }
 
 type runCmd struct {
 	Scenario string   `arg:"" type:"existingfile"`
-	Seed     uint64   `default:"1" help:"Of the random numbers; the same seed runs the same."`
+	Seed     uint64   `default:"1" help:"Seed of the random number generator; a run is deterministic for a seed."`
 	Set      []string `placeholder:"KEY=VALUE" help:"Set a key of the scenario, such as nodes=30 or route.0.rate=90."`
-	Out      string   `placeholder:"DIR" help:"Keep the result here."`
+	Out      string   `placeholder:"DIR" help:"Save the result in this folder."`
 }
 
-// load reads a scenario and sets keys in it.
+// load reads a scenario and applies KEY=VALUE settings to it.
 func load(path string, set []string) (*lab.Scenario, error) {
-	w, err := lab.Load(path)
+	scenario, err := lab.Load(path)
 	if err != nil {
 		return nil, err
 	}
@@ -50,30 +50,30 @@
 		if !ok {
 			return nil, fmt.Errorf("%q is not KEY=VALUE", s)
 		}
-		if w, err = w.Vary(key, value); err != nil {
+		if scenario, err = scenario.Vary(key, value); err != nil {
 			return nil, fmt.Errorf("%s: %w", s, err)
 		}
 	}
-	return w, nil
+	return scenario, nil
 }
 
 func (c *runCmd) Run() error {
-	w, err := load(c.Scenario, c.Set)
+	scenario, err := load(c.Scenario, c.Set)
 	if err != nil {
 		return err
 	}
-	r := lab.Run(w, c.Seed)
-	fmt.Printf("%s, seed %d: worth %.4f of %d requests; %.3f refused, %.4f failed\n", r.Scenario, r.Seed, r.Total.Value, r.Total.Requests,
+	r := lab.Run(scenario, c.Seed)
+	fmt.Printf("%s, seed %d: worth %.4f, %d requests, fraction refused %.3f, fraction failed %.4f\n", r.Scenario, r.Seed, r.Total.Value, r.Total.Requests,
 		float64(r.Total.Refused)/float64(max(1, r.Total.Requests)), float64(r.Total.Failed)/float64(max(1, r.Total.Requests)))
-	for _, route := range w.Routes {
-		if x, ok := r.Routes[route.Name]; ok {
-			fmt.Printf("  %-16s worth %.4f, p50 %.1f ms, p99 %.1f ms, refused %d, failed %d\n", route.Name, x.Value, x.P50Ms, x.P99Ms, x.Refused, x.Failed)
+	for _, route := range scenario.Routes {
+		if result, ok := r.Routes[route.Name]; ok {
+			fmt.Printf("  %-16s worth %.4f, p50 %.1f ms, p99 %.1f ms, refused %d, failed %d\n", route.Name, result.Value, result.P50Ms, result.P99Ms, result.Refused, result.Failed)
 		}
 	}
-	fmt.Printf("  repeats %d, at most %.2f of the shared budget\n", r.Retries, r.RetryBudget)
-	fmt.Printf("  updates: p50 %.1f ms, p99 %.1f ms, at most %.1f ms, %d deep, %d parents left out of touch\n", r.LagP50Ms, r.LagP99Ms, r.LagMaxMs, r.Depth, r.StaleParents)
-	fmt.Printf("  changes: %d acknowledged, p50 %.1f ms, at most %.1f ms; %d elections, %.2f s without a leader; %d entries in the log\n", r.Acks, r.AckP50Ms, r.AckMaxMs, r.Elections, r.LeaderlessS, r.Entries)
-	fmt.Printf("  a node and second: %.1f probes, %.0f bytes of them, %.0f bytes of updates; the busiest machine sends %.0f bytes a second\n",
+	fmt.Printf("  retries: %d, highest use of the shared budget %.2f\n", r.Retries, r.RetryBudget)
+	fmt.Printf("  update lag: p50 %.1f ms, p99 %.1f ms, max %.1f ms; relay depth %d; %d stale parents replaced\n", r.LagP50Ms, r.LagP99Ms, r.LagMaxMs, r.Depth, r.StaleParents)
+	fmt.Printf("  changes: %d acknowledged, p50 %.1f ms, max %.1f ms; %d elections, %.2f s without a leader; %d log entries\n", r.Acks, r.AckP50Ms, r.AckMaxMs, r.Elections, r.LeaderlessS, r.Entries)
+	fmt.Printf("  per node and second: %.1f probes, %.0f bytes of probes, %.0f bytes of updates; the busiest machine sends %.0f bytes/s\n",
 		r.ProbesS, r.ProbeBytesS, r.FeedBytesS, r.BusiestBps)
 	fmt.Printf("  fingerprint %s\n", r.Fingerprint)
 	if c.Out != "" {
@@ -85,13 +85,13 @@
 		return nil
 	}
 	fmt.Println(strings.Join(r.RecentEvents, "\n"))
-	n := 0
-	small := lab.Shrink(w, func(x *lab.Scenario) (float64, bool) {
-		n++
-		r := lab.Run(x, c.Seed)
+	runs := 0
+	shrunk := lab.Shrink(scenario, func(candidate *lab.Scenario) (float64, bool) {
+		runs++
+		r := lab.Run(candidate, c.Seed)
 		return r.FirstViolationS, len(r.Violations) > 0
 	})
-	text, err := small.Text()
+	text, err := shrunk.Text()
 	if err != nil {
 		return err
 	}
@@ -99,17 +99,17 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		return err
 	}
-	return fmt.Errorf("broken with seed %d: %s (shrunk in %d runs to %.1f s and %d faults: %s)",
-		c.Seed, strings.Join(r.Violations, "; "), n, small.Seconds, len(small.Faults), file)
+	return fmt.Errorf("invariant violated with seed %d: %s (scenario shrunk in %d runs to %.1f s and %d faults: %s)",
+		c.Seed, strings.Join(r.Violations, "; "), runs, shrunk.Seconds, len(shrunk.Faults), file)
 }
 
 type sweepCmd struct {
 	Scenario string   `arg:"" type:"existingfile"`
-	Vary     string   `placeholder:"KEY=A,B,C" help:"Run once with each of these values."`
-	Set      []string `placeholder:"KEY=VALUE" help:"Set a key of the scenario in all runs."`
-	Seeds    int      `default:"20" help:"Runs of each value."`
-	Seed     uint64   `default:"1" help:"The first of them."`
-	Out      string   `placeholder:"DIR" help:"Keep the results here."`
+	Vary     string   `placeholder:"KEY=A,B,C" help:"Run the scenario with each of these values."`
+	Set      []string `placeholder:"KEY=VALUE" help:"Set a key of the scenario for all runs."`
+	Seeds    int      `default:"20" help:"Number of seeds for each value."`
+	Seed     uint64   `default:"1" help:"First seed; the following runs increment it."`
+	Out      string   `placeholder:"DIR" help:"Save the results in this folder."`
 }
 
 func runAll(jobs []lab.Job) []*lab.Result {
@@ -120,49 +120,49 @@
 	return results
 }
 
-func jobs(w *lab.Scenario, varied string, first uint64, n int) (list []lab.Job) {
+func jobs(scenario *lab.Scenario, varied string, first uint64, n int) (list []lab.Job) {
 	for i := range n {
-		list = append(list, lab.Job{Scenario: w, Seed: first + uint64(i), Varied: varied})
+		list = append(list, lab.Job{Scenario: scenario, Seed: first + uint64(i), Varied: varied})
 	}
 	return list
 }
 
-// violations returns the violated invariants of all results as an error.
+// violations returns an error that names the first violated invariant of each result, or nil if there is none.
 func violations(results []*lab.Result) error {
 	var errs []error
 	for _, r := range results {
 		if len(r.Violations) > 0 {
-			errs = append(errs, fmt.Errorf("%s %s broken with seed %d: %s", r.Scenario, r.Varied, r.Seed, r.Violations[0]))
+			errs = append(errs, fmt.Errorf("%s %s: invariant violated with seed %d: %s", r.Scenario, r.Varied, r.Seed, r.Violations[0]))
 		}
 	}
 	return errors.Join(errs...)
 }
 
 func (c *sweepCmd) Run() error {
-	w, err := load(c.Scenario, c.Set)
+	scenario, err := load(c.Scenario, c.Set)
 	if err != nil {
 		return err
 	}
 	var all []lab.Job
 	if c.Vary == "" {
-		all = jobs(w, "", c.Seed, c.Seeds)
+		all = jobs(scenario, "", c.Seed, c.Seeds)
 	} else {
 		key, values, ok := strings.Cut(c.Vary, "=")
 		if !ok {
 			return fmt.Errorf("--vary %q is not KEY=A,B,C", c.Vary)
 		}
 		for _, v := range strings.Split(values, ",") {
-			x, err := w.Vary(key, v)
+			variant, err := scenario.Vary(key, v)
 			if err != nil {
 				return err
 			}
-			all = append(all, jobs(x, key+"="+v, c.Seed, c.Seeds)...)
+			all = append(all, jobs(variant, key+"="+v, c.Seed, c.Seeds)...)
 		}
 	}
 	results := runAll(all)
 	fmt.Printf("%-24s", "")
-	for _, f := range lab.Metrics {
-		fmt.Printf(" %20s", f.Name)
+	for _, metric := range lab.Metrics {
+		fmt.Printf(" %20s", metric.Name)
 	}
 	fmt.Println()
 	for i := 0; i < len(results); i += c.Seeds {
@@ -171,12 +171,12 @@
 			name = results[i].Scenario
 		}
 		fmt.Printf("%-24s", name)
-		for _, f := range lab.Metrics {
-			var x []float64
+		for _, metric := range lab.Metrics {
+			var values []float64
 			for _, r := range results[i : i+c.Seeds] {
-				x = append(x, f.Of(r))
+				values = append(values, metric.Of(r))
 			}
-			fmt.Printf(" %20s", lab.Average(x))
+			fmt.Printf(" %20s", lab.Average(values))
 		}
 		fmt.Println()
 	}
@@ -191,9 +191,9 @@
 type compareCmd struct {
 	A     string   `arg:"" type:"existingfile"`
 	B     string   `arg:"" type:"existingfile"`
-	Set   []string `placeholder:"KEY=VALUE" help:"Set a key in B; A and B may be the same file."`
-	Seeds int      `default:"20" help:"Runs of each."`
-	Seed  uint64   `default:"1" help:"The first of them."`
+	Set   []string `placeholder:"KEY=VALUE" help:"Set a key of scenario B; A and B may be the same file."`
+	Seeds int      `default:"20" help:"Number of seeds for each scenario."`
+	Seed  uint64   `default:"1" help:"First seed; the following runs increment it."`
 }
 
 func (c *compareCmd) Run() error {
@@ -240,5 +240,5 @@
 }
 
 func main() {
-	program.Tool("meshlab", "Simulates ivydeck meshes, and measures real ones.", new(commands))
+	program.Tool("meshlab", "Simulates ivydeck meshes and measures real ones.", new(commands))
 }
--- a/cmd/meshlab/scale.go
+++ b/cmd/meshlab/scale.go
@@ -12,37 +12,37 @@
 )
 
 type scaleCmd struct {
-	Nodes      int           `default:"100" help:"Nodes in all, such as 300, 1000, 3000."`
-	Real       int           `default:"10" help:"Of them in ivydeck-data processes of their own, with a stand-in for a server each."`
-	PerProcess int           `help:"Hollow nodes that share a process; 0: as many as the limit of descriptors allows."`
-	Services   int           `default:"2000" help:"Services in the configuration."`
-	Routes     int           `default:"2000" help:"Routes in the configuration."`
-	Zones      int           `default:"12" help:"Zones of all regions together."`
-	Regions    int           `default:"4" help:"Regions; the last one is cut off in the event of that name."`
-	Port       int           `help:"First of six ports that all listen on, each on an address of its own; 0: any that are free."`
-	Quiet      time.Duration `default:"10s" help:"Length of the quiet event."`
-	Stream     time.Duration `default:"8s" help:"Length of each stream of changes."`
-	Cut        time.Duration `default:"8s" help:"How long a region is cut off."`
-	MinEvent   time.Duration `default:"3s" help:"Least length of an event, over which its figures are taken."`
-	Settle     time.Duration `default:"40s" help:"How long all nodes get to agree after an event."`
-	Bound      time.Duration `default:"170s" help:"The run ends by then; events that were not played are named as such."`
-	Events     []string      `placeholder:"NAME" help:"Play only these, behind the start: quiet, operator, change, stream-day, stream-10, restart, roll, loss, return, cut, cold."`
-	Report     string        `type:"path" placeholder:"FILE" help:"Write the measurements here, as JSON."`
-	Plot       string        `type:"path" placeholder:"FILE.png" help:"Draw here how changes spread."`
-	Programs   string        `placeholder:"DIR" help:"Folder of ivydeck-data and ivydeck-control; this program's own where it is not given."`
+	Nodes      int           `default:"100" help:"Total number of nodes, such as 300, 1000 or 3000."`
+	Real       int           `default:"10" help:"Number of nodes that run as ivydeck-data processes, each with a test server."`
+	PerProcess int           `help:"Number of hollow nodes per process; 0 selects the maximum that the limit of file descriptors allows."`
+	Services   int           `default:"2000" help:"Number of services in the configuration."`
+	Routes     int           `default:"2000" help:"Number of routes in the configuration."`
+	Zones      int           `default:"12" help:"Total number of zones in all regions."`
+	Regions    int           `default:"4" help:"Number of regions; the cut event disconnects the last one."`
+	Port       int           `help:"First of six consecutive ports on which each node listens, at its own address; 0 selects free ports."`
+	Quiet      time.Duration `default:"10s" help:"Duration of the quiet event."`
+	Stream     time.Duration `default:"8s" help:"Duration of each stream of changes."`
+	Cut        time.Duration `default:"8s" help:"Time for which a region is disconnected."`
+	MinEvent   time.Duration `default:"3s" help:"Minimum duration of an event, during which its measures are taken."`
+	Settle     time.Duration `default:"40s" help:"Maximum time for all nodes to converge after an event."`
+	Bound      time.Duration `default:"170s" help:"Time limit of the run; the report lists the events that did not run."`
+	Events     []string      `placeholder:"NAME" help:"Run only these events after the start: quiet, operator, change, stream-day, stream-10, restart, roll, loss, return, cut, cold."`
+	Report     string        `type:"path" placeholder:"FILE" help:"Write the measurements to this file as JSON."`
+	Plot       string        `type:"path" placeholder:"FILE.png" help:"Write a plot of the propagation of changes to this file."`
+	Programs   string        `placeholder:"DIR" help:"Folder of ivydeck-data and ivydeck-control; by default the folder of this program."`
 }
 
-// Help explains the command.
+// Help returns the detailed help text.
 func (c *scaleCmd) Help() string {
-	return `Starts three ivydeck-control processes, some ivydeck-data processes, and hollow nodes, of which many share a process. A hollow
-node runs a node's whole part in the control plane (membership, the relay tree, the configuration, the registration of a server)
-over loopback sockets of its own, and carries no requests. Then it plays events one after another, and measures for each what a
-node of every role costs a second (bytes, messages, processor time, memory, sockets, goroutines), how long a change of the
-configuration takes to the nodes, and how long it takes until all agree again.
+	return `Starts three ivydeck-control processes, some ivydeck-data processes, and hollow nodes, many of which share a process. A hollow
+node runs the control-plane functions of a node (membership, the relay tree, the configuration, the registration of a server)
+over its own loopback sockets, and carries no requests. The command then runs events one after another. For each it measures the
+resource use per second of a node of each role (bytes, messages, CPU time, memory, sockets, goroutines), the time until a change of
+the configuration reaches the nodes, and the time until all nodes have converged.
 
-All addresses are of one random network 127.N.0.0/16. The run takes at most 16 GB and 300 processes; it refuses sizes that would
-take more. It ends by itself, by --bound at the latest, and ends what it has started, also on an interrupt. Descriptors are bounded by
-the machine's own limit.
+All addresses are in one random network 127.N.0.0/16. A run uses at most 16 GB and 300 processes; sizes that need more are
+rejected. It ends by --bound at the latest, and stops all processes that it has started, also on an interrupt. The machine's
+limit bounds the number of file descriptors.
 
     meshlab scale --nodes 300 --report docs/capacity/300.json --plot /tmp/300.png
     meshlab scale --nodes 1000 --events quiet,change,loss
@@ -66,38 +66,38 @@
 	return err
 }
 
-// commandLine is the command as it was given, with files named without their folders.
+// commandLine returns the command line for reports, with absolute paths replaced by their base names.
 func commandLine(arguments []string) string {
 	words := []string{"meshlab"}
-	for _, a := range arguments {
-		if filepath.IsAbs(a) {
-			a = filepath.Base(a)
+	for _, argument := range arguments {
+		if filepath.IsAbs(argument) {
+			argument = filepath.Base(argument)
 		}
-		words = append(words, a)
+		words = append(words, argument)
 	}
 	return strings.Join(words, " ")
 }
 
 type hollowCmd struct{}
 
-// Run runs hollow nodes for the command scale.
+// Run runs hollow nodes, controlled by the scale command through standard input and output.
 func (c *hollowCmd) Run() error { return scale.RunHollow(os.Stdin, os.Stdout) }
 
 type scaleFitCmd struct {
-	Reports []string `arg:"" type:"existingfile" help:"Reports of meshlab scale, of several sizes."`
-	Event   []string `placeholder:"NAME" help:"Only these events."`
-	Role    []string `placeholder:"NAME" help:"Only these roles: leader, follower, real, hollow, all."`
-	Measure []string `placeholder:"TEXT" help:"Only measures whose names hold one of these."`
-	Budget  bool     `help:"Only measures that have a budget."`
-	Methods bool     `help:"Also the parts of single methods."`
-	Nodes   int      `default:"28000" help:"Carry the fits on to so many nodes."`
+	Reports []string `arg:"" type:"existingfile" help:"Reports of meshlab scale for several sizes."`
+	Event   []string `placeholder:"NAME" help:"Show only these events."`
+	Role    []string `placeholder:"NAME" help:"Show only these roles: leader, follower, real, hollow, all."`
+	Measure []string `placeholder:"TEXT" help:"Show only measures whose names contain one of these texts."`
+	Budget  bool     `help:"Show only measures that have a budget."`
+	Methods bool     `help:"Show also the measures of single RPC methods."`
+	Nodes   int      `default:"28000" help:"Number of nodes to which the fits are extrapolated."`
 }
 
-// Help explains the command.
+// Help returns the detailed help text.
 func (c *scaleFitCmd) Help() string {
-	return `Fits each figure twice over the sizes: by least squares of its logarithm over that of the number of nodes (the slope is the power
-with which it grows), and by a line. Intervals are of 95 %, by Student's t; two sizes have none. What the fits lead to at the target is
-not measured, and the verdict holds where both agree.`
+	return `Fits each measure over the number of nodes in two ways: with a power law (least squares of the logarithms; the slope is the
+exponent) and with a straight line. Confidence intervals are 95 %, by Student's t; with only two sizes there are none. Values at
+the target size are extrapolated, not measured. The verdict is valid only if both fits agree.`
 }
 
 func (c *scaleFitCmd) Run() error {
@@ -111,28 +111,28 @@
 	}
 	target := scale.UsersTarget
 	target.Nodes = c.Nodes
-	all := scale.SeriesOf(reports, target)
-	all = slices.DeleteFunc(all, func(s *scale.Series) bool {
+	series := scale.SeriesOf(reports, target)
+	series = slices.DeleteFunc(series, func(s *scale.Series) bool {
 		return len(c.Event) > 0 && !slices.Contains(c.Event, s.Event) || len(c.Role) > 0 && !slices.Contains(c.Role, s.Role) ||
 			len(c.Measure) > 0 && !slices.ContainsFunc(c.Measure, func(text string) bool { return strings.Contains(s.Measure, text) }) ||
 			c.Budget && s.Budget == 0 || s.Method && !c.Methods || slices.Max(s.Values) == 0
 	})
-	scale.WriteTable(os.Stdout, all, target)
+	scale.WriteTable(os.Stdout, series, target)
 	return nil
 }
 
 type scaleStateCmd struct {
-	Nodes    []int  `default:"100,1000,10000,28000" help:"Sizes of meshes."`
-	Services int    `default:"2000" help:"Services in the configuration."`
-	Routes   int    `default:"2000" help:"Routes in the configuration."`
-	Report   string `type:"path" placeholder:"FILE" help:"Write the measurements here, as JSON."`
+	Nodes    []int  `default:"100,1000,10000,28000" help:"Numbers of nodes to measure."`
+	Services int    `default:"2000" help:"Number of services in the configuration."`
+	Routes   int    `default:"2000" help:"Number of routes in the configuration."`
+	Report   string `type:"path" placeholder:"FILE" help:"Write the measurements to this file as JSON."`
 }
 
-// Help explains the command.
+// Help returns the detailed help text.
 func (c *scaleStateCmd) Help() string {
-	return `Builds the replicated state of a mesh, and one node's copy of it from what comes over the wire, in this process: the living heap
-of each part, the bytes of a first feed and of a whole view of the members, and the bytes and times of single changes. Connections, the
-runtime and garbage are not in it: see the command scale.`
+	return `Builds, in this process, the replicated state of a mesh and a node's copy of it from encoded messages. Measures the live heap of
+each part, the size of the first feed and of a full membership view, and the size and time of single changes. The measures
+exclude connections, the runtime and garbage; the scale command includes them.`
 }
 
 func (c *scaleStateCmd) Run() error {
--- a/cmd/meshlab/timeline.go
+++ b/cmd/meshlab/timeline.go
@@ -13,7 +13,7 @@
 )
 
 type timelineCmd struct {
-	Logs []string `arg:"" type:"existingfile" help:"Logs of the machines: one file each, or collected with the machine's name in front of each line."`
+	Logs []string `arg:"" type:"existingfile" help:"Logs of the machines: one file for each, or a combined file in which each line starts with the machine's name."`
 }
 
 func (c *timelineCmd) Run() error {
@@ -30,14 +30,14 @@
 		}
 		events = append(events, list...)
 	}
-	w, ok := timeline.Last(events)
+	wave, ok := timeline.Last(events)
 	if !ok {
-		return errors.New("no process has started in these logs")
+		return errors.New("the logs contain no process start")
 	}
-	fmt.Printf("the last start of many, from %s on\n", w.Began.Format(time.RFC3339Nano))
+	fmt.Printf("last common start, at %s\n", wave.Began.Format(time.RFC3339Nano))
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "step\tmachines\tfirst\tmedian\tlast\tslowest")
-	for _, s := range w.Steps {
+	for _, s := range wave.Steps {
 		fmt.Fprintf(out, "%s\t%d\t%v\t%v\t%v\t%s\n", s.Name, s.Machines, s.First.Round(time.Millisecond), s.Median.Round(time.Millisecond),
 			s.Last.Round(time.Millisecond), s.Slowest)
 	}
--- a/internal/simulation/mutation/mutation.go
+++ b/internal/simulation/mutation/mutation.go
@@ -1,6 +1,6 @@
-// Package mutation is mutation testing of the project's own checks. It applies known bugs (mutants) to the sources, one at a
-// time and in an overlay of the build only, and reports which checks fail: the model checker, the simulations and the tests.
-// A check that kills no mutant proves little. It is called by meshlab mutate; the mutants are in lab/mutations.toml.
+// Package mutation tests the project's checks by mutation testing. It applies known bugs (mutants) to the sources, one at a
+// time and only in a build overlay, and reports which checks fail: the model checker, the simulations and the tests. The
+// command meshlab mutate calls it; the mutants are in lab/mutations.toml.
 package mutation
 
 import (
@@ -15,73 +15,75 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Mutant is a change of one place in a source file.
+// Mutant replaces one piece of text in a source file.
 type Mutant struct {
 	Name string `toml:"name"`
 	File string `toml:"file"`
 	Old  string `toml:"old"` // occurs in the file exactly once
 	New  string `toml:"new"`
-	With string `toml:"with"` // name of another mutant that is applied as well: each alone is masked by the other
+	With string `toml:"with"` // name of a mutant that is applied together with this one, because the original code of each masks the other
 
-	Packages []string `toml:"packages"` // whose tests may kill it, beside those that always run
+	Packages []string `toml:"packages"` // packages whose tests run in addition to those that always run
 }
 
-// List is a file of mutants.
+// List is the content of a file of mutants.
 type List struct {
-	// SearchTests are the tests that explore many histories, random ones or all within bounds. All others are hand-made cases.
+	// SearchTests names the tests that explore many random histories or all histories within bounds. All other tests check
+	// single examples.
 	SearchTests []string `toml:"searches"`
 	Mutants     []Mutant `toml:"bug"`
 }
 
-// Load reads a list of mutants, and checks that each still applies to the sources under root.
+// Load reads a list of mutants and checks that each applies to the sources under root. If one does not, the error
+// says why, and the list is returned as well.
 func Load(path, root string) (*List, error) {
 	list := new(List)
 	meta, err := toml.DecodeFile(path, list)
 	if err != nil {
 		return nil, fmt.Errorf("mutation: %w", err)
 	}
-	var faults []error
+	var errs []error
 	for _, key := range meta.Undecoded() {
-		faults = append(faults, fmt.Errorf("mutation: %s: %s is no key", path, key))
+		errs = append(errs, fmt.Errorf("mutation: %s: unknown key %s", path, key))
 	}
-	for _, b := range list.Mutants {
-		faults = append(faults, b.check(root))
-		if b.With != "" && list.find(b.With) == nil {
-			faults = append(faults, fmt.Errorf("mutation: %s: no bug %q to go with it", b.Name, b.With))
+	for _, mutant := range list.Mutants {
+		errs = append(errs, mutant.check(root))
+		if mutant.With != "" && list.find(mutant.With) == nil {
+			errs = append(errs, fmt.Errorf("mutation: %s: with refers to unknown bug %q", mutant.Name, mutant.With))
 		}
 	}
 	if len(list.SearchTests) > 0 {
-		faults = append(faults, checkTests(list.SearchTests, root))
+		errs = append(errs, checkTests(list.SearchTests, root))
 	}
-	return list, errors.Join(faults...)
+	return list, errors.Join(errs...)
 }
 
-// find returns a mutant by its name; nil: there is none.
+// find returns the mutant with a name, or nil if there is none.
 func (l *List) find(name string) *Mutant {
-	i := slices.IndexFunc(l.Mutants, func(b Mutant) bool { return b.Name == name })
+	i := slices.IndexFunc(l.Mutants, func(m Mutant) bool { return m.Name == name })
 	if i < 0 {
 		return nil
 	}
 	return &l.Mutants[i]
 }
 
-// check reports an error unless the mutant applies.
-func (b *Mutant) check(root string) error {
-	text, err := os.ReadFile(filepath.Join(root, b.File))
+// check returns an error unless the mutant changes its file and the text that it replaces occurs exactly once.
+func (m *Mutant) check(root string) error {
+	text, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
-		return fmt.Errorf("mutation: %s: %w", b.Name, err)
+		return fmt.Errorf("mutation: %s: %w", m.Name, err)
 	}
-	if n := strings.Count(string(text), b.Old); n != 1 || b.Old == b.New {
-		return fmt.Errorf("mutation: %s: its place is in %s %d times, not once", b.Name, b.File, n)
+	if n := strings.Count(string(text), m.Old); n != 1 || m.Old == m.New {
+		return fmt.Errorf("mutation: %s: old must differ from new and occur once, but occurs in %s %d times", m.Name, m.File, n)
 	}
 	return nil
 }
 
 var testFunction = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 
-// checkTests reports an error unless there are tests of these names.
+// checkTests returns an error unless a test function exists for each name.
 func checkTests(names []string, root string) error {
-	known := map[string]bool{}
+	defined := map[string]bool{}
 	for _, pattern := range []string{"*_test.go", "*/*_test.go", "*/*/*_test.go", "*/*/*/*_test.go"} {
 		files, err := filepath.Glob(filepath.Join(root, pattern))
 		if err != nil {
@@ -93,15 +95,15 @@
 				return fmt.Errorf("mutation: %w", err)
 			}
 			for _, m := range testFunction.FindAllStringSubmatch(string(text), -1) {
-				known[m[1]] = true
+				defined[m[1]] = true
 			}
 		}
 	}
-	var faults []error
+	var errs []error
 	for _, name := range names {
-		if !known[name] {
-			faults = append(faults, fmt.Errorf("mutation: no test %s, which the list calls a search", name))
+		if !defined[name] {
+			errs = append(errs, fmt.Errorf("mutation: searches names unknown test %s", name))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/simulation/mutation/run.go
+++ b/internal/simulation/mutation/run.go
@@ -15,48 +15,48 @@
 	"sync"
 )
 
-// decisionPackages are those whose tests run for every mutant, beside those of the changed file's own package and those that the
-// mutant names. The tests of the I/O drivers take long and kill few more.
+// decisionPackages are the packages whose tests run for every mutant outside package raft, in addition to the changed file's
+// package and the packages that the mutant names. They exclude the I/O drivers, whose tests are slow and kill few more mutants.
 var decisionPackages = []string{
 	"./decide", "./internal/controlplane/catalog", "./internal/dataplane/router", "./internal/dataplane/localserver", "./internal/distribution/relay",
 	"./internal/cluster/membership", "./internal/dataplane/budget", "./internal/dataplane/health", "./internal/controlplane/store",
 }
 
-// Options say which mutants and checks run, and how long.
+// Options selects the mutants and checks, and limits the work of each check.
 type Options struct {
 	Root     string
-	Only     []string // parts of names; empty: all
-	Skip     []string // checks that are not run: model, simulation, lab, tests
-	States   int      // maximum of each search of the model checker
-	Walks    int      // random walks of the model checker
-	Seeds    int      // runs of the simulation of raft
-	Jobs     int      // mutants at a time
+	Only     []string // substrings of mutant names; if empty, all mutants run
+	Skip     []string // checks to skip: model, simulation, lab, tests
+	States   int      // maximum number of states in each search of the model checker
+	Walks    int      // number of random walks of the model checker
+	Seeds    int      // number of runs of the raft simulation; the lab makes a twentieth as many
+	Jobs     int      // number of mutants checked concurrently
 	Progress io.Writer
 }
 
 func (o *Options) skips(check string) bool { return slices.Contains(o.Skip, check) }
 
-// Result is which checks killed a mutant, and how. A check that did not has an empty string.
+// Result describes how each check killed a mutant. The text of a check that did not kill it is empty.
 type Result struct {
 	Mutant
-	Model       string // the model checker: a search or a random walk
-	Simulation  string // of raft, with disks, clients and operators
-	Lab         string // of whole meshes
-	SearchTests string // tests that explore many histories
-	Tests       string // tests of hand-made cases
+	Model       string // violation found by a search or random walk of the model checker
+	Simulation  string // failure of the raft simulation with disks, clients and operators
+	Lab         string // failure of the simulation of whole meshes
+	SearchTests string // failed tests that explore many histories
+	Tests       string // failed tests that check single examples
 
-	with        *Mutant
+	companion   *Mutant  // the mutant that With names, or nil
 	searchTests []string // names of the tests that explore many histories
 }
 
 // Killed reports whether any check has killed the mutant.
 func (r Result) Killed() bool { return r.KilledBySearch() || r.Tests != "" }
 
-// KilledBySearch reports whether a search or a simulation has killed the mutant, and not only a hand-made case.
+// KilledBySearch reports whether a search or a simulation has killed the mutant. Example tests do not count.
 func (r Result) KilledBySearch() bool { return r.Model+r.Simulation+r.Lab+r.SearchTests != "" }
 
-// Header is the header of a table of results.
-const Header = "| bug | model checker | simulation | lab | searching tests | hand-made tests |\n|---|---|---|---|---|---|"
+// Header is the Markdown header of a table of results; Result.String returns a row.
+const Header = "| bug | model checker | simulation | lab | search tests | example tests |\n|---|---|---|---|---|---|"
 
 func (r Result) String() string {
 	name := r.Name
@@ -73,49 +73,49 @@
 	return "| " + strings.Join(cells, " | ") + " |"
 }
 
-// Run runs the checks on one mutant after another, and returns a result for each, in order.
+// Run runs the checks on the selected mutants, opt.Jobs at a time, and returns the results in the order of the list.
 func Run(ctx context.Context, list *List, opt Options) ([]Result, error) {
 	var results []Result
-	for _, b := range list.Mutants {
-		wanted := len(opt.Only) == 0
+	for _, mutant := range list.Mutants {
+		selected := len(opt.Only) == 0
 		for _, part := range opt.Only {
-			wanted = wanted || strings.Contains(b.Name, part)
+			selected = selected || strings.Contains(mutant.Name, part)
 		}
-		if wanted {
-			results = append(results, Result{Mutant: b, with: list.find(b.With), searchTests: list.SearchTests})
+		if selected {
+			results = append(results, Result{Mutant: mutant, companion: list.find(mutant.With), searchTests: list.SearchTests})
 		}
 	}
-	slots := make(chan struct{}, max(1, opt.Jobs))
+	semaphore := make(chan struct{}, max(1, opt.Jobs))
 	errs := make([]error, len(results))
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range results {
-		slots <- struct{}{}
-		running.Go(func() {
-			defer func() { <-slots }()
+		semaphore <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-semaphore }()
 			errs[i] = results[i].run(ctx, opt)
 			if opt.Progress != nil {
 				fmt.Fprintln(opt.Progress, results[i])
 			}
 		})
 	}
-	running.Wait()
+	wg.Wait()
 	return results, errors.Join(errs...)
 }
 
-// build is a build of the sources with a mutant.
+// build holds the files of a build with a mutant.
 type build struct {
 	ctx     context.Context
 	root    string
-	overlay string
-	meshlab string
+	overlay string // path of the overlay file
+	meshlab string // path of the mutated program
 }
 
-// tool runs a command of the Go tool on the mutated sources.
-func (b *build) tool(args ...string) (output string, ok bool) {
+// runGo runs a go command on the mutated sources.
+func (b *build) runGo(args ...string) (output string, ok bool) {
 	return b.run("go", append([]string{args[0], "-overlay", b.overlay}, args[1:]...)...)
 }
 
-// run runs a program in the project's folder.
+// run runs a program in the root of the project.
 func (b *build) run(program string, args ...string) (output string, ok bool) {
 	cmd := exec.CommandContext(b.ctx, program, args...)
 	cmd.Dir = b.root
@@ -123,7 +123,7 @@
 	return string(combined), err == nil
 }
 
-// run runs the checks that can reach the mutant.
+// run builds the mutant and runs the checks that execute its code.
 func (r *Result) run(ctx context.Context, opt Options) error {
 	dir, err := os.MkdirTemp("", "mutation")
 	if err != nil {
@@ -134,22 +134,22 @@
 	if b.overlay, err = r.writeOverlay(dir, opt.Root); err != nil {
 		return err
 	}
-	if output, ok := b.tool("build", "-o", b.meshlab, "./cmd/meshlab"); !ok {
+	if output, ok := b.runGo("build", "-o", b.meshlab, "./cmd/meshlab"); !ok {
 		return fmt.Errorf("mutation: %s does not build:\n%s", r.Name, output)
 	}
-	consensus := strings.HasPrefix(r.File, "internal/controlplane/raft/")
-	state := strings.HasPrefix(r.File, "internal/controlplane/catalog/")
-	if consensus && !opt.skips("model") {
+	inRaft := strings.HasPrefix(r.File, "internal/controlplane/raft/")
+	inCatalog := strings.HasPrefix(r.File, "internal/controlplane/catalog/")
+	if inRaft && !opt.skips("model") {
 		r.runModelChecker(b, opt)
 	}
-	if (consensus || state) && !opt.skips("simulation") {
+	if (inRaft || inCatalog) && !opt.skips("simulation") {
 		r.runSimulation(b, opt)
 	}
-	if !consensus && !opt.skips("lab") { // raft has its own simulation above
+	if !inRaft && !opt.skips("lab") { // runSimulation covers raft
 		r.runLab(b, opt)
 	}
 	if !opt.skips("tests") {
-		r.runTests(b, consensus)
+		r.runTests(b, inRaft)
 	}
 	return ctx.Err()
 }
@@ -162,7 +162,7 @@
 }
 
 func (r *Result) runSimulation(b *build, opt Options) {
-	output, ok := b.tool("test", "./internal/controlplane/raft", "-run", "Linearizable", "-stop", "-seeds", strconv.Itoa(opt.Seeds))
+	output, ok := b.runGo("test", "./internal/controlplane/raft", "-run", "Linearizable", "-stop", "-seeds", strconv.Itoa(opt.Seeds))
 	if !ok {
 		r.Simulation = simulationVerdict(output)
 	}
@@ -175,48 +175,48 @@
 	}
 }
 
-func (r *Result) runTests(b *build, consensus bool) {
-	args := []string{"test", "-skip", "Linearizable"} // run above
-	if consensus {
+func (r *Result) runTests(b *build, inRaft bool) {
+	args := []string{"test", "-skip", "Linearizable"} // runSimulation runs these
+	if inRaft {
 		args = append(args, "./internal/controlplane/raft")
 	} else {
 		args = append(args, decisionPackages...)
-		for _, own := range append([]string{"./" + filepath.ToSlash(filepath.Dir(r.File))}, r.Packages...) {
-			if !slices.Contains(decisionPackages, own) {
-				args = append(args, own)
+		for _, pkg := range append([]string{"./" + filepath.ToSlash(filepath.Dir(r.File))}, r.Packages...) {
+			if !slices.Contains(decisionPackages, pkg) {
+				args = append(args, pkg)
 			}
 		}
 	}
-	if output, ok := b.tool(args...); !ok {
+	if output, ok := b.runGo(args...); !ok {
 		r.SearchTests, r.Tests = testVerdicts(output, r.searchTests)
 	}
 }
 
-// writeOverlay writes the mutated sources and an overlay file for the Go tool, and returns the path of that.
+// writeOverlay writes the mutated sources and an overlay file for the go command to dir, and returns the path of the overlay.
 func (r *Result) writeOverlay(dir, root string) (string, error) {
-	changed := map[string]string{} // text by file
-	bugs := []*Mutant{&r.Mutant}
-	if r.with != nil {
-		bugs = append(bugs, r.with)
+	contents := map[string]string{} // mutated text by source path
+	mutants := []*Mutant{&r.Mutant}
+	if r.companion != nil {
+		mutants = append(mutants, r.companion)
 	}
-	for _, b := range bugs {
-		real, err := filepath.Abs(filepath.Join(root, b.File))
+	for _, mutant := range mutants {
+		path, err := filepath.Abs(filepath.Join(root, mutant.File))
 		if err != nil {
 			return "", fmt.Errorf("mutation: %w", err)
 		}
-		if changed[real] == "" {
-			text, err := os.ReadFile(real)
+		if contents[path] == "" {
+			text, err := os.ReadFile(path)
 			if err != nil {
 				return "", fmt.Errorf("mutation: %w", err)
 			}
-			changed[real] = string(text)
+			contents[path] = string(text)
 		}
-		changed[real] = strings.Replace(changed[real], b.Old, b.New, 1)
+		contents[path] = strings.Replace(contents[path], mutant.Old, mutant.New, 1)
 	}
 	replace := map[string]string{}
-	for real, text := range changed {
-		replace[real] = filepath.Join(dir, fmt.Sprintf("changed%d.go", len(replace)))
-		if err := os.WriteFile(replace[real], []byte(text), 0o644); err != nil {
+	for path, text := range contents {
+		replace[path] = filepath.Join(dir, fmt.Sprintf("changed%d.go", len(replace)))
+		if err := os.WriteFile(replace[path], []byte(text), 0o644); err != nil {
 			return "", fmt.Errorf("mutation: %w", err)
 		}
 	}
@@ -224,9 +224,9 @@
 	if err != nil {
 		return "", fmt.Errorf("mutation: %w", err)
 	}
-	list := filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(list, data, 0o644); err != nil {
+	overlay := filepath.Join(dir, "overlay.json")
+	if err := os.WriteFile(overlay, data, 0o644); err != nil {
 		return "", fmt.Errorf("mutation: %w", err)
 	}
-	return list, nil
+	return overlay, nil
 }
