--- a/cmd/ivydeckctl/ca.go
+++ b/cmd/ivydeckctl/ca.go
@@ -8,12 +8,12 @@
 )
 
 type caFlags struct {
-	Dir string `help:"The authority's folder. It stays with whoever issues." default:"ca" type:"path"`
+	Dir string `help:"Folder of the authority, including its private key; do not distribute it." default:"ca" type:"path"`
 }
 
 type caInitCmd struct {
 	caFlags
-	Validity time.Duration `name:"life" help:"How long the authority is good for." default:"43800h"`
+	Validity time.Duration `name:"life" help:"Validity of the authority." default:"43800h"`
 }
 
 func (c *caInitCmd) Run() error {
@@ -21,16 +21,16 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: an authority for %v; give every process %s\n", c.Dir, c.Validity, a.Bundle())
+	fmt.Printf("%s: created an authority valid for %v; distribute %s to all processes\n", c.Dir, c.Validity, a.Bundle())
 	return nil
 }
 
 type caIssueCmd struct {
 	caFlags
-	Role      string        `arg:"" help:"core, node or operator." enum:"core,node,operator"`
-	Name      string        `arg:"" help:"The machine's node_name, or the operator's name."`
-	OutputDir string        `name:"out" help:"Folder for the two files." default:"." type:"path"`
-	Validity  time.Duration `name:"life" help:"How long the certificate is good for." default:"720h"`
+	Role      string        `arg:"" help:"Role: core, node or operator." enum:"core,node,operator"`
+	Name      string        `arg:"" help:"node_name of the machine, or name of the operator."`
+	OutputDir string        `name:"out" help:"Folder for the certificate and key files." default:"." type:"path"`
+	Validity  time.Duration `name:"life" help:"Validity of the certificate." default:"720h"`
 }
 
 func (c *caIssueCmd) Run() error {
@@ -48,7 +48,7 @@
 
 type caRotateCmd struct {
 	caFlags
-	Validity time.Duration `name:"life" help:"How long the new authority is good for." default:"43800h"`
+	Validity time.Duration `name:"life" help:"Validity of the new authority." default:"43800h"`
 }
 
 func (c *caRotateCmd) Run() error {
@@ -59,7 +59,7 @@
 	if err := a.Rotate(c.Validity); err != nil {
 		return err
 	}
-	fmt.Printf("%s trusts the new authority and the old one. Bring it to every process, then issue all certificates anew, then: ca retire\n", a.Bundle())
+	fmt.Printf("%s trusts the new authority and the old one. Distribute it to all processes, reissue all certificates, and then run ca retire.\n", a.Bundle())
 	return nil
 }
 
@@ -73,6 +73,6 @@
 	if err := a.Retire(); err != nil {
 		return err
 	}
-	fmt.Printf("%s trusts the present authority alone\n", a.Bundle())
+	fmt.Printf("%s trusts only the current authority\n", a.Bundle())
 	return nil
 }
--- a/cmd/ivydeckctl/config.go
+++ b/cmd/ivydeckctl/config.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: revision %d, %d routes, %d backends, no fault found\n", c.File, config.Revision, len(config.Routes), len(config.Backends))
+	fmt.Printf("%s: revision %d, %d routes, %d backends, no errors\n", c.File, config.Revision, len(config.Routes), len(config.Backends))
 	return nil
 }
 
@@ -47,7 +47,7 @@
 
 type readCmd struct {
 	quorumFlags
-	Output string `help:"json or table." enum:"json,table" default:"table"`
+	Output string `help:"Output format: json or table." enum:"json,table" default:"table"`
 }
 
 func (c *readCmd) Run(ctx context.Context) error {
@@ -65,6 +65,7 @@
 	return show(config, c.Output)
 }
 
+// show prints a configuration as indented JSON or as a table of its routes.
 func show(config *meshconfig.Config, output string) error {
 	if output == "json" {
 		enc := json.NewEncoder(os.Stdout)
@@ -73,11 +74,11 @@
 	}
 	fmt.Printf("revision %d\n%-32s %-15s %8s %8s %8s  %s\n", config.Revision, "place", "type", "priority", "aim ms", "limit ms", "to")
 	for _, r := range config.Routes {
-		to := []string{r.Backend}
+		targets := []string{r.Backend}
 		for _, w := range r.Backends {
-			to = append(to, fmt.Sprintf("%s:%g", w.Backend, w.Weight))
+			targets = append(targets, fmt.Sprintf("%s:%g", w.Backend, w.Weight))
 		}
-		fmt.Printf("%-32s %-15s %8d %8g %8g  %s\n", r.Host+r.Prefix, r.Kind, r.Priority, r.TargetLatencyMs, r.TimeoutMs, strings.Trim(strings.Join(to, " "), " "))
+		fmt.Printf("%-32s %-15s %8d %8g %8g  %s\n", r.Host+r.Prefix, r.Kind, r.Priority, r.TargetLatencyMs, r.TimeoutMs, strings.Trim(strings.Join(targets, " "), " "))
 	}
 	return nil
 }
@@ -85,7 +86,7 @@
 type applyCmd struct {
 	quorumFlags
 	File string `arg:"" type:"existingfile"`
-	Base int64  `help:"Revision that it builds on; the one in force where it is not given." default:"-1"`
+	Base int64  `help:"Revision on which the new configuration is based; by default the current revision." default:"-1"`
 }
 
 func (c *applyCmd) Run(ctx context.Context) error {
@@ -110,6 +111,6 @@
 	if err := quorum.Apply(ctx, base, body); err != nil {
 		return err
 	}
-	fmt.Printf("revision %d is in force\n", config.Revision)
+	fmt.Printf("applied revision %d\n", config.Revision)
 	return nil
 }
--- a/cmd/ivydeckctl/main.go
+++ b/cmd/ivydeckctl/main.go
@@ -1,4 +1,4 @@
-// Command ivydeckctl is the operator's tool of the mesh.
+// Command ivydeckctl inspects and configures a mesh, and manages quorum members, backups and certificates.
 package main
 
 import (
@@ -13,49 +13,49 @@
 	"ivydeck/internal/transport/identity"
 )
 
-// commands are the commands of the tool, as kong reads them.
+// commands is the command tree that kong parses.
 type commands struct {
 	Version kong.VersionFlag `help:"Print the version and exit."`
 	Config  struct {
-		Check checkCmd `cmd:"" help:"Say what is wrong with a configuration."`
-		Diff  diffCmd  `cmd:"" help:"List what differs between two configurations."`
-		Read  readCmd  `cmd:"" help:"Print the configuration in force."`
-		Apply applyCmd `cmd:"" help:"Send a configuration to the quorum."`
-	} `cmd:"" help:"Configurations: .toml, .yaml, .json, or MessagePack."`
-	Status  statusCmd  `cmd:"" help:"Print what quorum members say of themselves, their members and the servers."`
-	Members membersCmd `cmd:"" help:"Print the quorum members, as the leader knows them."`
+		Check checkCmd `cmd:"" help:"Validate a configuration and print all errors."`
+		Diff  diffCmd  `cmd:"" help:"List the differences between two configurations."`
+		Read  readCmd  `cmd:"" help:"Print the current configuration."`
+		Apply applyCmd `cmd:"" help:"Apply a configuration to the mesh."`
+	} `cmd:"" help:"Validate, compare, read and apply configurations (.toml, .yaml, .json or MessagePack)."`
+	Status  statusCmd  `cmd:"" help:"Print the status of quorum members, and the leader's view of the members and servers."`
+	Members membersCmd `cmd:"" help:"Print the quorum members, as reported by the leader."`
 	Member  struct {
-		Remove memberRemoveCmd `cmd:"" help:"Remove a member that is lost for good and has no replacement; rejected if the quorum needs it."`
-	} `cmd:"" help:"A single member of the quorum."`
-	Servers serversCmd `cmd:"" help:"Print the registered servers, as the leader knows them."`
-	Top     topCmd     `cmd:"" help:"Show what the nodes are doing, again and again."`
-	Trace   traceCmd   `cmd:"" help:"Print the path of a request through the mesh, and of the calls that it made."`
+		Remove memberRemoveCmd `cmd:"" help:"Remove a member that is lost permanently and has no replacement; rejected if the quorum needs it."`
+	} `cmd:"" help:"Manage a single quorum member."`
+	Servers serversCmd `cmd:"" help:"Print the registered servers, as reported by the leader."`
+	Top     topCmd     `cmd:"" help:"Print request rates, services, nodes and servers periodically."`
+	Trace   traceCmd   `cmd:"" help:"Print the path of a request and of its downstream calls through the mesh."`
 	Store   struct {
-		Inspect inspectCmd `cmd:"" help:"Print what the folder of a stopped quorum member holds; nothing is changed."`
-		Verify  verifyCmd  `cmd:"" help:"Check the folder of a stopped quorum member, entry by entry; nothing is changed."`
-		Backup  backupCmd  `cmd:"" help:"Write all that a running quorum has acknowledged to a file."`
-		Export  exportCmd  `cmd:"" help:"The same out of the folder of a stopped quorum member; nothing in it is changed."`
-		Show    showCmd    `cmd:"" help:"Print what a backup holds."`
-		Restore restoreCmd `cmd:"" help:"Make an empty folder the first member of a new quorum, out of a backup."`
-	} `cmd:"" help:"The disk of a quorum member, and backups."`
+		Inspect inspectCmd `cmd:"" help:"Print a summary of the data folder of a stopped quorum member, without changing it."`
+		Verify  verifyCmd  `cmd:"" help:"Verify each entry in the data folder of a stopped quorum member, without changing it."`
+		Backup  backupCmd  `cmd:"" help:"Write the acknowledged state of a running quorum to a file."`
+		Export  exportCmd  `cmd:"" help:"Write a backup from the data folder of a stopped quorum member, without changing it."`
+		Show    showCmd    `cmd:"" help:"Print the contents of a backup."`
+		Restore restoreCmd `cmd:"" help:"Initialize an empty data folder from a backup, as the first member of a new quorum."`
+	} `cmd:"" help:"Inspect the data folder of a quorum member, and manage backups."`
 	CA struct {
-		Init   caInitCmd   `cmd:"" help:"Make an authority: a key, its certificate, and a bundle for all processes."`
-		Issue  caIssueCmd  `cmd:"" help:"Make a key and a certificate for a machine or an operator."`
-		Rotate caRotateCmd `cmd:"" help:"Put another authority in its place; the bundle trusts both until ca retire."`
-		Retire caRetireCmd `cmd:"" help:"Trust the present authority alone."`
-	} `cmd:"" name:"ca" help:"A small authority for those who have none."`
-	Completion kongplete.InstallCompletions `cmd:"" help:"Print what to put into the shell's start file for completion."`
+		Init   caInitCmd   `cmd:"" help:"Create a certificate authority: a key, its certificate, and a trust bundle for all processes."`
+		Issue  caIssueCmd  `cmd:"" help:"Create a key and a certificate for a machine or an operator."`
+		Rotate caRotateCmd `cmd:"" help:"Replace the authority by a new one; the bundle trusts both until ca retire."`
+		Retire caRetireCmd `cmd:"" help:"Remove all authorities but the current one from the bundle."`
+	} `cmd:"" name:"ca" help:"A small certificate authority for installations that have none."`
+	Completion kongplete.InstallCompletions `cmd:"" help:"Print the line that enables completion, for the shell's startup file."`
 }
 
-// quorumFlags are the flags of all commands that call quorum members.
+// quorumFlags are the flags of all commands that connect to quorum members.
 type quorumFlags struct {
-	Quorum []string `help:"Addresses of quorum members." required:"" placeholder:"HOST:PORT" aliases:"core"` // --core is its former name
-	Cert   string   `help:"Certificate of an operator, where the quorum asks for one." type:"existingfile" group:"Identity" and:"identity"`
-	Key    string   `help:"Its private key." type:"existingfile" group:"Identity" and:"identity"`
-	Bundle string   `help:"The authorities that it trusts." type:"existingfile" group:"Identity" and:"identity"`
+	Quorum []string `help:"Addresses of quorum members." required:"" placeholder:"HOST:PORT" aliases:"core"` // --core is the former name of --quorum
+	Cert   string   `help:"Certificate of the operator, if the quorum requires one." type:"existingfile" group:"Identity" and:"identity"`
+	Key    string   `help:"Private key of the certificate." type:"existingfile" group:"Identity" and:"identity"`
+	Bundle string   `help:"Bundle of trusted certificate authorities." type:"existingfile" group:"Identity" and:"identity"`
 }
 
-// client returns a client of the quorum members, with the identity that the flags name.
+// client returns a client for the quorum members. If the flags name a certificate, the client authenticates with it.
 func (f *quorumFlags) client() (*operator.Client, error) {
 	client := &operator.Client{Addresses: f.Quorum}
 	if f.Cert == "" {
@@ -69,5 +69,5 @@
 }
 
 func main() {
-	program.Tool("ivydeckctl", "The operator's tool of the ivydeck mesh.", new(commands))
+	program.Tool("ivydeckctl", "Manages an ivydeck mesh.", new(commands))
 }
--- a/cmd/ivydeckctl/member.go
+++ b/cmd/ivydeckctl/member.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// memberRemoveCmd removes a quorum member that is lost for good.
+// memberRemoveCmd removes a quorum member that is lost permanently.
 type memberRemoveCmd struct {
 	quorumFlags
-	Identity string `arg:"" help:"Its identity, as members prints it."`
+	Identity string `arg:"" help:"Identity of the member, as printed by the members command."`
 }
 
 func (c *memberRemoveCmd) Run(ctx context.Context) error {
@@ -19,6 +19,6 @@
 	if err := quorum.RemoveMember(ctx, c.Identity); err != nil {
 		return err
 	}
-	fmt.Printf("%s is no member any longer\n", c.Identity)
+	fmt.Printf("removed member %s\n", c.Identity)
 	return nil
 }
--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -15,7 +15,7 @@
 
 type statusCmd struct {
 	quorumFlags
-	Output string `help:"json or table." enum:"json,table" default:"table"`
+	Output string `help:"Output format: json or table." enum:"json,table" default:"table"`
 }
 
 func (c *statusCmd) Run(ctx context.Context) error {
@@ -23,14 +23,14 @@
 	if err != nil {
 		return err
 	}
-	all, errs := quorum.Status(ctx)
+	statuses, errs := quorum.Status(ctx)
 	if c.Output == "json" {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
-		return errors.Join(append(errs, enc.Encode(all))...)
+		return errors.Join(append(errs, enc.Encode(statuses))...)
 	}
-	for _, s := range all {
-		fmt.Printf("%s: leads %v, leader %s, term %d, committed %d, revision %d\n", s.Node, s.IsLeader, s.Leader, s.Term, s.Commit, s.Revision)
+	for _, s := range statuses {
+		fmt.Printf("%s: is leader %v, leader %s, term %d, commit index %d, revision %d\n", s.Node, s.IsLeader, s.Leader, s.Term, s.Commit, s.Revision)
 		if !s.IsLeader {
 			continue
 		}
@@ -38,43 +38,43 @@
 			fmt.Printf("  member %s at %s, voter %v\n", m.Identity, m.Address, m.Voter)
 		}
 		for _, v := range s.Servers {
-			fmt.Printf("  server %s of %s on %s in %s, %d slots, draining %v\n", v.Member, v.Service, v.Node, v.Zone, v.Slots, v.Draining)
+			fmt.Printf("  server %s of service %s on node %s in zone %s, %d slots, draining %v\n", v.Member, v.Service, v.Node, v.Zone, v.Slots, v.Draining)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// leader returns what the leader says.
+// leader returns the status of the leader. It returns an error if none of the queried members is the leader.
 func (f *quorumFlags) leader(ctx context.Context) (server.Status, error) {
 	quorum, err := f.client()
 	if err != nil {
 		return server.Status{}, err
 	}
-	all, errs := quorum.Status(ctx)
-	for _, s := range all {
+	statuses, errs := quorum.Status(ctx)
+	for _, s := range statuses {
 		if s.IsLeader {
 			return s, nil
 		}
 	}
-	return server.Status{}, errors.Join(append(errs, errors.New("none of these machines is the leader"))...)
+	return server.Status{}, errors.Join(append(errs, errors.New("none of the queried quorum members is the leader"))...)
 }
 
-// table prints rows under a head, or the same as JSON.
-func table(output string, value any, head string, rows func(w io.Writer)) error {
+// table prints a header and rows, which rows writes as tab-separated cells, or value as indented JSON.
+func table(output string, value any, header string, rows func(w io.Writer)) error {
 	if output == "json" {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
 		return enc.Encode(value)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, head)
+	fmt.Fprintln(w, header)
 	rows(w)
 	return w.Flush()
 }
 
 type membersCmd struct {
 	quorumFlags
-	Output string `help:"json or table." enum:"json,table" default:"table"`
+	Output string `help:"Output format: json or table." enum:"json,table" default:"table"`
 }
 
 func (c *membersCmd) Run(ctx context.Context) error {
@@ -91,8 +91,8 @@
 
 type serversCmd struct {
 	quorumFlags
-	Service string `help:"Of this service alone."`
-	Output  string `help:"json or table." enum:"json,table" default:"table"`
+	Service string `help:"Print only servers of this service."`
+	Output  string `help:"Output format: json or table." enum:"json,table" default:"table"`
 }
 
 func (c *serversCmd) Run(ctx context.Context) error {
@@ -110,8 +110,8 @@
 
 type traceCmd struct {
 	quorumFlags
-	Attempt string `arg:"" help:"Its Attempt-Id."`
-	Output  string `help:"json or table." enum:"json,table" default:"table"`
+	Attempt string `arg:"" help:"Attempt-Id of the request."`
+	Output  string `help:"Output format: json or table." enum:"json,table" default:"table"`
 }
 
 func (c *traceCmd) Run(ctx context.Context) error {
@@ -119,24 +119,24 @@
 	if err != nil {
 		return err
 	}
-	t, err := quorum.Trace(ctx, c.Attempt)
+	trace, err := quorum.Trace(ctx, c.Attempt)
 	if err != nil {
 		return err
 	}
-	if t.Unresponsive > 0 {
-		fmt.Fprintf(os.Stderr, "%d of %d nodes did not answer\n", t.Unresponsive, t.Queried)
+	if trace.Unresponsive > 0 {
+		fmt.Fprintf(os.Stderr, "%d of %d nodes did not respond\n", trace.Unresponsive, trace.Queried)
 	}
-	if len(t.Parts) == 0 {
-		return fmt.Errorf("no node has kept anything of %s; trace.keep in their settings says how much they keep", c.Attempt)
+	if len(trace.Parts) == 0 {
+		return fmt.Errorf("no node holds a trace of request %s; the setting trace.keep limits how many traces a node keeps", c.Attempt)
 	}
-	first := t.Parts[0].AgoMs
-	return table(c.Output, t, "at ms\ttook ms\tnode\tattempt\twhat\tstatus\twhy", func(w io.Writer) {
-		for _, p := range t.Parts {
-			what := fmt.Sprintf("enters %s for %s, %d servers", p.Route, p.Service, p.Attempts)
+	first := trace.Parts[0].AgoMs
+	return table(c.Output, trace, "at ms\ttook ms\tnode\tattempt\twhat\tstatus\twhy", func(w io.Writer) {
+		for _, p := range trace.Parts {
+			role := fmt.Sprintf("enters by route %s for service %s, %d attempts", p.Route, p.Service, p.Attempts)
 			if !p.Entry {
-				what = fmt.Sprintf("runs at %s of %s", p.Server, p.Service)
+				role = fmt.Sprintf("runs on server %s of service %s", p.Server, p.Service)
 			}
-			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%d\t%s\n", first-p.AgoMs, p.TookMs, p.Node, p.Attempt, what, p.Status, p.Reason)
+			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%d\t%s\n", first-p.AgoMs, p.TookMs, p.Node, p.Attempt, role, p.Status, p.Reason)
 		}
 	})
 }
--- a/cmd/ivydeckctl/store.go
+++ b/cmd/ivydeckctl/store.go
@@ -11,7 +11,7 @@
 )
 
 type verifyCmd struct {
-	Dir string `arg:"" type:"existingdir" help:"The machine's data_dir."`
+	Dir string `arg:"" type:"existingdir" help:"data_dir of the machine."`
 }
 
 func (c *verifyCmd) Run() error {
@@ -22,19 +22,19 @@
 	state := catalog.New()
 	if s.Snapshot.GetIndex() > 0 {
 		if err := state.Restore(s.Snapshot.Data); err != nil {
-			return fmt.Errorf("the snapshot at %d: %w", s.Snapshot.Index, err)
+			return fmt.Errorf("restore snapshot at index %d: %w", s.Snapshot.Index, err)
 		}
 	}
 	if err := s.Verify(); err != nil {
 		return err
 	}
-	fmt.Printf("identity %016x: %d entries from %d to %d, none damaged; revision %d and %d servers at the snapshot\n",
+	fmt.Printf("identity %016x: verified %d entries from index %d to %d; the snapshot contains revision %d and %d servers\n",
 		s.ID, len(s.Entries), s.Snapshot.GetIndex()+1, s.Snapshot.GetIndex()+uint64(len(s.Entries)), state.Revision(), len(state.Servers()))
 	return nil
 }
 
 type inspectCmd struct {
-	Dir string `arg:"" type:"existingdir" help:"The machine's data_dir."`
+	Dir string `arg:"" type:"existingdir" help:"data_dir of the machine."`
 }
 
 func (c *inspectCmd) Run() error {
@@ -42,17 +42,17 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("identity %016x\nterm %d, vote %016x\nsnapshot at %d, %d bytes\nentries %d\n", s.ID, s.HardState.GetTerm(), s.HardState.GetVote(),
+	fmt.Printf("identity %016x\nterm %d, vote %016x\nsnapshot at index %d, %d bytes\nentries %d\n", s.ID, s.HardState.GetTerm(), s.HardState.GetVote(),
 		s.Snapshot.GetIndex(), len(s.Snapshot.GetData()), len(s.Entries))
 	for _, p := range s.Snapshot.GetPeers().GetPeers() {
-		fmt.Printf("member at the snapshot: %016x at %s, voter %v\n", p.Id, p.Address, p.Voter)
+		fmt.Printf("member in the snapshot: %016x at %s, voter %v\n", p.Id, p.Address, p.Voter)
 	}
 	return nil
 }
 
 type backupCmd struct {
 	quorumFlags
-	File string `arg:"" help:"It must not exist yet."`
+	File string `arg:"" help:"File to create; it must not exist."`
 }
 
 func (c *backupCmd) Run(ctx context.Context) error {
@@ -72,25 +72,25 @@
 }
 
 type exportCmd struct {
-	Dir  string `arg:"" type:"existingdir" help:"The machine's data_dir."`
-	File string `arg:"" help:"It must not exist yet."`
+	Dir  string `arg:"" type:"existingdir" help:"data_dir of the machine."`
+	File string `arg:"" help:"File to create; it must not exist."`
 }
 
 func (c *exportCmd) Run() error {
-	b, beyond, err := backup.OfStore(c.Dir)
+	b, uncommitted, err := backup.OfStore(c.Dir)
 	if err != nil {
 		return err
 	}
 	if err := b.Save(c.File); err != nil {
 		return err
 	}
-	fmt.Printf("%s: %s; the last %d changes are on this disk, and may not have been acknowledged\n", c.File, b.Summary(), beyond)
+	fmt.Printf("%s: %s; the last %d changes may not have been acknowledged\n", c.File, b.Summary(), uncommitted)
 	return nil
 }
 
 type showCmd struct {
 	File   string `arg:"" type:"existingfile"`
-	Output string `help:"json or table, of its configuration." enum:"json,table" default:"table"`
+	Output string `help:"Output format of the configuration: json or table." enum:"json,table" default:"table"`
 }
 
 func (c *showCmd) Run() error {
@@ -108,12 +108,12 @@
 }
 
 type restoreCmd struct {
-	File     string `arg:"" type:"existingfile" help:"A backup."`
-	Dir      string `arg:"" help:"The machine's data_dir, empty or not there yet."`
-	Internal string `required:"" placeholder:"HOST:PORT" help:"Where the machine listens to nodes: its ip_address and the first of its internal_ports."`
-	Control  string `required:"" placeholder:"HOST:PORT" help:"Its listeners.control_plane."`
-	Was      string `type:"existingdir" placeholder:"DIR" help:"A folder that is left of the old core: say what of it the backup lacks, and stop there unless --lose is given."`
-	Lose     bool   `help:"Go on although changes are lost."`
+	File     string `arg:"" type:"existingfile" help:"Backup to restore."`
+	Dir      string `arg:"" help:"data_dir of the machine; it must be empty or not exist."`
+	Internal string `required:"" placeholder:"HOST:PORT" help:"Address of the machine's internal listener: its ip_address and the first of its internal_ports."`
+	Control  string `required:"" placeholder:"HOST:PORT" help:"listeners.control_plane of the machine."`
+	Was      string `type:"existingdir" placeholder:"DIR" help:"Data folder of a member of the old quorum. If it holds changes that the backup lacks, the command reports them and fails, unless --lose is set."`
+	Lose     bool   `help:"Restore even if changes are lost."`
 }
 
 func (c *restoreCmd) Run() error {
@@ -127,14 +127,14 @@
 			return err
 		}
 		if loss != "" && !c.Lose {
-			return fmt.Errorf("%s; give --lose to go on, or export that folder instead", loss)
+			return fmt.Errorf("%s; use --lose to restore anyway, or export that folder instead", loss)
 		}
 	}
 	if err := b.Restore(c.Dir, c.Internal, c.Control, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))); err != nil {
 		return err
 	}
-	fmt.Printf("%s holds %s, as the one machine of a new core.\n", c.Dir, b.Summary())
-	fmt.Println("Start it with bootstrap=false, then the others with empty folders, bootstrap=false and this one among their seeds.")
-	fmt.Println("No machine of the old core may start with its old folder: it would be a second core.")
+	fmt.Printf("%s: restored %s, as the only member of a new quorum.\n", c.Dir, b.Summary())
+	fmt.Println("Start this machine with bootstrap=false, then the others with empty folders, bootstrap=false and this machine among their seeds.")
+	fmt.Println("Do not start a machine of the old quorum with its old folder: it would form a second quorum.")
 	return nil
 }
--- a/cmd/ivydeckctl/top.go
+++ b/cmd/ivydeckctl/top.go
@@ -18,10 +18,10 @@
 
 type topCmd struct {
 	quorumFlags
-	Every time.Duration `help:"Between two reports." default:"2s"`
-	Times int           `help:"Reports; 0: until interrupted." default:"0"`
-	Rows  int           `help:"Nodes, and servers, that are shown at most: the worst." default:"15"`
-	JSON  bool          `help:"Each report as a line of JSON, with counts in the place of rates."`
+	Every time.Duration `help:"Interval between reports." default:"2s"`
+	Times int           `help:"Number of reports; 0 prints reports until interrupted." default:"0"`
+	Rows  int           `help:"Maximum number of nodes and of servers to show, worst first." default:"15"`
+	JSON  bool          `help:"Print each report as a line of JSON, with counts instead of rates."`
 }
 
 func (c *topCmd) Run(ctx context.Context) error {
@@ -29,8 +29,8 @@
 	if err != nil {
 		return err
 	}
-	var before server.NodeReports
-	var at time.Time
+	var previous server.NodeReports
+	var previousAt time.Time
 	for i := 0; c.Times == 0 || i < c.Times; i++ {
 		if i > 0 {
 			select {
@@ -39,86 +39,87 @@
 				return nil
 			}
 		}
-		now, err := quorum.Nodes(ctx)
+		current, err := quorum.Nodes(ctx)
 		switch {
 		case ctx.Err() != nil:
 			return nil
 		case err != nil:
 			return err
 		case c.JSON:
-			if err := json.NewEncoder(os.Stdout).Encode(now); err != nil {
+			if err := json.NewEncoder(os.Stdout).Encode(current); err != nil {
 				return err
 			}
 		default:
 			if i > 0 {
 				fmt.Println()
 			}
-			c.show(os.Stdout, before, now, time.Since(at))
+			c.show(os.Stdout, previous, current, time.Since(previousAt))
 		}
-		before, at = now, time.Now()
+		previous, previousAt = current, time.Now()
 	}
 	return nil
 }
 
-// rates are a node's answers a second, since the report before or the node's start.
+// rates is a node's report with its responses per second since the previous report or the node's start.
 type rates struct {
 	server.NodeReport
 	served, refused, failed float64
 }
 
-func since(before server.NodeReports, now server.NodeReport, passed time.Duration) rates {
-	r := rates{NodeReport: now}
-	up := time.Duration(now.UpMs) * time.Millisecond
+// ratesSince returns the rates of a node, where elapsed is the time since the previous reports.
+func ratesSince(previous server.NodeReports, current server.NodeReport, elapsed time.Duration) rates {
+	r := rates{NodeReport: current}
+	uptime := time.Duration(current.UpMs) * time.Millisecond
 	var old server.NodeReport
-	// One that has restarted since then counts from its start.
-	if i := slices.IndexFunc(before.Nodes, func(n server.NodeReport) bool { return n.Node == now.Node }); i >= 0 && up >= passed && before.Nodes[i].UpMs <= now.UpMs {
-		old = before.Nodes[i]
+	// The counts of a node that has restarted since the previous report start at zero.
+	if i := slices.IndexFunc(previous.Nodes, func(n server.NodeReport) bool { return n.Node == current.Node }); i >= 0 && uptime >= elapsed && previous.Nodes[i].UpMs <= current.UpMs {
+		old = previous.Nodes[i]
 	} else {
-		passed = up
+		elapsed = uptime
 	}
-	per := func(a, b uint64) float64 { return float64(a-min(a, b)) / max(passed.Seconds(), 0.001) }
-	r.served, r.refused, r.failed = per(now.Served, old.Served), per(now.Refused, old.Refused), per(now.Failed, old.Failed)
+	rate := func(a, b uint64) float64 { return float64(a-min(a, b)) / max(elapsed.Seconds(), 0.001) }
+	r.served, r.refused, r.failed = rate(current.Served, old.Served), rate(current.Refused, old.Refused), rate(current.Failed, old.Failed)
 	return r
 }
 
-// show prints the totals, each service, the worst nodes and the servers that need attention.
-func (c *topCmd) show(out io.Writer, before, now server.NodeReports, passed time.Duration) {
-	nodes := make([]rates, 0, len(now.Nodes))
+// show prints the totals, each service, the worst nodes, and the servers that are ejected, draining or have a queue.
+func (c *topCmd) show(out io.Writer, previous, current server.NodeReports, elapsed time.Duration) {
+	nodes := make([]rates, 0, len(current.Nodes))
 	var served, refused, failed float64
-	for _, n := range now.Nodes {
-		r := since(before, n, passed)
+	for _, n := range current.Nodes {
+		r := ratesSince(previous, n, elapsed)
 		nodes = append(nodes, r)
 		served, refused, failed = served+r.served, refused+r.refused, failed+r.failed
 	}
 	fmt.Fprintf(out, "%s  %d nodes (%d silent): %.1f served, %.1f refused, %.1f failed a second\n",
-		time.Now().Format(time.TimeOnly), now.Queried, now.Unresponsive, served, refused, failed)
-	showServices(out, now.Nodes)
+		time.Now().Format(time.TimeOnly), current.Queried, current.Unresponsive, served, refused, failed)
+	showServices(out, current.Nodes)
 	c.showNodes(out, nodes)
-	c.showServers(out, now.Nodes)
+	c.showServers(out, current.Nodes)
 }
 
-// serviceTotals sums up what all nodes report of a service.
+// serviceTotals aggregates the reports of all nodes on a service.
 type serviceTotals struct {
-	normalizedLatency          float64 // sum over the nodes that report it
-	minProbability             float64 // of the admission of a call graph, at any node and priority
-	retryBudgetLeft            float64
+	normalizedLatency          float64 // sum over the reports, in multiples of the latency target
+	minProbability             float64 // lowest admission probability of a call graph at any node and priority
+	retryBudgetLeft            float64 // retries that may be sent now
 	running, queued, slots     uint32
 	servers, ejected, draining int
-	reports                    int // nodes that report the service
+	reports                    int // number of nodes that report the service
 }
 
-// totalsOf sums up the reports by service.
+// totalsOf returns the totals of all services, by name.
 func totalsOf(nodes []server.NodeReport) map[string]*serviceTotals {
-	all := map[string]*serviceTotals{}
-	of := func(service string) *serviceTotals {
-		if all[service] == nil {
-			all[service] = &serviceTotals{minProbability: 1}
+	totals := map[string]*serviceTotals{}
+	totalsFor := func(service string) *serviceTotals {
+		if totals[service] == nil {
+			totals[service] = &serviceTotals{minProbability: 1}
 		}
-		return all[service]
+		return totals[service]
 	}
 	for _, n := range nodes {
 		for _, s := range n.Services {
-			t := of(s.Service)
+			t := totalsFor(s.Service)
 			t.reports++
 			t.normalizedLatency += s.NormalizedLatency
 			t.retryBudgetLeft += s.RetryBudgetLeft
@@ -127,7 +128,7 @@
 			}
 		}
 		for _, s := range n.Servers {
-			t := of(s.Service)
+			t := totalsFor(s.Service)
 			t.servers++
 			t.running, t.queued, t.slots = t.running+s.Running, t.queued+s.Queued, t.slots+s.Slots
 			if len(s.EjectedZones) > 0 {
@@ -138,7 +139,7 @@
 			}
 		}
 	}
-	return all
+	return totals
 }
 
 func showServices(out io.Writer, nodes []server.NodeReport) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// showNodes prints the nodes with the most failures, rejections and pending requests.
+// showNodes prints the nodes with the highest rates of failed and refused requests, at most c.Rows.
 func (c *topCmd) showNodes(out io.Writer, nodes []rates) {
 	slices.SortStableFunc(nodes, func(a, b rates) int {
 		return cmp.Or(cmp.Compare(b.failed, a.failed), cmp.Compare(b.refused, a.refused), cmp.Compare(b.Pending, a.Pending))
@@ -166,7 +167,7 @@
 	}
 }
 
-// showServers prints the servers that are ejected, draining or have a queue, if there are any.
+// showServers prints at most c.Rows servers that are ejected, draining or have a queue.
 func (c *topCmd) showServers(out io.Writer, nodes []server.NodeReport) {
 	type row struct {
 		node string
