--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What is not run by one command of the Go tools. The tests are: see README.md.
+# Targets that need more than one go command. For the tests see README.md.
 FUZZTIME ?= 30s
 
 .PHONY: fuzz
@@ -11,7 +11,7 @@
 	go test ./internal/controlplane/store -run none -fuzz FuzzRecovery -fuzztime $(FUZZTIME)
 	go test ./internal/pkg/bytedelta -run none -fuzz FuzzDelta -fuzztime $(FUZZTIME)
 
-# The searches for faults of the consensus: see docs/verification.md.
+# Model checking and simulation of package raft: see docs/verification.md.
 SEEDS ?= 10000
 WALKS ?= 20000
 
