--- a/cmd/meshlab/main.go
+++ b/cmd/meshlab/main.go
@@ -62,45 +62,45 @@
 	if err != nil {
 		return err
 	}
-	r := lab.Run(scenario, c.Seed)
-	fmt.Printf("%s, seed %d: worth %.4f, %d requests, fraction refused %.3f, fraction failed %.4f\n", r.Scenario, r.Seed, r.Total.Value, r.Total.Requests,
-		float64(r.Total.Refused)/float64(max(1, r.Total.Requests)), float64(r.Total.Failed)/float64(max(1, r.Total.Requests)))
+	result := lab.Run(scenario, c.Seed)
+	fmt.Printf("%s, seed %d: worth %.4f, %d requests, fraction refused %.3f, fraction failed %.4f\n", result.Scenario, result.Seed, result.Total.Value, result.Total.Requests,
+		float64(result.Total.Refused)/float64(max(1, result.Total.Requests)), float64(result.Total.Failed)/float64(max(1, result.Total.Requests)))
 	for _, route := range scenario.Routes {
-		if result, ok := r.Routes[route.Name]; ok {
-			fmt.Printf("  %-16s worth %.4f, p50 %.1f ms, p99 %.1f ms, refused %d, failed %d\n", route.Name, result.Value, result.P50Ms, result.P99Ms, result.Refused, result.Failed)
+		if routeResult, ok := result.Routes[route.Name]; ok {
+			fmt.Printf("  %-16s worth %.4f, p50 %.1f ms, p99 %.1f ms, refused %d, failed %d\n", route.Name, routeResult.Value, routeResult.P50Ms, routeResult.P99Ms, routeResult.Refused, routeResult.Failed)
 		}
 	}
-	fmt.Printf("  retries: %d, highest use of the shared budget %.2f\n", r.Retries, r.RetryBudget)
-	fmt.Printf("  update lag: p50 %.1f ms, p99 %.1f ms, max %.1f ms; relay depth %d; %d stale parents replaced\n", r.LagP50Ms, r.LagP99Ms, r.LagMaxMs, r.Depth, r.StaleParents)
-	fmt.Printf("  changes: %d acknowledged, p50 %.1f ms, max %.1f ms; %d elections, %.2f s without a leader; %d log entries\n", r.Acks, r.AckP50Ms, r.AckMaxMs, r.Elections, r.LeaderlessS, r.Entries)
+	fmt.Printf("  retries: %d, highest use of the shared budget %.2f\n", result.Retries, result.RetryBudget)
+	fmt.Printf("  update lag: p50 %.1f ms, p99 %.1f ms, max %.1f ms; relay depth %d; %d stale parents replaced\n", result.LagP50Ms, result.LagP99Ms, result.LagMaxMs, result.Depth, result.StaleParents)
+	fmt.Printf("  changes: %d acknowledged, p50 %.1f ms, max %.1f ms; %d elections, %.2f s without a leader; %d log entries\n", result.Acks, result.AckP50Ms, result.AckMaxMs, result.Elections, result.LeaderlessS, result.Entries)
 	fmt.Printf("  per node and second: %.1f probes, %.0f bytes of probes, %.0f bytes of updates; the busiest machine sends %.0f bytes/s\n",
-		r.ProbesS, r.ProbeBytesS, r.FeedBytesS, r.BusiestBps)
-	fmt.Printf("  fingerprint %s\n", r.Fingerprint)
+		result.ProbesS, result.ProbeBytesS, result.FeedBytesS, result.BusiestBps)
+	fmt.Printf("  fingerprint %s\n", result.Fingerprint)
 	if c.Out != "" {
-		if err := lab.Save(c.Out, []*lab.Result{r}); err != nil {
+		if err := lab.Save(c.Out, []*lab.Result{result}); err != nil {
 			return err
 		}
 	}
-	if len(r.Violations) == 0 {
+	if len(result.Violations) == 0 {
 		return nil
 	}
-	fmt.Println(strings.Join(r.RecentEvents, "\n"))
+	fmt.Println(strings.Join(result.RecentEvents, "\n"))
 	runs := 0
 	shrunk := lab.Shrink(scenario, func(candidate *lab.Scenario) (float64, bool) {
 		runs++
-		r := lab.Run(candidate, c.Seed)
-		return r.FirstViolationS, len(r.Violations) > 0
+		result := lab.Run(candidate, c.Seed)
+		return result.FirstViolationS, len(result.Violations) > 0
 	})
 	text, err := shrunk.Text()
 	if err != nil {
 		return err
 	}
-	file := fmt.Sprintf("%s-broken-%d.toml", r.Scenario, c.Seed)
+	file := fmt.Sprintf("%s-broken-%d.toml", result.Scenario, c.Seed)
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		return err
 	}
 	return fmt.Errorf("invariant violated with seed %d: %s (scenario shrunk in %d runs to %.1f s and %d faults: %s)",
-		c.Seed, strings.Join(r.Violations, "; "), runs, shrunk.Seconds, len(shrunk.Faults), file)
+		c.Seed, strings.Join(result.Violations, "; "), runs, shrunk.Seconds, len(shrunk.Faults), file)
 }
 
 type sweepCmd struct {
--- a/internal/simulation/modelcheck/bounds.go
+++ b/internal/simulation/modelcheck/bounds.go
@@ -51,7 +51,7 @@
 	Walks     int
 	Steps     int  // transitions
 	Depth     int  // number of search levels, or length of the longest walk
-	Complete  bool // no limit on states or time ended the run early
+	Complete  bool // false if a violation or the maximum of states ended the search, or the time limit ended the walks
 	Elapsed   time.Duration
 	Seed      uint64   // seed of the walk that violates a property
 	Violation string   // first violated property; empty if all hold
--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -239,7 +239,7 @@
 	if e.kind == lose {
 		return
 	}
-	if message.Kind == wire.RaftMessage_REQUEST_VOTE && !m.isLeader() { // a voter ignores the request while it is in contact with a leader
+	if message.Kind == wire.RaftMessage_REQUEST_VOTE && !m.isLeader() { // otherwise a voter in contact with a leader would ignore the request
 		m.clock += leaderTimeout
 	}
 	m.node.Step(m.clock, message)
--- a/internal/simulation/modelcheck/walk.go
+++ b/internal/simulation/modelcheck/walk.go
@@ -16,7 +16,7 @@
 }
 
 // Walks explores random histories on all processors. Each seed draws its own bounds and the probability of each kind of event.
-// The result contains the violation of the smallest seed that was found.
+// If several walks violate a property, the result contains the violation with the smallest seed.
 func Walks(opt WalkOptions) *Result {
 	startedAt := time.Now()
 	total := &Result{Complete: true}
