--- a/cmd/meshlab/demo.go
+++ b/cmd/meshlab/demo.go
@@ -23,5 +23,5 @@
 		}
 		c.Programs = filepath.Dir(self)
 	}
-	return demo.Run(ctx, demo.Options{Programs: c.Programs, Length: time.Duration(c.Seconds * float64(time.Second)), Rate: c.Rate, Output: os.Stdout})
+	return demo.Run(ctx, demo.Options{Programs: c.Programs, Duration: time.Duration(c.Seconds * float64(time.Second)), Rate: c.Rate, Output: os.Stdout})
 }
--- a/cmd/meshlab/main.go
+++ b/cmd/meshlab/main.go
@@ -174,7 +174,7 @@
 		for _, metric := range lab.Metrics {
 			var values []float64
 			for _, r := range results[i : i+c.Seeds] {
-				values = append(values, metric.Of(r))
+				values = append(values, metric.Value(r))
 			}
 			fmt.Printf(" %20s", lab.Average(values))
 		}
--- a/cmd/meshlab/timeline.go
+++ b/cmd/meshlab/timeline.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return errors.New("the logs contain no process start")
 	}
-	fmt.Printf("last common start, at %s\n", wave.Began.Format(time.RFC3339Nano))
+	fmt.Printf("last common start, at %s\n", wave.StartedAt.Format(time.RFC3339Nano))
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "step\tmachines\tfirst\tmedian\tlast\tslowest")
 	for _, s := range wave.Steps {
--- a/internal/simulation/demo/demo.go
+++ b/internal/simulation/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs a small mesh on this machine: three quorum members and three sidecars
-// as processes of the real programs, each with a loopback address of its own, a stand-in
-// server beside each sidecar, and clients. During the run it drains a server and kills the
-// leader. It is called by meshlab demo.
+// Package demo runs a small mesh on the local machine for the command meshlab demo. Three
+// quorum members and three sidecars run as processes of the real programs, each with its
+// own loopback address. Each sidecar has a stand-in server. During the run, clients send
+// requests, a server is drained and the leader is killed.
 package demo
 
 import (
@@ -30,18 +30,27 @@
 )
 
 const (
-	machinesPerKind = 3 // quorum members, and sidecars
+	machinesPerKind = 3 // number of quorum members, and of sidecars
 	host            = "demo.example"
 	startWait       = 20 * time.Second
 	stopWait        = 8 * time.Second
-	maxInFlight     = 512 // requests
+	maxInFlight     = 512 // requests without a response
 )
 
-// Options are the options of a run.
+// Indexes in mesh.ports.
+const (
+	internalPort = iota
+	controlPlanePort
+	outboundPort
+	readinessPort
+	serverPort
+)
+
+// Options configures a run.
 type Options struct {
-	Programs string        // folder of ivydeck-data and ivydeck-control
-	Length   time.Duration // of the traffic
-	Rate     float64       // requests a second
+	Programs string        // directory of ivydeck-data and ivydeck-control
+	Duration time.Duration // of the traffic
+	Rate     float64       // requests per second
 	Output   io.Writer
 }
 
@@ -49,33 +58,36 @@
 type mesh struct {
 	Options
 	dir    string
-	subnet string // the first three numbers of all addresses
-	ports  [5]int // nodes, control, outbound, readiness, server
+	subnet string // first three bytes of all addresses, such as 127.30.7
+	ports  [5]int // the same for all machines; see the constants
 
 	mu        sync.Mutex
 	processes map[string]*process
 	servers   []*standin.Server
 }
 
+// process is a running program of a machine.
 type process struct {
 	cmd  *exec.Cmd
-	done chan struct{} // closed at its end
+	done chan struct{} // closed when the process has ended
 }
 
-func (m *mesh) ip(n int) string            { return fmt.Sprintf("%s.%d", m.subnet, n) }
+func (m *mesh) ip(n int) string { return fmt.Sprintf("%s.%d", m.subnet, n) }
+
+// address returns host:port of the n-th machine; port is an index in ports.
 func (m *mesh) address(n, port int) string { return fmt.Sprintf("%s:%d", m.ip(n), m.ports[port]) }
 func (m *mesh) printf(f string, a ...any)  { fmt.Fprintf(m.Output, f+"\n", a...) }
 
-// Run runs the demo, and stops everything that it has started.
+// Run runs the demo, and stops all processes and servers before it returns.
 func Run(ctx context.Context, o Options) error {
 	for _, name := range []string{"ivydeck-data", "ivydeck-control"} {
 		if _, err := os.Stat(filepath.Join(o.Programs, name)); err != nil {
-			return fmt.Errorf("demo: %s is not beside this program; go build -o bin/ ./cmd/... puts all in one folder", name)
+			return fmt.Errorf("demo: %s is missing in the programs' folder; go build -o bin/ ./cmd/... puts all in one folder", name)
 		}
 	}
 	dir, err := os.MkdirTemp("", "ivydeck-demo-")
 	if err != nil {
-		return fmt.Errorf("demo: %w", err)
+		return fmt.Errorf("demo: create directory: %w", err)
 	}
 	m := &mesh{Options: o, dir: dir, processes: map[string]*process{}, subnet: fmt.Sprintf("127.%d.%d", 20+rand.IntN(200), 1+rand.IntN(250))}
 	defer os.RemoveAll(dir)
@@ -83,7 +95,7 @@
 	for i := range m.ports {
 		l, err := net.Listen("tcp", m.ip(1)+":0")
 		if err != nil {
-			return fmt.Errorf("demo: no port: %w", err)
+			return fmt.Errorf("demo: find a free port: %w", err)
 		}
 		defer l.Close()
 		m.ports[i] = l.Addr().(*net.TCPAddr).Port
@@ -94,7 +106,7 @@
 		if err := m.start(n, "core", "ivydeck-control"); err != nil {
 			return err
 		}
-		controlPlane.Addresses = append(controlPlane.Addresses, m.address(n, 1))
+		controlPlane.Addresses = append(controlPlane.Addresses, m.address(n, controlPlanePort))
 	}
 	for n := machinesPerKind + 1; n <= 2*machinesPerKind; n++ {
 		if err := m.start(n, "sidecar", "ivydeck-data"); err != nil {
@@ -125,24 +137,24 @@
 data_dir=%s
 heartbeat_ms=500
 seed_nodes=%s,%s,%s
-`, name, class, m.ip(n), string(rune('a'+(n-1)%machinesPerKind)), m.address(n, 1), m.address(n, 2), m.address(n, 3), m.address(n, 4), m.ports[0],
-		filepath.Join(m.dir, name), m.address(1, 1), m.address(2, 1), m.address(3, 1))
+`, name, class, m.ip(n), string(rune('a'+(n-1)%machinesPerKind)), m.address(n, controlPlanePort), m.address(n, outboundPort), m.address(n, readinessPort), m.address(n, serverPort), m.ports[internalPort],
+		filepath.Join(m.dir, name), m.address(1, controlPlanePort), m.address(2, controlPlanePort), m.address(3, controlPlanePort))
 	file := filepath.Join(m.dir, name+".conf")
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
-		return fmt.Errorf("demo: %w", err)
+		return fmt.Errorf("demo: write settings: %w", err)
 	}
 	logFile, err := os.Create(filepath.Join(m.dir, name+".log"))
 	if err != nil {
-		return fmt.Errorf("demo: %w", err)
+		return fmt.Errorf("demo: create log file: %w", err)
 	}
 	defer logFile.Close()
 	cmd := exec.Command(filepath.Join(m.Programs, program), "--settings", file)
 	cmd.Stdout, cmd.Stderr = logFile, logFile
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("demo: %w", err)
+		return fmt.Errorf("demo: start process: %w", err)
 	}
 	p := &process{cmd, make(chan struct{})}
-	go func() { // ends with the process, for which end waits
+	go func() { // ends with the process; stop waits for it
 		cmd.Wait()
 		close(p.done)
 	}()
@@ -152,7 +164,8 @@
 	return nil
 }
 
-// stop stops all processes and servers.
+// stop stops all servers and processes. It kills processes that are still running after
+// stopWait.
 func (m *mesh) stop() {
 	for _, s := range m.servers {
 		s.Stop()
@@ -173,7 +186,8 @@
 	}
 }
 
-// checkProcesses returns an error if a process has ended by itself, with the end of its log.
+// checkProcesses returns an error with the end of the log if a process has ended
+// unexpectedly.
 func (m *mesh) checkProcesses() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,15 +195,15 @@
 		select {
 		case <-p.done:
 			text, _ := os.ReadFile(filepath.Join(m.dir, name+".log"))
-			return fmt.Errorf("demo: %s has ended: %s", name, bytes.TrimSpace(text[max(0, len(text)-400):]))
+			return fmt.Errorf("demo: process %s has ended unexpectedly; end of its log: %s", name, bytes.TrimSpace(text[max(0, len(text)-400):]))
 		default:
 		}
 	}
 	return nil
 }
 
-// waitFor polls until f returns true.
-func (m *mesh) waitFor(ctx context.Context, what string, f func(ctx context.Context) bool) error {
+// waitFor polls until f returns true, for at most startWait. Its error names the condition.
+func (m *mesh) waitFor(ctx context.Context, condition string, f func(ctx context.Context) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
 	tick := time.NewTicker(50 * time.Millisecond)
@@ -201,15 +215,16 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return fmt.Errorf("demo: waited too long for %s: %w", what, ctx.Err())
+			return fmt.Errorf("demo: wait for %s: %w", condition, ctx.Err())
 		}
 	}
 	return nil
 }
 
-// prepare sends the configuration, starts the servers, and waits until all nodes are ready.
+// prepare applies the configuration, starts the servers, and waits until all nodes are
+// ready.
 func (m *mesh) prepare(ctx context.Context, controlPlane *operator.Client) error {
-	began := time.Now()
+	startedAt := time.Now()
 	route := func(name string, kind meshconfig.Kind, priority int) *meshconfig.Route {
 		return &meshconfig.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, TargetLatencyMs: 200,
 			Priority: priority, Backend: "shop", MaxAttempts: 3}
@@ -217,15 +232,15 @@
 	body, err := msgpack.Marshal(&meshconfig.Config{Revision: 1, Backends: []meshconfig.Backend{{Name: "shop"}}, Routes: []*meshconfig.Route{
 		route("order", meshconfig.NonIdempotent, 0), route("ask", meshconfig.Idempotent, 1), route("browse", meshconfig.Idempotent, 2)}})
 	if err != nil {
-		return fmt.Errorf("demo: %w", err)
+		return fmt.Errorf("demo: encode configuration: %w", err)
 	}
 	if err := m.waitFor(ctx, "a leader", func(ctx context.Context) bool { return controlPlane.Apply(ctx, 0, body) == nil }); err != nil {
 		return err
 	}
-	m.printf("%5.1f s  the quorum has a leader, and the configuration is on a majority of its disks", time.Since(began).Seconds())
+	m.printf("%5.1f s  the quorum has a leader, and the configuration is on a majority of its disks", time.Since(startedAt).Seconds())
 	for n := machinesPerKind + 1; n <= 2*machinesPerKind; n++ {
 		id := fmt.Sprintf("shop-%d", n)
-		s, err := standin.Start(standin.Options{ID: id, Service: "shop", Zone: "a", Address: m.address(n, 4), Control: m.address(n, 1), Slots: slots,
+		s, err := standin.Start(standin.Options{ID: id, Service: "shop", Zone: "a", Address: m.address(n, serverPort), Control: m.address(n, controlPlanePort), Slots: slots,
 			Heartbeat: heartbeatInterval, Handler: workHandler(id)})
 		if err != nil {
 			return err
@@ -237,13 +252,13 @@
 			return err
 		}
 	}
-	m.printf("%5.1f s  three nodes are ready, with three servers", time.Since(began).Seconds())
+	m.printf("%5.1f s  three nodes are ready, with three servers", time.Since(startedAt).Seconds())
 	return nil
 }
 
-// isReady reports whether the n-th machine answers its readiness check.
+// isReady reports whether the readiness check of the n-th machine succeeds.
 func (m *mesh) isReady(ctx context.Context, n int) bool {
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+m.address(n, 3)+"/ready", nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+m.address(n, readinessPort)+"/ready", nil)
 	if err != nil {
 		return false
 	}
@@ -259,7 +274,7 @@
 type tally struct {
 	mu                        sync.Mutex
 	sent, ok, refused, failed int
-	served                    map[string]int
+	served                    map[string]int // number of responses by server
 	latency                   *hdrhistogram.Histogram
 }
 
@@ -286,18 +301,18 @@
 func (t *tally) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := func(q float64) float64 { return float64(t.latency.ValueAtQuantile(q)) / 1000 }
-	text := fmt.Sprintf("%5d requests, %5d answered (p50 %5.1f ms, p99 %5.1f ms), %d refused, %d failed; by", t.sent, t.ok, at(50), at(99), t.refused, t.failed)
+	percentile := func(q float64) float64 { return float64(t.latency.ValueAtQuantile(q)) / 1000 }
+	text := fmt.Sprintf("%5d requests, %5d answered (p50 %5.1f ms, p99 %5.1f ms), %d refused, %d failed; by", t.sent, t.ok, percentile(50), percentile(99), t.refused, t.failed)
 	for n := machinesPerKind + 1; n <= 2*machinesPerKind; n++ {
 		text += fmt.Sprintf(" %d", t.served[fmt.Sprintf("shop-%d", n)])
 	}
 	return text
 }
 
-// sendTraffic sends requests; it drains a server after a third of the time, and kills the leader after two
-// thirds.
+// sendTraffic sends requests. It drains a server after a third of the time, and kills the
+// leader after two thirds.
 func (m *mesh) sendTraffic(ctx context.Context, controlPlane *operator.Client) error {
-	ctx, cancel := context.WithTimeout(ctx, m.Length)
+	ctx, cancel := context.WithTimeout(ctx, m.Duration)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
@@ -305,35 +320,35 @@
 	var inFlight atomic.Int64
 	var running sync.WaitGroup
 	defer running.Wait()
-	began := time.Now()
+	startedAt := time.Now()
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
 	next := time.NewTicker(time.Duration(float64(time.Second) / m.Rate))
 	defer next.Stop()
-	drained, ended := false, false
+	drained, leaderKilled := false, false
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
 			running.Wait()
 			m.printf("in all:  %v", total)
-			if err := m.checkProcesses(); err != nil && !ended {
+			if err := m.checkProcesses(); err != nil && !leaderKilled {
 				return err
 			}
 			if total.ok == 0 {
-				return errors.New("demo: nothing was answered")
+				return errors.New("demo: no request was answered with status 200")
 			}
 			return nil
 		case <-second.C:
-			m.printf("%5.1f s  %v", time.Since(began).Seconds(), current)
+			m.printf("%5.1f s  %v", time.Since(startedAt).Seconds(), current)
 			current = newTally()
 		case <-next.C:
 		}
-		if spent := time.Since(began); !drained && spent > m.Length/3 {
+		if elapsed := time.Since(startedAt); !drained && elapsed > m.Duration/3 {
 			drained = true
 			m.printf("         shop-%d drains", machinesPerKind+1)
 			m.servers[0].Drain()
-		} else if !ended && spent > 2*m.Length/3 {
-			ended = true
+		} else if !leaderKilled && elapsed > 2*m.Duration/3 {
+			leaderKilled = true
 			if err := m.killLeader(ctx, controlPlane); err != nil {
 				return err
 			}
@@ -355,7 +370,7 @@
 
 // killLeader kills the quorum member that is the leader.
 func (m *mesh) killLeader(ctx context.Context, controlPlane *operator.Client) error {
-	states, err := controlPlane.Status(ctx)
+	states, errs := controlPlane.Status(ctx)
 	for _, s := range states {
 		if s.IsLeader {
 			m.printf("         the leader, %s, is killed", s.Node)
@@ -367,15 +382,17 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("demo: no leader: %w", errors.Join(err...))
+	return fmt.Errorf("demo: kill leader: no quorum member is the leader: %w", errors.Join(errs...))
 }
 
+// paths are the path prefixes that requests use in turn.
 var paths = []string{"/order/", "/ask/", "/browse/", "/browse/"}
 
-// sendRequest sends one request to one of the nodes.
+// sendRequest sends the i-th request to one of the nodes, in turn. It returns a zero status if
+// the request fails.
 func (m *mesh) sendRequest(client *http.Client, i int) (status int, server string, took time.Duration) {
-	began := time.Now()
-	req, err := http.NewRequest("GET", fmt.Sprintf("http://%s%s%d", m.address(machinesPerKind+1+i%machinesPerKind, 2), paths[i%len(paths)], i), nil)
+	startedAt := time.Now()
+	req, err := http.NewRequest("GET", fmt.Sprintf("http://%s%s%d", m.address(machinesPerKind+1+i%machinesPerKind, outboundPort), paths[i%len(paths)], i), nil)
 	if err != nil {
 		return 0, "", 0
 	}
@@ -390,5 +407,5 @@
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return 0, "", 0
 	}
-	return resp.StatusCode, resp.Header.Get("Served-By"), time.Since(began)
+	return resp.StatusCode, resp.Header.Get("Served-By"), time.Since(startedAt)
 }
--- a/internal/simulation/demo/server.go
+++ b/internal/simulation/demo/server.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	slots             = 16
-	workMs            = 10
+	slots             = 16 // of each server
+	workMs            = 10 // mean of an exponential distribution
 	heartbeatInterval = 500 * time.Millisecond
 )
 
-// workHandler answers after some work, in as many slots as the server registers.
+// workHandler returns a handler that responds after a random time. It handles at most slots
+// requests at once.
 func workHandler(id string) http.Handler {
 	free := make(chan struct{}, slots)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/simulation/lab/client.go
+++ b/internal/simulation/lab/client.go
@@ -8,98 +8,99 @@
 	"ivydeck/internal/dataplane/router"
 )
 
-// request is a request of a client, or a call of a server. It may take several
-// attempts.
+// request is a client's request, or a server's call of another service. It may be sent
+// in several attempts.
 type request struct {
-	s        *sim
-	route    *Route
-	begun    time.Duration
-	executed int
+	sim       *sim
+	route     *Route
+	startedAt time.Duration
+	runs      int
 }
 
-// attempt is one sending of a request by its client.
+// attempt is one transmission of a request by its client.
 type attempt struct {
 	id       string
 	request  *request
-	deadline time.Duration // the client gives up
+	deadline time.Duration // when the client stops waiting
 	runs     int
-	refused  bool
+	refused  bool // a response stated that the attempt did not run
 }
 
-// executed counts a run at a server, and checks that the attempt may run.
-func (t *attempt) executed() {
+// recordRun counts a run at a server, and records a violation if the attempt must not run.
+func (t *attempt) recordRun() {
 	t.runs++
-	t.request.executed++
+	t.request.runs++
 	if t.refused {
-		t.request.s.violation("%s ran after a promise that it never would", t.id)
+		t.request.sim.recordViolation("%s ran after a response stated that it would not", t.id)
 	}
-	if t.request.route.NonIdempotent && t.request.executed > 1 {
-		t.request.s.violation("%s, which must not run twice, ran %d times", t.id, t.request.executed)
+	if t.request.route.NonIdempotent && t.request.runs > 1 {
+		t.request.sim.recordViolation("the non-idempotent request of %s ran %d times", t.id, t.request.runs)
 	}
 }
 
-// answered takes the response, and checks what it promises.
-func (t *attempt) answered(f router.Response) {
-	if f.Status == 429 || f.Status == 503 || f.Status == 408 || f.Status == 421 {
+// recordResponse records a violation if a response refuses the attempt although it has run,
+// or without a retry delay.
+func (t *attempt) recordResponse(response router.Response) {
+	if response.Status == 429 || response.Status == 503 || response.Status == 408 || response.Status == 421 {
 		t.refused = true
 		if t.runs > 0 {
-			t.request.s.violation("%s was promised not to have run, and had", t.id)
+			t.request.sim.recordViolation("%s ran, but its response states that it did not", t.id)
 		}
-		if f.RetryAfter <= 0 {
-			t.request.s.violation("%s was refused and not told when to come back", t.id)
+		if response.RetryAfter <= 0 {
+			t.request.sim.recordViolation("%s was refused without a retry delay", t.id)
 		}
 	}
 }
 
-// generateRequests sends new requests of a route, as a Poisson process.
+// generateRequests sends requests of the i-th route as a Poisson process.
 func (s *sim) generateRequests(i int) {
-	r := &s.scenario.Routes[i]
-	if r.Rate <= 0 {
+	route := &s.scenario.Routes[i]
+	if route.Rate <= 0 {
 		return
 	}
-	rate := r.Rate * s.burst[i]
+	rate := route.Rate * s.rateFactors[i]
 	wait := sec(-math.Log(1-s.rng.Float64()) / rate)
 	s.after(min(wait, time.Second), func() {
-		if wait <= time.Second { // otherwise there is none in this second
-			q := &request{s: s, route: r, begun: s.now}
-			s.measurements.requestStarted(s.now, r)
-			s.sendRequest(q, 1)
+		if wait <= time.Second { // a longer wait is drawn again after a second, at the rate of that time
+			req := &request{sim: s, route: route, startedAt: s.now}
+			s.measurements.requestStarted(s.now, route)
+			s.sendRequest(req, 1)
 		}
 		s.generateRequests(i)
 	})
 }
 
-// sendRequest makes the n-th attempt of a request at a random node.
-func (s *sim) sendRequest(q *request, n int) {
-	at := s.rng.IntN(len(s.nodes))
-	for range 4 { // clients look for a node that is ready
-		if s.nodes[at].up && s.nodes[at].ready {
+// sendRequest sends the n-th attempt of a request to a random node, preferably a ready one.
+func (s *sim) sendRequest(req *request, n int) {
+	index := s.rng.IntN(len(s.nodes))
+	for range 4 { // prefer a ready node
+		if s.nodes[index].up && s.nodes[index].ready {
 			break
 		}
-		at = s.rng.IntN(len(s.nodes))
+		index = s.rng.IntN(len(s.nodes))
 	}
-	nd := s.nodes[at]
-	until := q.begun + ms(q.route.TimeoutMs)
+	target := s.nodes[index]
+	deadline := req.startedAt + ms(req.route.TimeoutMs)
 	s.attempts++
-	t := &attempt{id: fmt.Sprintf("c%d", s.attempts), request: q, deadline: until}
-	over := false
-	finish := func(f router.Response) {
-		if over {
+	current := &attempt{id: fmt.Sprintf("c%d", s.attempts), request: req, deadline: deadline}
+	finished := false
+	finish := func(response router.Response) {
+		if finished {
 			return
 		}
-		over = true
-		t.answered(f)
-		if t.refused && n < s.scenario.Clients.MaxAttempts && s.now+f.RetryAfter < until {
-			s.measurements.refusalRetried(q.route)
-			s.after(f.RetryAfter, func() { s.sendRequest(q, n+1) })
+		finished = true
+		current.recordResponse(response)
+		if current.refused && n < s.scenario.Clients.MaxAttempts && s.now+response.RetryAfter < deadline {
+			s.measurements.refusalRetried(req.route)
+			s.after(response.RetryAfter, func() { s.sendRequest(req, n+1) })
 			return
 		}
-		s.measurements.requestEnded(s.now, q, f)
+		s.measurements.requestEnded(s.now, req, response)
 	}
-	if !nd.up {
-		finish(router.Response{Status: 502, Reason: "no node"})
+	if !target.up {
+		finish(router.Response{Status: 502, Reason: "node is down"})
 		return
 	}
-	s.at(until, func() { finish(router.Response{Status: 504, Reason: "the client has given up"}) })
-	nd.handle(t, finish)
+	s.at(deadline, func() { finish(router.Response{Status: 504, Reason: "client deadline exceeded"}) })
+	target.handle(current, finish)
 }
--- a/internal/simulation/lab/delivery_test.go
+++ b/internal/simulation/lab/delivery_test.go
@@ -2,33 +2,33 @@
 
 import "testing"
 
-// TestCostOfChanges: what a change of one route costs each node, and the links between zones, does not depend
-// on the size of the configuration, and it is everywhere within a second at fifty changes a second.
+// TestCostOfChanges checks that the bytes a change of one route costs each node and the links between zones do not
+// depend on the size of the configuration, and that changes reach all nodes within a second at fifty changes a second.
 func TestCostOfChanges(t *testing.T) {
-	w, err := Load("../../../lab/changes.toml")
+	scenario, err := Load("../../../lab/changes.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Nodes, w.Seconds = 40, 6
-	run := func(routes int, every float64) *Result {
-		w.Operator.Routes, w.Operator.EveryS = routes, every
-		r := Run(w, 1)
-		if len(r.Violations) > 0 || r.LagMaxMs > 1000 {
-			t.Errorf("%d routes, a change each %g s: at most %g ms until it is everywhere, %v", routes, every, r.LagMaxMs, r.Violations)
+	scenario.Nodes, scenario.Seconds = 40, 6
+	run := func(routes int, intervalS float64) *Result {
+		scenario.Operator.Routes, scenario.Operator.EveryS = routes, intervalS
+		result := Run(scenario, 1)
+		if len(result.Violations) > 0 || result.LagMaxMs > 1000 {
+			t.Errorf("%d routes, a change every %g s: maximum update lag %g ms, want at most 1000 ms; violations %v", routes, intervalS, result.LagMaxMs, result.Violations)
 		}
-		return r
+		return result
 	}
 	for _, routes := range []int{50, 800} {
-		few, many := run(routes, 2), run(routes, 0.02)
-		changes := float64(many.Acks-few.Acks) / w.Seconds // a second
+		slow, fast := run(routes, 2), run(routes, 0.02)
+		changes := float64(fast.Acks-slow.Acks) / scenario.Seconds // per second
 		if changes < 10 {
-			t.Fatalf("%d routes: %.1f changes a second", routes, changes)
+			t.Fatalf("%d routes: the runs differ by %.1f changes a second, want at least 10", routes, changes)
 		}
-		each := (many.FeedBytesS - few.FeedBytesS) / changes
-		crossed := (many.CrossZoneBps - few.CrossZoneBps) / changes
-		t.Logf("%d routes: a change costs a node %.0f bytes, and %.0f between zones", routes, each, crossed)
-		if each > 500 || crossed > 4000 {
-			t.Errorf("%d routes: a change costs a node %.0f bytes, and %.0f between zones", routes, each, crossed)
+		bytesPerNode := (fast.FeedBytesS - slow.FeedBytesS) / changes
+		crossZoneBytes := (fast.CrossZoneBps - slow.CrossZoneBps) / changes
+		t.Logf("%d routes: a change costs each node %.0f bytes and the links between zones %.0f bytes", routes, bytesPerNode, crossZoneBytes)
+		if bytesPerNode > 500 || crossZoneBytes > 4000 {
+			t.Errorf("%d routes: a change costs each node %.0f bytes and the links between zones %.0f bytes, want at most 500 and 4000", routes, bytesPerNode, crossZoneBytes)
 		}
 	}
 }
--- a/internal/simulation/lab/engine.go
+++ b/internal/simulation/lab/engine.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// event is a function to call at a time. Events of the same time keep the order in
-// which they were scheduled.
+// event is a function that is called at a simulated time. Events with the same time run
+// in the order in which they were scheduled.
 type event struct {
 	at  time.Duration
 	seq uint64
 	f   func()
 }
 
+// events is a heap ordered by time, then by sequence number.
 type events []event
 
 func (q events) Len() int { return len(q) }
@@ -30,7 +31,7 @@
 	return e
 }
 
-// engine is the simulated clock, the queue of events and the random numbers.
+// engine holds the simulated clock, the event queue and the random number generator.
 type engine struct {
 	now   time.Duration
 	queue events
@@ -38,16 +39,16 @@
 	rng   *rand.Rand
 }
 
-// at schedules f for a time, or for now if that is past.
+// at schedules f for time t, or for now if t has passed.
 func (e *engine) at(t time.Duration, f func()) {
 	e.seq++
 	heap.Push(&e.queue, event{max(t, e.now), e.seq, f})
 }
 
-// after schedules f for the time d from now.
+// after schedules f after the delay d.
 func (e *engine) after(d time.Duration, f func()) { e.at(e.now+d, f) }
 
-// run calls all events up to a time.
+// run executes the events up to and including a time, and sets the clock to it.
 func (e *engine) run(until time.Duration) {
 	for len(e.queue) > 0 && e.queue[0].at <= until {
 		next := heap.Pop(&e.queue).(event)
@@ -57,7 +58,7 @@
 	e.now = until
 }
 
-// randomCount draws one of the two whole numbers around x, with mean x.
+// randomCount rounds x up or down at random, so that the mean is x.
 func (e *engine) randomCount(x float64) int {
 	n := int(x)
 	if e.rng.Float64() < x-float64(n) {
--- a/internal/simulation/lab/fault.go
+++ b/internal/simulation/lab/fault.go
@@ -11,44 +11,44 @@
 	AtS    float64   `toml:"at_s"`
 	ForS   float64   `toml:"for_s"`
 	Kind   FaultKind `toml:"kind"`
-	Target string    `toml:"target"` // "leader", "core 1", "node 4", "server ledger 2", "zone 1", "all", "route pay"
-	Factor float64   `toml:"factor"` // see the kinds
-	Share  float64   `toml:"share"`  // of a service's servers instead of one: target "server ledger"
-	Mode   GreyMode  `toml:"how"`    // of grey servers
-	From   string    `toml:"from"`   // only callers in this zone, such as z1, see a grey server fail
+	Target string    `toml:"target"` // such as "leader", "core 1", "node 4", "server ledger 2", "zone 1", "all" or "route pay"
+	Factor float64   `toml:"factor"` // depends on Kind
+	Share  float64   `toml:"share"`  // if positive, affects this share of a service's servers; Target may then be "server ledger"
+	Mode   GreyMode  `toml:"how"`    // how a grey server fails
+	From   string    `toml:"from"`   // if set, a grey server fails only for callers in this zone, such as z1
 }
 
-// FaultKind is what a fault does to its target.
+// FaultKind is the effect of a fault on its target.
 type FaultKind string
 
-// The kinds, by their names in scenarios.
+// The fault kinds. Their values are the names in scenario files.
 const (
-	Crash       FaultKind = "crash" // the process ends and starts again
-	PowerLoss   FaultKind = "power" // as Crash, and what was not synced is lost
-	DiskLoss    FaultKind = "wipe"  // as PowerLoss, with an empty disk
+	Crash       FaultKind = "crash" // the process stops, and restarts at the end of the fault
+	PowerLoss   FaultKind = "power" // as Crash, and unsynced writes are lost
+	DiskLoss    FaultKind = "wipe"  // as PowerLoss, and the disk is emptied
 	Slow        FaultKind = "slow"  // work takes Factor times as long
-	Stall       FaultKind = "stall" // a disk or a server does nothing
-	Drain       FaultKind = "drain" // a server announces its end and is replaced
+	Stall       FaultKind = "stall" // a disk completes no sync, or a server does no work
+	Drain       FaultKind = "drain" // a server drains, stops and is replaced
 	Grey        FaultKind = "grey"  // a server fails the share Factor of its runs
-	Flap        FaultKind = "flap"  // a server ends and starts each Factor seconds
-	Partition   FaultKind = "cut"   // no message passes
+	Flap        FaultKind = "flap"  // a server stops or starts every Factor seconds
+	Partition   FaultKind = "cut"   // messages to and from the target are dropped
 	MessageLoss FaultKind = "loss"  // the share Factor of all segments is lost
-	LoadBurst   FaultKind = "burst" // a route has Factor times its rate
+	LoadBurst   FaultKind = "burst" // a route's request rate is multiplied by Factor
 )
 
 // GreyMode is how a grey server fails a run.
 type GreyMode string
 
-// The modes, by their names in scenarios.
+// The modes. Their values are the names in scenario files.
 const (
-	GreyError  GreyMode = "error" // an answer with status 500, at once
-	GreyHang   GreyMode = "hang"  // no answer
-	GreyReset  GreyMode = "reset" // the connection ends without an answer, at once
-	GreyReject GreyMode = "shed"  // status 503 before it runs
-	GreySlow   GreyMode = "slow"  // the work takes far longer
+	GreyError  GreyMode = "error" // status 500 after greyFailureDelay
+	GreyHang   GreyMode = "hang"  // no response
+	GreyReset  GreyMode = "reset" // the connection breaks after greyFailureDelay, without a response
+	GreyReject GreyMode = "shed"  // status 503, and the request does not run
+	GreySlow   GreyMode = "slow"  // the work takes greySlowdown times as long
 )
 
-// greyModes are all of them, in the order in which random faults draw from them.
+// greyModes lists all modes. Random faults draw from it, so its order must stay.
 var greyModes = []GreyMode{GreyError, GreyHang, GreyReset, GreyReject, GreySlow}
 
 // targetKind is the first word of a fault's target.
@@ -60,12 +60,12 @@
 	targetNode   targetKind = "node"
 	targetServer targetKind = "server"
 	targetZone   targetKind = "zone"
-	targetAll    targetKind = "all" // machines
+	targetAll    targetKind = "all" // the whole mesh
 	targetRoute  targetKind = "route"
 )
 
-// faultTargets are the targets that each kind of fault applies to, in the order in
-// which random faults draw from them.
+// faultTargets maps each kind of fault to the kinds of target that it applies to. Random
+// faults draw from the lists, so their order must stay.
 var faultTargets = map[FaultKind][]targetKind{
 	Crash:       {targetLeader, targetMember, targetNode, targetServer},
 	PowerLoss:   {targetLeader, targetMember, targetNode, targetZone, targetAll},
@@ -86,8 +86,8 @@
 	return targetKind(kind), rest
 }
 
-// targetIndex returns the index of a fault's target among those of its kind; -1: there
-// is none. A server's index counts over all services.
+// targetIndex returns the index of a fault's target among those of its kind, or -1 if the
+// target does not exist. A server's index counts over all services.
 func (s *Scenario) targetIndex(f Fault) int {
 	kind, rest := f.target()
 	switch kind {
@@ -107,8 +107,8 @@
 	return -1
 }
 
-// serverIndex returns the index of a server, written as "service number". With share
-// it may be written as "service", which is its first one.
+// serverIndex returns the index of a server that is written as "service number", or -1 if
+// it does not exist. With share, "service" alone names the service's first server.
 func (s *Scenario) serverIndex(text string, share bool) int {
 	name, number, numbered := strings.Cut(text, " ")
 	first := 0
@@ -128,7 +128,7 @@
 	return -1
 }
 
-// indexBelow reads an index below a count; -1: it is none.
+// indexBelow parses an index. It returns -1 if the text is not a number from 0 to count-1.
 func indexBelow(count int, text string) int {
 	i := -1
 	if _, err := fmt.Sscan(text, &i); err != nil || i < 0 || i >= count {
--- a/internal/simulation/lab/faults.go
+++ b/internal/simulation/lab/faults.go
@@ -10,14 +10,14 @@
 	"ivydeck/internal/controlplane/raft"
 )
 
-// injectFault injects a fault, which ends after its time.
+// injectFault injects a fault and schedules its end.
 func (s *sim) injectFault(f Fault) {
 	i := s.scenario.targetIndex(f)
 	if f.Share > 0 {
-		s.injectIntoShare(f, s.servers[i].kind)
+		s.injectIntoShare(f, s.servers[i].service)
 		return
 	}
-	s.note("%s of %s for %g s", f.Kind, f.Target, f.ForS)
+	s.recordEvent("%s of %s for %g s", f.Kind, f.Target, f.ForS)
 	kind, _ := f.target()
 	if kind == targetLeader {
 		kind, i = targetMember, s.leaderIndex(i)
@@ -28,25 +28,24 @@
 		return
 	}
 	s.at(until, func() {
-		s.note("end of %s of %s", f.Kind, f.Target)
+		s.recordEvent("end of %s of %s", f.Kind, f.Target)
 		end()
 	})
 }
 
-// injectIntoShare injects a fault into a share of all servers of a service, evenly
-// spread.
+// injectIntoShare injects a fault into a share of a service's servers, evenly spread.
 func (s *sim) injectIntoShare(f Fault, service *Service) {
 	for n := range max(1, int(f.Share*float64(service.Servers)+0.5)) {
-		one := f
-		one.Share, one.Target = 0, fmt.Sprintf("%s %s %d", targetServer, service.Name, int(float64(n)/f.Share)%service.Servers)
-		s.injectFault(one)
+		single := f
+		single.Share, single.Target = 0, fmt.Sprintf("%s %s %d", targetServer, service.Name, int(float64(n)/f.Share)%service.Servers)
+		s.injectFault(single)
 	}
 }
 
-// leaderIndex is the index of the quorum member that leads, or otherwise where none
-// does.
-func (s *sim) leaderIndex(otherwise int) int {
-	index := otherwise
+// leaderIndex returns the index of the leader among the quorum members, or fallback if
+// there is no leader.
+func (s *sim) leaderIndex(fallback int) int {
+	index := fallback
 	for n, m := range s.members {
 		if m.up && m.raft.IsLeader() {
 			index = n
@@ -55,8 +54,8 @@
 	return index
 }
 
-// inject injects a fault into the i-th target of a kind, and returns what ends it; nil:
-// it ends by itself.
+// inject injects a fault into the i-th target of a kind. It returns a function that ends
+// the fault, or nil if the fault ends by itself.
 func (s *sim) inject(f Fault, kind targetKind, i int, until time.Duration) (end func()) {
 	switch kind {
 	case targetMember:
@@ -68,8 +67,8 @@
 	case targetZone, targetAll:
 		return s.injectIntoZone(f, kind, i)
 	}
-	s.burst[i] *= f.Factor // of a route
-	return func() { s.burst[i] /= f.Factor }
+	s.rateFactors[i] *= f.Factor // LoadBurst, whose target is a route
+	return func() { s.rateFactors[i] /= f.Factor }
 }
 
 func (s *sim) injectIntoMember(f Fault, m *quorumMember, until time.Duration) (end func()) {
@@ -89,7 +88,7 @@
 	return m.restart
 }
 
-// restart starts a quorum member unless it runs.
+// restart starts the quorum member unless it is running.
 func (m *quorumMember) restart() {
 	if !m.up {
 		m.start()
@@ -127,7 +126,8 @@
 	return func() {}
 }
 
-// injectIntoZone injects a fault into all machines of a zone, or into all machines.
+// injectIntoZone injects a fault into all machines of a zone or of the mesh, or into the
+// network.
 func (s *sim) injectIntoZone(f Fault, kind targetKind, zone int) (end func()) {
 	switch f.Kind {
 	case Partition:
@@ -161,29 +161,29 @@
 	}
 }
 
-// injectLoss loses a share of all segments. Losses that overlap do not add up; the
-// highest counts.
+// injectLoss drops a share of all segments. The highest share among overlapping
+// faults applies.
 func (s *sim) injectLoss(share float64) (end func()) {
-	s.losses = append(s.losses, share)
-	s.Loss = max(s.scenario.Net.Loss, slices.Max(s.losses))
+	s.lossShares = append(s.lossShares, share)
+	s.Loss = max(s.scenario.Net.Loss, slices.Max(s.lossShares))
 	return func() {
-		i := slices.Index(s.losses, share)
-		s.losses = slices.Delete(s.losses, i, i+1)
-		s.Loss = slices.Max(append(s.losses, s.scenario.Net.Loss))
+		i := slices.Index(s.lossShares, share)
+		s.lossShares = slices.Delete(s.lossShares, i, i+1)
+		s.Loss = slices.Max(append(s.lossShares, s.scenario.Net.Loss))
 	}
 }
 
-// chaos injects random faults at random times. A fault that takes a quorum member's
-// disk waits until what was acknowledged is on all disks again: the control plane
-// tolerates one loss at a time.
-func (s *sim) chaos() {
+// scheduleChaos schedules a random fault, and then itself again. A fault that loses a quorum
+// member's disk is injected only while all disks hold all committed entries, because the
+// control plane tolerates one loss at a time.
+func (s *sim) scheduleChaos() {
 	c := s.scenario.Chaos
 	end := sec(s.scenario.Seconds) - chaosFreeEnd
 	s.after(sec(c.EveryS*-math.Log(1-s.rng.Float64())), func() {
 		if s.now >= end {
 			return
 		}
-		s.chaos()
+		s.scheduleChaos()
 		if f, ok := s.randomFault(); ok {
 			f.ForS = min(f.ForS, (end - s.now).Seconds())
 			s.injectFault(f)
@@ -191,7 +191,7 @@
 	})
 }
 
-// randomFault draws a fault; ok: it may be injected now.
+// randomFault draws a fault. ok reports whether the fault may be injected now.
 func (s *sim) randomFault() (f Fault, ok bool) {
 	kinds := s.scenario.Chaos.Kinds
 	if len(kinds) == 0 {
@@ -214,7 +214,7 @@
 	return f, true
 }
 
-// randomTarget draws a target of a kind.
+// randomTarget draws a target of a kind, in the form of Fault.Target.
 func (s *sim) randomTarget(kind targetKind) string {
 	switch kind {
 	case targetMember:
@@ -232,8 +232,8 @@
 	return string(kind)
 }
 
-// fullyReplicated reports whether all quorum members are voters with all committed
-// entries.
+// fullyReplicated reports whether all quorum members are running, connected voters that
+// have all committed entries.
 func (s *sim) fullyReplicated() bool {
 	newest := uint64(0)
 	for _, m := range s.members {
@@ -246,7 +246,7 @@
 	return !slices.ContainsFunc(s.members, func(m *quorumMember) bool { return m.raft.Committed() < newest })
 }
 
-// partitionZone begins or ends a partition between a zone and all others.
+// partitionZone starts or ends a partition between a zone and all others.
 func (s *sim) partitionZone(zone int, partitioned bool) {
 	a := zoneName(zone)
 	for other := range s.scenario.Zones {
@@ -256,13 +256,13 @@
 	}
 }
 
-// flap stops a server and starts it again, a turn each, until a time.
-func (s *sim) flap(v *server, turn, until time.Duration) {
+// flap stops and starts a server alternately, once a period, until the given time.
+func (s *sim) flap(v *server, period, until time.Duration) {
 	v.stop()
-	s.at(min(until, s.now+turn), func() {
+	s.at(min(until, s.now+period), func() {
 		s.startServer(v)
-		if s.now+turn < until {
-			s.after(turn, func() { s.flap(v, turn, until) })
+		if s.now+period < until {
+			s.after(period, func() { s.flap(v, period, until) })
 		}
 	})
 }
--- a/internal/simulation/lab/forwarding.go
+++ b/internal/simulation/lab/forwarding.go
@@ -10,51 +10,52 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// rejectedRetryAfter is what a node without a configuration advises.
+// rejectedRetryAfter is the retry delay in responses of a node without a configuration.
 const rejectedRetryAfter = 500 * time.Millisecond
 
-// ticket is a request that waits for a slot at a server.
-type ticket struct{ granted func(bool) }
+// ticket is a request that waits for a slot at a server. onDecision is called with true
+// if it gets one, and with false if it is rejected.
+type ticket struct{ onDecision func(bool) }
 
-// deliver tells waiting requests whether they have a slot.
-func (n *node) deliver(grants []localserver.SlotGrant[*ticket]) {
+// deliverGrants calls the onDecision functions of waiting requests.
+func (n *node) deliverGrants(grants []localserver.SlotGrant[*ticket]) {
 	for _, grant := range grants {
-		grant.Ticket.granted(grant.Granted)
+		grant.Ticket.onDecision(grant.Granted)
 	}
 }
 
-// refresh brings the routing table up to date, and reports whether there is a
-// configuration. The real node does so at each update; here it waits for a request.
-func (n *node) refresh() bool {
-	members := n.group.Version()
-	if members != n.membersVersion {
-		n.cluster.SetMembers(n.group.Members(), func(name string) bool { return n.group.DeadFor(n.s.now, name) > 0 })
+// refreshTable updates the routing table and reports whether there is a configuration.
+// The real node does so at each update, the simulated one at each request.
+func (n *node) refreshTable() bool {
+	version := n.memberlist.Version()
+	if version != n.membersVersion {
+		n.cluster.SetMembers(n.memberlist.Members(), func(name string) bool { return n.memberlist.DeadFor(n.sim.now, name) > 0 })
 	}
-	if n.hub.Index() != n.cluster.Index() || members != n.membersVersion {
-		n.membersVersion = members
+	if n.hub.Index() != n.cluster.Index() || version != n.membersVersion {
+		n.membersVersion = version
 		n.cluster.Apply(n.hub.State(n.cluster.Index()))
-		n.table.Update(n.s.now, n.cluster.ClusterState())
+		n.table.Update(n.sim.now, n.cluster.ClusterState())
 	}
 	return n.table.ClusterState().Config != nil
 }
 
-// exchange is a request at the node that took it from a client or a local server.
+// exchange is a request at the node that received it from a client or a local server.
 type exchange struct {
 	node        *node
-	incarnation uint64 // of the node
+	incarnation uint64 // of the node's process that received the request
 	attempt     *attempt
 	routed      *router.Request
-	inner       bool // it is a call made by a local server
-	over        bool
-	inFlight    int // attempts at servers
+	inner       bool // a call made by a local server
+	ended       bool
+	inFlight    int // attempts at servers without an outcome
 	done        func(router.Response)
 }
 
-// handle routes one request and calls done with its response, of which RetryAfter is
-// positive if it promises that the request has not run.
+// handle routes one request and calls done with its response. A positive RetryAfter in
+// the response states that the request did not run.
 func (n *node) handle(t *attempt, done func(router.Response)) {
-	s := n.s
-	if !n.refresh() {
+	s := n.sim
+	if !n.refreshTable() {
 		done(router.Response{Status: 503, Reason: "no configuration", RetryAfter: rejectedRetryAfter})
 		return
 	}
@@ -79,15 +80,15 @@
 	x.next()
 }
 
-// alive reports whether the node's process is still the one that took the request.
+// alive reports whether the node's process that received the request is still running.
 func (x *exchange) alive() bool { return x.node.up && x.node.incarnation == x.incarnation }
 
-// next takes the router's next action.
+// next executes the router's next action.
 func (x *exchange) next() {
 	if !x.alive() {
 		return
 	}
-	s := x.node.s
+	s := x.node.sim
 	switch action := x.routed.Next(s.now); {
 	case action.Response != nil:
 		x.end(*action.Response)
@@ -101,23 +102,23 @@
 	}
 }
 
-// hedge sends a second attempt if the first has had no response.
+// hedge sends a second attempt if the first has no response yet.
 func (x *exchange) hedge() {
-	if x.over || x.inFlight != 1 || !x.alive() {
+	if x.ended || x.inFlight != 1 || !x.alive() {
 		return
 	}
-	if action, ok := x.routed.Hedge(x.node.s.now); ok {
+	if action, ok := x.routed.Hedge(x.node.sim.now); ok {
 		x.send(action)
 	}
 }
 
-// send makes an attempt at a server.
+// send sends an attempt to a server and handles its outcome.
 func (x *exchange) send(action router.Action) {
-	s := x.node.s
+	s := x.node.sim
 	x.inFlight++
-	x.node.attempt(x.attempt, x.routed, action, func(response *wire.ForwardResponse, result decide.Result) {
+	x.node.sendAttempt(x.attempt, x.routed, action, func(response *wire.ForwardResponse, result decide.Result) {
 		x.inFlight--
-		if x.over {
+		if x.ended {
 			x.routed.HandleLateOutcome(s.now, action.Server, response, result)
 			return
 		}
@@ -135,29 +136,30 @@
 
 // end ends the exchange with a response.
 func (x *exchange) end(response router.Response) {
-	x.over = true
-	x.routed.End(x.node.s.now)
+	x.ended = true
+	x.routed.End(x.node.sim.now)
 	if x.inner && response.Status >= 400 {
 		x.node.admission.CallFailed(x.attempt.id)
 	}
 	x.done(response)
 }
 
-// attempt sends a request to the node beside a server.
-func (n *node) attempt(t *attempt, r *router.Request, action router.Action, done func(*wire.ForwardResponse, decide.Result)) {
-	s := n.s
+// sendAttempt sends a request to the node of the chosen server, and calls done with the
+// node's response and the result of the attempt.
+func (n *node) sendAttempt(t *attempt, routed *router.Request, action router.Action, done func(*wire.ForwardResponse, decide.Result)) {
+	s := n.sim
 	server, _ := n.table.ClusterState().Servers.Get(action.Server)
 	if server == nil {
 		done(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: true}, decide.NotSent)
 		return
 	}
-	to := s.nodes[s.index[server.Node]]
+	to := s.nodes[s.nodeIndexes[server.Node]]
 	request := localserver.Request{
-		Member: action.Server, Service: r.Service, Attempt: t.id, Priority: r.Priority, Repeat: action.Retry, Wait: action.MayQueue,
-		Call: health.Call{Zone: n.zone, TypicalLatency: action.TypicalLatency, NonIdempotent: r.NonIdempotent(), IgnoreEjection: action.IgnoreEjection},
+		Member: action.Server, Service: routed.Service, Attempt: t.id, Priority: routed.Priority, Repeat: action.Retry, Wait: action.MayQueue,
+		Call: health.Call{Zone: n.zone, TypicalLatency: action.TypicalLatency, NonIdempotent: routed.NonIdempotent(), IgnoreEjection: action.IgnoreEjection},
 	}
-	deadline := r.Deadline
-	retries := r.Attempts()
+	deadline := routed.Deadline
+	retries := routed.Attempts()
 	s.call(&n.machine, &to.machine, headerBytes, max(0, deadline-s.now), func(answer func(int, func())) {
 		to.forward(t, request, deadline, retries, func(response *wire.ForwardResponse) {
 			answer(headerBytes, func() { done(response, router.Result(response)) })
@@ -174,28 +176,29 @@
 	})
 }
 
-// queueMargin is how long before its deadline a request leaves a server's queue.
+// queueMargin is the time before a request's deadline at which it is removed from a
+// server's queue.
 const queueMargin = 5 * time.Millisecond
 
-// forwarded is a request at the node beside its server.
-type forwarded struct {
+// forwardedRequest is a request at the node of the chosen server.
+type forwardedRequest struct {
 	node        *node
-	incarnation uint64 // of the node
+	incarnation uint64 // of the node's process that received the request
 	attempt     *attempt
 	request     localserver.Request
 	deadline    time.Duration
-	retries     int // attempts before this one
-	decided     bool
+	retries     int  // attempts before this one
+	decided     bool // it has left the queue
 	done        func(*wire.ForwardResponse)
 }
 
-// forward passes a request to the server beside this node, queues it or rejects it.
+// forward passes a request to the local server, queues it or rejects it.
 func (n *node) forward(t *attempt, request localserver.Request, deadline time.Duration, retries int, done func(*wire.ForwardResponse)) {
-	s := n.s
-	f := &forwarded{node: n, incarnation: n.incarnation, attempt: t, request: request, deadline: deadline, retries: retries, done: done}
-	waiting := &ticket{granted: f.slotDecided}
+	s := n.sim
+	f := &forwardedRequest{node: n, incarnation: n.incarnation, attempt: t, request: request, deadline: deadline, retries: retries, done: done}
+	waiting := &ticket{onDecision: f.handleSlotDecision}
 	admission, _, grants := n.admission.Arrive(s.now, request, waiting)
-	n.deliver(grants)
+	n.deliverGrants(grants)
 	switch admission {
 	case localserver.Slot:
 		f.run()
@@ -216,13 +219,13 @@
 	}
 }
 
-func (f *forwarded) alive() bool { return f.node.up && f.node.incarnation == f.incarnation }
+func (f *forwardedRequest) alive() bool { return f.node.up && f.node.incarnation == f.incarnation }
 
-// slotDecided takes the end of the time in the queue. It runs the request in an event
-// of its own: the registry is not to be called while it hands out slots.
-func (f *forwarded) slotDecided(granted bool) {
+// handleSlotDecision is called when the request leaves the queue. It continues in a
+// separate event, because the registry must not be called while it grants slots.
+func (f *forwardedRequest) handleSlotDecision(granted bool) {
 	f.decided = true
-	s := f.node.s
+	s := f.node.sim
 	s.after(0, func() {
 		switch {
 		case !f.alive():
@@ -235,33 +238,34 @@
 	})
 }
 
-// reject answers that the request was not sent to the server.
-func (f *forwarded) reject(queued bool) {
+// reject responds that the request was not sent to the server.
+func (f *forwardedRequest) reject(queued bool) {
 	f.done(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Queued: queued})
 }
 
-// run gives the request to the server.
-func (f *forwarded) run() {
-	n, s := f.node, f.node.s
+// run passes the request to the server.
+func (f *forwardedRequest) run() {
+	n, s := f.node, f.node.sim
 	if n.server == nil || n.server.id != f.request.Member || !n.server.up {
 		finished := n.admission.Finish(s.now, f.request.Member, f.request.Attempt, health.Broken)
-		n.deliver(finished.Verdicts)
+		n.deliverGrants(finished.Verdicts)
 		f.reject(finished.Queued)
 		return
 	}
-	began := s.now
+	startedAt := s.now
 	n.server.handle(f.attempt, f.request, f.deadline, f.retries, func(status int32, result wire.ForwardResponse_Result) {
 		if f.alive() {
-			f.finish(&wire.ForwardResponse{Result: result, Status: status, TookMs: uint32((s.now - began).Milliseconds())})
+			f.finish(&wire.ForwardResponse{Result: result, Status: status, TookMs: uint32((s.now - startedAt).Milliseconds())})
 		}
 	})
 }
 
-// finish takes the server's response, and adds the load that the node has measured.
-func (f *forwarded) finish(response *wire.ForwardResponse) {
-	n, s := f.node, f.node.s
+// finish frees the slot and responds with the server's response, to which it adds the
+// load that the node measures.
+func (f *forwardedRequest) finish(response *wire.ForwardResponse) {
+	n, s := f.node, f.node.sim
 	finished := n.admission.Finish(s.now, f.request.Member, f.request.Attempt, localserver.ResultOf(response))
-	n.deliver(finished.Verdicts)
+	n.deliverGrants(finished.Verdicts)
 	response.Queued = finished.Queued
 	response.RelativeLatency, response.Utilization = float32(finished.RelativeLatency), float32(finished.Utilization)
 	for _, c := range finished.Called {
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -21,96 +21,96 @@
 	return w
 }
 
-// TestTown runs a scenario with faults: it repeats by its seed, no invariant is violated, and
-// the lowest priority is refused first in overload.
+// TestTown runs a scenario with faults. It checks that runs with the same seed are equal, that no invariant is violated,
+// and that requests of the lowest priority are refused first in overload.
 func TestTown(t *testing.T) {
-	w := townScenario(t)
-	a, b, c := Run(w, 1), Run(w, 1), Run(w, 2)
+	scenario := townScenario(t)
+	a, b, c := Run(scenario, 1), Run(scenario, 1), Run(scenario, 2)
 	if a.Fingerprint != b.Fingerprint || a.Total != b.Total {
-		t.Errorf("the same seed gave %v and %v", a.Total, b.Total)
+		t.Errorf("two runs with seed 1 differ: totals %v and %v", a.Total, b.Total)
 	}
 	if a.Fingerprint == c.Fingerprint {
-		t.Error("another seed went alike")
+		t.Error("runs with seeds 1 and 2 have the same fingerprint")
 	}
-	for _, r := range []*Result{a, c} {
-		if len(r.Violations) > 0 {
-			t.Errorf("seed %d: %s\n%s", r.Seed, strings.Join(r.Violations, "\n"), strings.Join(r.RecentEvents, "\n"))
+	for _, result := range []*Result{a, c} {
+		if len(result.Violations) > 0 {
+			t.Errorf("seed %d: %s\n%s", result.Seed, strings.Join(result.Violations, "\n"), strings.Join(result.RecentEvents, "\n"))
 		}
-		total := r.Total
+		total := result.Total
 		if total.OnTime+total.Late+total.Refused+total.Failed < total.Requests*9/10 {
-			t.Errorf("seed %d: %+v does not add up", r.Seed, total)
+			t.Errorf("seed %d: less than 9/10 of the requests have an outcome: %+v", result.Seed, total)
 		}
 		refused := map[int]int{}
-		for _, s := range r.Seconds[15:20] { // the burst
+		for _, s := range result.Seconds[15:20] { // the burst
 			for p, n := range s.ByPriority {
 				refused[p] += n
 			}
 		}
 		if refused[2] < 100 || refused[0] > refused[2]/20 {
-			t.Errorf("seed %d: refused in the burst, by priority: %v", r.Seed, refused)
+			t.Errorf("seed %d: refused requests in the burst by priority: %v, want at least 100 of priority 2 and at most a twentieth as many of priority 0", result.Seed, refused)
 		}
-		if r.Elections < 2 || r.Acks < 4 || r.LagMaxMs <= 0 {
-			t.Errorf("seed %d: %d elections, %d changes, updates within %v ms", r.Seed, r.Elections, r.Acks, r.LagMaxMs)
+		if result.Elections < 2 || result.Acks < 4 || result.LagMaxMs <= 0 {
+			t.Errorf("seed %d: %d elections, %d acknowledged changes, maximum update lag %v ms; want at least 2, at least 4 and a positive lag", result.Seed, result.Elections, result.Acks, result.LagMaxMs)
 		}
 	}
 	var page bytes.Buffer
 	if err := Report(&page, []*Result{a, c}); err != nil || strings.Count(page.String(), "<svg") < 5 {
-		t.Errorf("a report of %d bytes: %v", page.Len(), err)
+		t.Errorf("Report wrote %d bytes with too few plots, or failed: %v", page.Len(), err)
 	}
 }
 
-// TestInvariantsAreChecked violates each invariant once by hand.
+// TestInvariantsAreChecked checks that a violation of each invariant is recorded.
 func TestInvariantsAreChecked(t *testing.T) {
-	w := townScenario(t)
-	for name, f := range map[string]func(s *sim){
-		"must not run twice": func(s *sim) {
-			q := &request{s: s, route: s.route("order")}
-			(&attempt{id: "a", request: q}).executed()
-			(&attempt{id: "b", request: q}).executed()
+	scenario := townScenario(t)
+	for want, violate := range map[string]func(s *sim){
+		"non-idempotent request": func(s *sim) {
+			req := &request{sim: s, route: s.route("order")}
+			(&attempt{id: "a", request: req}).recordRun()
+			(&attempt{id: "b", request: req}).recordRun()
 		},
-		"after a promise": func(s *sim) {
-			x := &attempt{id: "a", request: &request{s: s, route: s.route("browse")}}
-			x.answered(router.Response{Status: 503, RetryAfter: 1})
-			x.executed()
+		"after a response stated": func(s *sim) {
+			x := &attempt{id: "a", request: &request{sim: s, route: s.route("browse")}}
+			x.recordResponse(router.Response{Status: 503, RetryAfter: 1})
+			x.recordRun()
 		},
-		"promised not to have run": func(s *sim) {
-			x := &attempt{id: "a", request: &request{s: s, route: s.route("browse")}}
-			x.executed()
-			x.answered(router.Response{Status: 503, RetryAfter: 1})
+		"its response states that it did not": func(s *sim) {
+			x := &attempt{id: "a", request: &request{sim: s, route: s.route("browse")}}
+			x.recordRun()
+			x.recordResponse(router.Response{Status: 503, RetryAfter: 1})
 		},
-		"when to come back": func(s *sim) {
-			(&attempt{id: "a", request: &request{s: s, route: s.route("browse")}}).answered(router.Response{Status: 503})
+		"without a retry delay": func(s *sim) {
+			(&attempt{id: "a", request: &request{sim: s, route: s.route("browse")}}).recordResponse(router.Response{Status: 503})
 		},
 		"after the acknowledgement of its drain": func(s *sim) {
 			v := s.servers[0]
-			v.drainAcked, v.drainAckedAt = true, s.now-ms(w.DrainMs)-time.Millisecond
-			v.handle(&attempt{id: "a", request: &request{s: s, route: s.route("browse")}}, localserver.Request{Member: v.id, Service: v.kind.Name, Attempt: "a"}, s.now+time.Second, 0, nil)
+			v.drainAcked, v.drainAckedAt = true, s.now-ms(scenario.DrainMs)-time.Millisecond
+			v.handle(&attempt{id: "a", request: &request{sim: s, route: s.route("browse")}}, localserver.Request{Member: v.id, Service: v.service.Name, Attempt: "a"}, s.now+time.Second, 0, nil)
 		},
-		"was acknowledged": func(s *sim) {
+		"older than the acknowledged revision": func(s *sim) {
 			s.ackedRevision = 99
 			s.checkFinalState()
 		},
 		"is ready without revision 99": func(s *sim) {
 			n := s.nodes[0]
-			n.ready, n.mustKnow = false, 99
+			n.ready, n.requiredRevision = false, 99
 			n.startReadiness(n.incarnation)
 			s.run(7 * time.Second)
 		},
-		"shared budget": func(s *sim) {
+		"shared retry budget": func(s *sim) {
 			for range 1000 {
 				s.measurements.requestRetried(s.now, "shop")
 			}
 			s.measurements.result(s, 1)
 		},
 	} {
-		s := prepare(w, 1)
+		s := prepare(scenario, 1)
 		s.run(5 * time.Second)
 		if len(s.violations) > 0 {
-			t.Fatalf("before any violation: %v", s.violations)
+			t.Fatalf("violations before the invariant is broken: %v", s.violations)
 		}
-		f(s)
-		if len(s.violations) == 0 || !strings.Contains(s.violations[0], name) {
-			t.Errorf("%s: %v", name, s.violations)
+		violate(s)
+		if len(s.violations) == 0 || !strings.Contains(s.violations[0], want) {
+			t.Errorf("the first violation does not contain %q: %v", want, s.violations)
 		}
 	}
 }
@@ -147,116 +147,117 @@
 at_s = 1.0
 for_s = 1.0
 `)
-	for _, want := range []string{"grey needs a how", "share is 1.5", "speed is no key", "4 servers do not fit", "a known service", `calls "q"`, `no kind "melt"`, `no "server s 7"`, "at_s and for_s"} {
+	for _, want := range []string{"how must be one of", "share is 1.5", "unknown key speed", "4 servers do not fit", "a known service", `calls "q"`, `unknown kind "melt"`, `target "server s 7" does not exist`, "at_s must not be negative, and for_s"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("nothing about %q in: %v", want, err)
+			t.Errorf("Parse: error does not contain %q: %v", want, err)
 		}
 	}
-	w := townScenario(t)
-	v, err := w.Vary("service.1.slots", "3")
-	if err != nil || v.Services[1].Slots != 3 || w.Services[1].Slots == 3 {
-		t.Errorf("%v, %v", v, err)
+	scenario := townScenario(t)
+	varied, err := scenario.Vary("service.1.slots", "3")
+	if err != nil || varied.Services[1].Slots != 3 || scenario.Services[1].Slots == 3 {
+		t.Errorf("Vary service.1.slots=3: scenario %v, error %v", varied, err)
 	}
-	if v, err = w.Vary("net.loss", "0"); err != nil || v.Net.Loss != 0 {
-		t.Errorf("%v", err)
+	if varied, err = scenario.Vary("net.loss", "0"); err != nil || varied.Net.Loss != 0 {
+		t.Errorf("Vary net.loss=0: loss is not 0, or an error: %v", err)
 	}
 	for _, key := range []string{"service.9.slots", "nothing.at.all", "service.1.speed"} {
-		if _, err := w.Vary(key, "3"); err == nil {
-			t.Errorf("%s was set", key)
+		if _, err := scenario.Vary(key, "3"); err == nil {
+			t.Errorf("Vary accepted the unknown key %s", key)
 		}
 	}
 }
 
-// TestGreyServers: a sixth of the servers fails half of its runs, fast, so that it looks idle. Without health checks a
-// seventeenth of all requests fails; the application's own errors are 2 in 1,000.
+// TestGreyServers checks that health checks limit the effect of grey servers. A sixth of the servers fails half of its
+// runs quickly, so that its load looks low. Without health checks, 1/17 of all requests fail; the application's own errors
+// are 2 in 1,000.
 func TestGreyServers(t *testing.T) {
-	w, err := Load("../../../lab/ill.toml")
+	scenario, err := Load("../../../lab/ill.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Nodes, w.Services[0].Servers, w.Routes[0].Rate, w.Routes[1].Rate, w.Seconds = 20, 14, 120, 200, 36
-	for _, how := range []GreyMode{GreyError, GreyReset} {
-		w.Faults[0].Mode = how
-		r := Run(w, 1)
-		if len(r.Violations) > 0 {
-			t.Errorf("%s: %s", how, strings.Join(r.Violations, "\n"))
+	scenario.Nodes, scenario.Services[0].Servers, scenario.Routes[0].Rate, scenario.Routes[1].Rate, scenario.Seconds = 20, 14, 120, 200, 36
+	for _, mode := range []GreyMode{GreyError, GreyReset} {
+		scenario.Faults[0].Mode = mode
+		result := Run(scenario, 1)
+		if len(result.Violations) > 0 {
+			t.Errorf("%s: %s", mode, strings.Join(result.Violations, "\n"))
 		}
-		asked, failed, late := 0, 0, 0
-		for i, s := range r.Seconds[10:34] { // ill ones until 22, then flapping ones
-			asked, failed, late = asked+s.Requests, failed+s.Failed, late+s.Late
-			if s.Busy["desk"] < 40 { // of 14 servers' 168 slots, usually 70
-				t.Errorf("%s: in second %d only %.0f slots work", how, 10+i, s.Busy["desk"])
+		requests, failed, late := 0, 0, 0
+		for i, s := range result.Seconds[10:34] { // servers are grey until second 22, then some flap
+			requests, failed, late = requests+s.Requests, failed+s.Failed, late+s.Late
+			if s.Busy["desk"] < 40 { // 14 servers have 168 slots, of which about 70 are in use
+				t.Errorf("%s: in second %d only %.0f slots are in use, want at least 40", mode, 10+i, s.Busy["desk"])
 			}
 		}
-		if failed*100 > asked || late*50 > asked {
-			t.Errorf("%s: of %d requests %d failed and %d were late", how, asked, failed, late)
+		if failed*100 > requests || late*50 > requests {
+			t.Errorf("%s: of %d requests %d failed and %d were late, want at most 1/100 and 1/50", mode, requests, failed, late)
 		}
 	}
 }
 
-// TestSimultaneousStart: a thousand nodes start at once and subscribe to the quorum members, which feed no more of them than they may;
-// the others are fed by those.
+// TestSimultaneousStart checks that no machine feeds more than relay.MaxChildren nodes when a thousand nodes start at
+// once, and that after a second all nodes have the updates that the first quorum member had 0.1 s earlier.
 func TestSimultaneousStart(t *testing.T) {
-	w, err := Load("../../../lab/ill.toml")
+	scenario, err := Load("../../../lab/ill.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Nodes, w.Services[0].Servers, w.Seconds, w.Faults = 1000, 700, 1, nil
-	w.Routes[0].Rate, w.Routes[1].Rate = 0, 0
-	s := prepare(w, 1)
-	told := uint64(0)
-	for at := 100 * time.Millisecond; at <= sec(w.Seconds); at += 100 * time.Millisecond {
-		told = s.members[0].catalog.Index()
-		s.run(at)
-		for name, v := range s.views {
-			if v.liveChildren() > relay.MaxChildren {
-				t.Fatalf("after %v %s feeds %d children", at, name, v.liveChildren())
+	scenario.Nodes, scenario.Services[0].Servers, scenario.Seconds, scenario.Faults = 1000, 700, 1, nil
+	scenario.Routes[0].Rate, scenario.Routes[1].Rate = 0, 0
+	s := prepare(scenario, 1)
+	previousIndex := uint64(0)
+	for until := 100 * time.Millisecond; until <= sec(scenario.Seconds); until += 100 * time.Millisecond {
+		previousIndex = s.members[0].catalog.Index()
+		s.run(until)
+		for name, view := range s.peerViews {
+			if view.liveChildren() > relay.MaxChildren {
+				t.Fatalf("after %v %s feeds %d children, more than relay.MaxChildren", until, name, view.liveChildren())
 			}
 		}
 	}
-	for _, n := range s.nodes {
-		if n.hub.Index() < told {
-			t.Fatalf("%s has updates up to %d, %d were there 0.1 s ago", n.name, n.hub.Index(), told)
+	for _, node := range s.nodes {
+		if node.hub.Index() < previousIndex {
+			t.Fatalf("%s has updates up to %d, but the first quorum member had %d 0.1 s before", node.name, node.hub.Index(), previousIndex)
 		}
 	}
 }
 
 func TestIntervals(t *testing.T) {
-	m := Average([]float64{1, 2, 3, 4, 5}) // t of 4 degrees: 2.776; deviation 1.5811
-	if m.Mean != 3 || math.Abs(m.HalfWidth-1.963) > 0.001 {
-		t.Errorf("%v", m)
+	mean := Average([]float64{1, 2, 3, 4, 5}) // Student's t with 4 degrees of freedom: 2.776; standard deviation: 1.5811
+	if mean.Mean != 3 || math.Abs(mean.HalfWidth-1.963) > 0.001 {
+		t.Errorf("Average returned %v, want 3 ± 1.963", mean)
 	}
 	a, b := &Result{Seed: 1}, &Result{Seed: 2}
 	if _, err := Compare([]*Result{a}, []*Result{b}); err == nil {
-		t.Error("other seeds were paired")
+		t.Error("Compare paired results of different seeds")
 	}
 }
 
-// TestShrink keeps the fault and the route without which no invariant is violated.
+// TestShrink checks that Shrink keeps the fault and the route that the failure needs, and shortens the run.
 func TestShrink(t *testing.T) {
-	w := townScenario(t)
-	small := Shrink(w, func(x *Scenario) (float64, bool) {
+	scenario := townScenario(t)
+	shrunk := Shrink(scenario, func(candidate *Scenario) (float64, bool) {
 		drained, rate := false, 0.0
-		for _, tr := range x.Faults {
-			drained = drained || tr.Kind == Drain
+		for _, fault := range candidate.Faults {
+			drained = drained || fault.Kind == Drain
 		}
-		for _, r := range x.Routes {
-			if r.Name == "ask" {
-				rate = r.Rate
+		for _, route := range candidate.Routes {
+			if route.Name == "ask" {
+				rate = route.Rate
 			}
 		}
-		return 27, drained && rate > 0 && x.Seconds >= 27
+		return 27, drained && rate > 0 && candidate.Seconds >= 27
 	})
-	rates := 0
-	for _, r := range small.Routes {
-		if r.Rate > 0 {
-			rates++
+	activeRoutes := 0
+	for _, route := range shrunk.Routes {
+		if route.Rate > 0 {
+			activeRoutes++
 		}
 	}
-	if small.Seconds != 28 || len(small.Faults) != 1 || small.Faults[0].Kind != Drain || rates != 1 {
-		t.Errorf("%g s, %v, %d routes with clients", small.Seconds, small.Faults, rates)
+	if shrunk.Seconds != 28 || len(shrunk.Faults) != 1 || shrunk.Faults[0].Kind != Drain || activeRoutes != 1 {
+		t.Errorf("shrunk to %g s, faults %v and %d routes with clients; want 28 s, one drain and one route", shrunk.Seconds, shrunk.Faults, activeRoutes)
 	}
-	if len(w.Faults) < 3 || w.Routes[0].Rate == 0 {
-		t.Error("the scenario itself was changed")
+	if len(scenario.Faults) < 3 || scenario.Routes[0].Rate == 0 {
+		t.Error("Shrink changed its argument")
 	}
 }
--- a/internal/simulation/lab/measurements.go
+++ b/internal/simulation/lab/measurements.go
@@ -9,110 +9,112 @@
 	"ivydeck/internal/dataplane/router"
 )
 
-// measurements are what a run has measured so far.
+// measurements collects what a run measures.
 type measurements struct {
 	scenario        *Scenario
 	seconds         []Second
-	perSecond       []*hdrhistogram.Histogram
+	perSecond       []*hdrhistogram.Histogram // latencies of requests by the second in which they start
 	total           Counts
 	routes          map[string]*Counts
-	latency         map[string]*hdrhistogram.Histogram
-	lag             *hdrhistogram.Histogram
-	commits         map[uint64]time.Duration
-	newest          uint64
-	acks            []time.Duration
+	latency         map[string]*hdrhistogram.Histogram // by route
+	lag             *hdrhistogram.Histogram            // from the commit of an update to its receipt by a node
+	committedAt     map[uint64]time.Duration           // by update index
+	newestUpdate    uint64
+	ackLatencies    []time.Duration
 	elections       int
-	leaderlessSince time.Duration // since when there is no leader; negative: there is one
-	leaderless      time.Duration
+	leaderlessSince time.Duration // when the last leader was lost; negative while there is a leader
+	leaderlessTime  time.Duration
 	probes          int64
 	probeBytes      int64
 	feedBytes       int64
 	retries         int
-	retryBudget     float64
-	depth           int
+	maxRetryBudget  float64
+	maxRelayDepth   int
 	staleParents    int
-	disk            int
+	maxDiskBytes    int
 	requestsTo      map[string]*slidingCounter // by service
 	retriesOf       map[string]*slidingCounter // by service
 }
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) } // microseconds
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) } // in microseconds, up to ten minutes
 
-func newMeasurements(w *Scenario) *measurements {
+func newMeasurements(scenario *Scenario) *measurements {
 	return &measurements{
-		scenario: w, routes: map[string]*Counts{}, latency: map[string]*hdrhistogram.Histogram{}, lag: histogram(),
-		commits: map[uint64]time.Duration{}, requestsTo: map[string]*slidingCounter{}, retriesOf: map[string]*slidingCounter{},
+		scenario: scenario, routes: map[string]*Counts{}, latency: map[string]*hdrhistogram.Histogram{}, lag: newHistogram(),
+		committedAt: map[uint64]time.Duration{}, requestsTo: map[string]*slidingCounter{}, retriesOf: map[string]*slidingCounter{},
 	}
 }
 
-// second returns the record of the second that a time lies in.
+// second returns the record of the second that contains a time.
 func (m *measurements) second(now time.Duration) *Second {
-	at := int(now / time.Second)
-	for len(m.seconds) <= at {
+	index := int(now / time.Second)
+	for len(m.seconds) <= index {
 		m.seconds = append(m.seconds, Second{})
-		m.perSecond = append(m.perSecond, histogram())
+		m.perSecond = append(m.perSecond, newHistogram())
 	}
-	return &m.seconds[at]
+	return &m.seconds[index]
 }
 
 func (m *measurements) route(name string) *Counts {
 	if m.routes[name] == nil {
-		m.routes[name], m.latency[name] = &Counts{}, histogram()
+		m.routes[name], m.latency[name] = &Counts{}, newHistogram()
 	}
 	return m.routes[name]
 }
 
-func (m *measurements) requestStarted(now time.Duration, r *Route) {
+func (m *measurements) requestStarted(now time.Duration, route *Route) {
 	m.second(now).Requests++
-	m.route(r.Name).Requests++
+	m.route(route.Name).Requests++
 	m.total.Requests++
 }
 
-// refusalRetried counts a refusal after which the client retries.
+// refusalRetried counts a refused attempt that the client retries.
 func (m *measurements) refusalRetried(r *Route) {
 	m.route(r.Name).RetriedRefusals++
 	m.total.RetriedRefusals++
 }
 
-// requestEnded counts the end of a request, in the second in which it began.
-func (m *measurements) requestEnded(now time.Duration, q *request, f router.Response) {
-	sec := m.second(q.begun)
-	all := []*Counts{&sec.Counts, m.route(q.route.Name), &m.total}
-	took := now - q.begun
+// requestEnded counts the outcome of a request in the second in which the request started.
+func (m *measurements) requestEnded(now time.Duration, req *request, response router.Response) {
+	sec := m.second(req.startedAt)
+	all := []*Counts{&sec.Counts, m.route(req.route.Name), &m.total}
+	took := now - req.startedAt
 	count := func(f func(c *Counts)) {
 		for _, c := range all {
 			f(c)
 		}
 	}
 	switch {
-	case f.Status == 200:
-		us := max(1, took.Microseconds())
-		m.latency[q.route.Name].RecordValue(us)
-		m.perSecond[int(q.begun/time.Second)].RecordValue(us)
-		if took <= ms(q.route.TargetLatencyMs) {
+	case response.Status == 200:
+		micros := max(1, took.Microseconds())
+		m.latency[req.route.Name].RecordValue(micros)
+		m.perSecond[int(req.startedAt/time.Second)].RecordValue(micros)
+		if took <= ms(req.route.TargetLatencyMs) {
 			count(func(c *Counts) { c.OnTime++; c.Value += valueOnTime })
 		} else {
 			count(func(c *Counts) { c.Late++; c.Value += valueLate })
 		}
-	case f.RetryAfter > 0:
+	case response.RetryAfter > 0:
 		count(func(c *Counts) { c.Refused++ })
-		for len(sec.ByPriority) <= q.route.Priority {
+		for len(sec.ByPriority) <= req.route.Priority {
 			sec.ByPriority = append(sec.ByPriority, 0)
 		}
-		sec.ByPriority[q.route.Priority]++
+		sec.ByPriority[req.route.Priority]++
 	default:
 		count(func(c *Counts) { c.Failed++ })
 	}
 }
 
-// slidingCounter counts events in a window that ends now.
+// slidingCounter counts events in a sliding window.
 type slidingCounter struct {
 	times []time.Duration
-	first int
+	first int // index of the first time in the window
 }
 
 func (s *slidingCounter) add(now time.Duration) { s.times = append(s.times, now) }
 
+// count returns the number of events after since. Later calls must not pass an earlier
+// time, as events outside the window are dropped.
 func (s *slidingCounter) count(since time.Duration) int {
 	for s.first < len(s.times) && s.times[s.first] <= since {
 		s.first++
@@ -124,49 +126,50 @@
 	return len(s.times) - s.first
 }
 
-func window(m map[string]*slidingCounter, service string) *slidingCounter {
-	if m[service] == nil {
-		m[service] = &slidingCounter{}
+// counterFor returns the counter of a service, and creates it if it is missing.
+func counterFor(counters map[string]*slidingCounter, service string) *slidingCounter {
+	if counters[service] == nil {
+		counters[service] = &slidingCounter{}
 	}
-	return m[service]
+	return counters[service]
 }
 
 // requestEntered counts a request for a service.
 func (m *measurements) requestEntered(now time.Duration, service string) {
-	window(m.requestsTo, service).add(now)
+	counterFor(m.requestsTo, service).add(now)
 }
 
-// requestRetried counts a retry, and the share of the retry budget that is used.
+// requestRetried counts a retry, and records the used share of the retry budget.
 func (m *measurements) requestRetried(now time.Duration, service string) {
 	m.retries++
 	m.second(now).Retries++
 	since := now - sec(m.scenario.Retry.WindowS)
-	w := window(m.retriesOf, service)
-	w.add(now)
-	used := float64(w.count(since)) / (m.scenario.Retry.Ratio*float64(window(m.requestsTo, service).count(since)) + m.scenario.Retry.Slack)
-	m.retryBudget = max(m.retryBudget, used)
+	retries := counterFor(m.retriesOf, service)
+	retries.add(now)
+	used := float64(retries.count(since)) / (m.scenario.Retry.Ratio*float64(counterFor(m.requestsTo, service).count(since)) + m.scenario.Retry.Slack)
+	m.maxRetryBudget = max(m.maxRetryBudget, used)
 	m.second(now).RetryBudget = max(m.second(now).RetryBudget, used)
 }
 
-// updateCommitted records when an update was first applied by a quorum member.
-func (m *measurements) updateCommitted(now time.Duration, number uint64) {
-	if number > m.newest {
-		m.newest = number
-		m.commits[number] = now
+// updateCommitted records when the first quorum member applies an update.
+func (m *measurements) updateCommitted(now time.Duration, index uint64) {
+	if index > m.newestUpdate {
+		m.newestUpdate = index
+		m.committedAt[index] = now
 	}
 }
 
-// updatesReceived records that a node has received the updates after one index up to
-// another.
+// updatesReceived records the lag of the updates from before+1 to after, which a node has
+// received.
 func (m *measurements) updatesReceived(now time.Duration, before, after uint64) {
-	if before == 0 { // a new incarnation, which receives the full state
+	if before == 0 { // a restarted node, which receives the full state
 		return
 	}
-	for n := before + 1; n <= after; n++ {
-		if at, ok := m.commits[n]; ok {
-			m.lag.RecordValue(max(1, (now - at).Microseconds()))
+	for index := before + 1; index <= after; index++ {
+		if committed, ok := m.committedAt[index]; ok {
+			m.lag.RecordValue(max(1, (now - committed).Microseconds()))
 			sec := m.second(now)
-			sec.LagMs = max(sec.LagMs, float64((now-at).Microseconds())/1000)
+			sec.LagMs = max(sec.LagMs, float64((now-committed).Microseconds())/1000)
 		}
 	}
 }
@@ -180,7 +183,7 @@
 	sec.Busy[service] += took.Seconds()
 }
 
-// leaderElected counts an election.
+// leaderElected counts an election and ends the time without a leader.
 func (m *measurements) leaderElected(now time.Duration) {
 	m.elections++
 	if m.leaderlessSince >= 0 {
@@ -189,9 +192,9 @@
 	m.leaderlessSince = -1
 }
 
-// countLeaderless adds the time without a leader that ends now.
+// countLeaderless adds the time without a leader up to now, split by second.
 func (m *measurements) countLeaderless(now time.Duration) {
-	m.leaderless += now - m.leaderlessSince
+	m.leaderlessTime += now - m.leaderlessSince
 	for at := m.leaderlessSince; at < now; {
 		next := min(now, at.Truncate(time.Second)+time.Second)
 		m.second(at).Leaderless += (next - at).Seconds()
@@ -199,7 +202,8 @@
 	}
 }
 
-// leaderLost records that a machine is not the leader any more; another may be one.
+// leaderLost records that a machine is no longer the leader. another reports whether there
+// is another leader.
 func (m *measurements) leaderLost(now time.Duration, another bool) {
 	if m.leaderlessSince < 0 && !another {
 		m.leaderlessSince = now
--- a/internal/simulation/lab/network.go
+++ b/internal/simulation/lab/network.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// machine is a machine on the network, and the process that runs on it.
+// machine is a host on the network and the process that runs on it.
 type machine struct {
 	name, zone     string
 	isQuorumMember bool
-	incarnation    uint64 // of the process; a later one is higher
-	up             bool   // the process runs
+	incarnation    uint64 // of the process; increases with each start
+	up             bool   // the process is running
 	powered        bool
-	partitioned    bool           // no message gets through
-	sendUntil      time.Duration  // when its outgoing link is free again
-	calls          []*pendingCall // by others, in progress here
+	partitioned    bool           // all its messages are dropped
+	sendUntil      time.Duration  // when the outgoing link has sent all queued bytes
+	pendingCalls   []*pendingCall // incoming calls; those that ended are removed in batches
 	sentBytes      int64
-	crossZoneBytes int64 // of sentBytes, to other zones
+	crossZoneBytes int64 // part of sentBytes that goes to other zones
 }
 
-// network delivers messages between machines, and fails to during partitions.
+// network delivers messages between machines, and drops those between partitioned ones.
 type network struct {
 	*engine
 	Net
-	partitions map[[2]string]bool // pairs of zones between which no message gets through
+	partitions map[[2]string]bool // partitioned pairs of sending and receiving zone
 }
 
-// reaches reports whether messages get from a to b.
+// reaches reports whether no partition separates a and b.
 func (n *network) reaches(a, b *machine) bool {
 	return a == b || !a.partitioned && !b.partitioned && !n.partitions[[2]string{a.zone, b.zone}]
 }
 
-// delay is how long a message of a size takes.
+// delay returns the transmission time of a message. It counts the bytes sent and advances
+// the sender's link.
 func (n *network) delay(from, to *machine, size int) time.Duration {
 	if from == to {
 		return 20 * time.Microsecond
@@ -52,14 +53,14 @@
 	return d
 }
 
-// post sends a message and calls f when it arrives. It is lost if it does not get
-// through, or if the process that it was sent to has ended.
-func (n *network) post(from, to *machine, size int, f func()) {
+// send sends a message and calls f when it arrives. The message is dropped if a partition
+// separates the machines, or if the receiving process stops before it arrives.
+func (n *network) send(from, to *machine, size int, f func()) {
 	n.stream(from, to, size, new(time.Duration), f)
 }
 
-// stream is post for messages of one connection, which keep their order; last is when
-// the previous one arrives.
+// stream is send for messages of one connection, which arrive in order. last holds the
+// arrival time of the connection's previous message.
 func (n *network) stream(from, to *machine, size int, last *time.Duration, f func()) {
 	if !from.up || !n.reaches(from, to) || !to.up {
 		return
@@ -73,29 +74,30 @@
 	})
 }
 
-// pendingCall is a call in progress.
+// pendingCall is a call that has no response yet.
 type pendingCall struct {
-	over bool
-	fail func(sent bool)
+	ended bool
+	fail  func(sent bool)
 }
 
 func (p *pendingCall) end(sent bool) {
-	if !p.over {
-		p.over = true
+	if !p.ended {
+		p.ended = true
 		p.fail(sent)
 	}
 }
 
 const (
-	unreachableTimeout = 300 * time.Millisecond // of calls to a machine that is not reached
-	powerLossTimeout   = 1800 * time.Millisecond
-	maxKeptCalls       = 64 // calls of a machine at which finished ones are dropped
-	rpcBytes           = 40 // size of the frame around a message
+	unreachableTimeout = 300 * time.Millisecond  // of calls to a partitioned machine or one without power
+	powerLossTimeout   = 1800 * time.Millisecond // until callers notice that a machine lost power
+	maxKeptCalls       = 64                      // length of machine.pendingCalls from which ended calls are removed
+	rpcBytes           = 40                      // framing overhead of a message
 )
 
-// call sends a request to another machine. serve handles it there, and may answer.
-// fail is called if no answer came within wait; sent is false if the request was
-// certainly not delivered. Neither is called once the caller's process has ended.
+// call sends a request to another machine. serve handles the request there; it may call
+// answer, which calls take at the caller when the response arrives. fail is called if no
+// response arrives within wait; sent is false if the request was certainly not delivered.
+// Neither take nor fail is called after the caller's process has stopped.
 func (n *network) call(from, to *machine, size int, wait time.Duration, serve func(answer func(size int, take func())), fail func(sent bool)) {
 	incarnation := from.incarnation
 	p := &pendingCall{fail: func(sent bool) {
@@ -107,38 +109,38 @@
 	case !n.reaches(from, to) || !to.powered:
 		n.after(min(wait, unreachableTimeout), func() { p.end(false) })
 		return
-	case !to.up: // connection refused
+	case !to.up: // the connection is refused
 		n.after(2*n.delay(from, to, rpcBytes), func() { p.end(false) })
 		return
 	}
-	to.calls = append(to.calls, p)
+	to.pendingCalls = append(to.pendingCalls, p)
 	n.after(wait, func() { p.end(true) })
-	n.post(from, to, size+rpcBytes, func() {
+	n.send(from, to, size+rpcBytes, func() {
 		serve(func(size int, take func()) {
-			n.post(to, from, size+rpcBytes, func() {
-				if !p.over && from.incarnation == incarnation {
-					p.over = true
+			n.send(to, from, size+rpcBytes, func() {
+				if !p.ended && from.incarnation == incarnation {
+					p.ended = true
 					take()
 				}
 			})
 		})
 	})
-	if len(to.calls) > maxKeptCalls {
-		to.calls = slices.DeleteFunc(to.calls, func(c *pendingCall) bool { return c.over })
+	if len(to.pendingCalls) > maxKeptCalls {
+		to.pendingCalls = slices.DeleteFunc(to.pendingCalls, func(c *pendingCall) bool { return c.ended })
 	}
 }
 
-// stop ends a machine's process. Its callers see the broken connections at once, or
-// after powerLossTimeout if the machine has no power.
+// stop stops a machine's process. Its callers notice the broken connections after a link
+// delay, or after powerLossTimeout if the machine loses power.
 func (n *network) stop(m *machine, power bool) {
 	m.up, m.powered = false, !power
-	wait := ms(n.LinkMs)
+	noticeDelay := ms(n.LinkMs)
 	if power {
-		wait = powerLossTimeout
+		noticeDelay = powerLossTimeout
 	}
-	calls := m.calls
-	m.calls = nil
-	n.after(wait, func() {
+	calls := m.pendingCalls
+	m.pendingCalls = nil
+	n.after(noticeDelay, func() {
 		for _, c := range calls {
 			c.end(true)
 		}
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -15,45 +15,45 @@
 )
 
 var (
-	errProposalDropped = errors.New("another entry took the index")
-	errTooFewVoters    = errors.New("the quorum has too few voters")
+	errProposalDropped = errors.New("the leader did not complete the operation")
+	errTooFewVoters    = errors.New("too few voters to acknowledge a proposal")
 )
 
 const (
-	upkeepInterval      = 500 * time.Millisecond
+	maintenanceInterval = 500 * time.Millisecond
 	readinessRetryPause = 100 * time.Millisecond
 	readinessCheck      = 20 * time.Millisecond
-	deadlineMargin      = 15 * time.Millisecond
-	headerBytes         = 300 // size of a request or a response without its body
+	deadlineMargin      = 15 * time.Millisecond // subtracted from the deadline of a request at the node
+	headerBytes         = 300                   // size of a request or response without its body
 )
 
-// node is a sidecar machine: it drives membership, relay, router and local server as
-// the real one does (internal/dataplane/sidecar).
+// node is a simulated sidecar machine. It drives membership, relay, router and local
+// server as internal/dataplane/sidecar does.
 type node struct {
 	machine
 	peerView
 	parents    relay.ParentCache
 	selector   relay.Selector
-	parent     *child // this node's subscription at its parent
-	receivedAt time.Duration
-	freshAt    time.Duration
+	parent     *child // subscription at the parent; nil while there is none
+	lastFeedAt time.Duration
+	freshAt    time.Duration // latest time at which the node's state is known to be current
 	readiness  relay.Readiness
 
-	table          *router.Table
-	admission      *localserver.Registry[*ticket]
-	shares         budget.Shares
-	server         *server
-	startedAt      time.Duration
-	cluster        router.ClusterStateBuilder
-	registered     catalog.NodeServers
-	membersVersion uint64 // version of the membership list in the routing table
-	registering    bool
-	ready          bool   // it takes requests
-	mustKnow       uint64 // the last revision acknowledged before its start; ready nodes must know it
+	table            *router.Table
+	admission        *localserver.Registry[*ticket]
+	shares           budget.Shares
+	server           *server
+	startedAt        time.Duration
+	cluster          router.ClusterStateBuilder
+	registered       catalog.NodeServers
+	membersVersion   uint64 // version of the membership list in the routing table
+	registering      bool   // a registration is in flight
+	ready            bool   // it has passed its readiness check
+	requiredRevision uint64 // last revision acknowledged before the start, which a ready node must have
 }
 
 func (n *node) start() {
-	s := n.s
+	s := n.sim
 	s.incarnations++
 	n.incarnation, n.up, n.powered, n.startedAt = s.incarnations, true, true, s.now
 	n.parents = relay.ParentCache{Self: n.name, Zone: n.zone}
@@ -64,36 +64,36 @@
 	n.admission = localserver.New[*ticket](ms(s.scenario.DrainMs), ms(s.scenario.HeartbeatMs))
 	n.shares = budget.Shares{Slack: s.scenario.Retry.Slack, Window: sec(s.scenario.Retry.WindowS), FirstStart: s.now == 0}
 	n.peerView.start(s, &n.machine)
-	n.ready, n.mustKnow = false, s.ackedRevision
+	n.ready, n.requiredRevision = false, s.ackedRevision
 	incarnation := n.incarnation
 	n.startReadiness(incarnation)
-	s.after(time.Duration(s.rng.Int64N(int64(upkeepInterval))), func() { n.upkeep(incarnation) })
+	s.after(time.Duration(s.rng.Int64N(int64(maintenanceInterval))), func() { n.maintain(incarnation) })
 	s.after(time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), func() { n.subscribe(incarnation) })
 }
 
-// startReadiness makes the node ready once its state is recent enough: see
-// relay.Readiness.
+// startReadiness restarts the checks that make the node ready once its state is recent
+// enough (see relay.Readiness).
 func (n *node) startReadiness(incarnation uint64) {
 	n.readiness = relay.Readiness{}
 	n.requestLatestIndex(incarnation)
 	n.checkReadiness(incarnation)
 }
 
-// requestLatestIndex asks the leader for the index of the last update, until it has an
-// answer.
+// requestLatestIndex reads the index of the last update from the leader, and retries until
+// the read succeeds.
 func (n *node) requestLatestIndex(incarnation uint64) {
-	s := n.s
+	s := n.sim
 	if !n.up || n.incarnation != incarnation || n.ready {
 		return
 	}
 	var latest uint64
-	s.callLeader(&n.machine, rpcBytes, func(c *quorumMember, answer func(error)) {
-		c.read(func(ok bool) {
+	s.callLeader(&n.machine, rpcBytes, func(leader *quorumMember, answer func(error)) {
+		leader.read(func(ok bool) {
 			if !ok {
 				answer(errProposalDropped)
 				return
 			}
-			latest = c.catalog.Index()
+			latest = leader.catalog.Index()
 			answer(nil)
 		})
 	}, func(err error) {
@@ -107,7 +107,7 @@
 }
 
 func (n *node) checkReadiness(incarnation uint64) {
-	s := n.s
+	s := n.sim
 	if !n.up || n.incarnation != incarnation {
 		return
 	}
@@ -117,131 +117,135 @@
 		return
 	}
 	n.ready = true
-	if c := n.hub.Config(); proof != relay.Unconfirmed && n.mustKnow > 0 && (c == nil || c.Revision < n.mustKnow) {
-		s.violation("%s is ready without revision %d, which was acknowledged before its start (proof: %s)", n.name, n.mustKnow, proof)
+	if c := n.hub.Config(); proof != relay.Unconfirmed && n.requiredRevision > 0 && (c == nil || c.Revision < n.requiredRevision) {
+		s.recordViolation("%s is ready without revision %d, which was acknowledged before its start (proof: %s)", n.name, n.requiredRevision, proof)
 	}
 }
 
 func (n *node) stop(power bool) {
 	if n.up {
-		n.s.stop(&n.machine, power)
+		n.sim.stop(&n.machine, power)
 		if n.server != nil {
 			n.server.breakRuns()
 		}
 	}
 }
 
-// candidates are the addresses of the parents that the node may subscribe to.
+// candidates returns the addresses of the parents that the node may subscribe to, or the
+// seeds if there are none.
 func (n *node) candidates() []string {
-	if list := n.parents.Parents(n.group.Version(), n.group.Members); len(list) > 0 {
+	if list := n.parents.Parents(n.memberlist.Version(), n.memberlist.Members); len(list) > 0 {
 		return list
 	}
-	return n.s.seeds
+	return n.sim.seeds
 }
 
-// subscribe subscribes to a parent, unless the node has one.
+// subscribe subscribes to a parent unless the node has one.
 func (n *node) subscribe(incarnation uint64) {
 	if !n.up || n.incarnation != incarnation || n.parent != nil {
 		return
 	}
-	addr, wait := n.selector.Next(n.s.now, n.candidates())
+	addr, wait := n.selector.Next(n.sim.now, n.candidates())
 	if addr == "" {
-		n.s.after(wait, func() { n.subscribe(incarnation) })
+		n.sim.after(wait, func() { n.subscribe(incarnation) })
 		return
 	}
-	c := &child{node: n, incarnation: incarnation, have: n.hub.Index(), subscription: relay.Subscription{RequestedAt: n.s.now}}
-	n.parent, n.receivedAt = c, n.s.now
-	to := n.s.views[addr]
-	n.s.call(&n.machine, to.m, rpcBytes, relay.FeedTimeout, func(answer func(int, func())) {
-		if to.liveChildren() >= relay.MaxChildren {
-			answer(rpcBytes, func() { n.abandon(c, relay.Failed) })
+	subscription := &child{node: n, incarnation: incarnation, sentIndex: n.hub.Index(), subscription: relay.Subscription{RequestedAt: n.sim.now}}
+	n.parent, n.lastFeedAt = subscription, n.sim.now
+	parentView := n.sim.peerViews[addr]
+	n.sim.call(&n.machine, parentView.host, rpcBytes, relay.FeedTimeout, func(answer func(int, func())) {
+		if parentView.liveChildren() >= relay.MaxChildren {
+			answer(rpcBytes, func() { n.leaveParent(subscription, relay.Failed) })
 			return
 		}
-		c.subscribedAt = n.s.now
-		to.children = append(to.children, c)
+		subscription.subscribedAt = n.sim.now
+		parentView.children = append(parentView.children, subscription)
 		answer(rpcBytes, func() {})
-		to.feedOne(c)
-	}, func(bool) { n.abandon(c, relay.Failed) })
-	n.watchParent(c)
+		parentView.feedChild(subscription)
+	}, func(bool) { n.leaveParent(subscription, relay.Failed) })
+	n.watchParent(subscription)
 }
 
-// watchParent abandons a parent that sends nothing.
+// watchParent leaves a parent that sends nothing for relay.FeedTimeout.
 func (n *node) watchParent(c *child) {
 	if n.parent != c {
 		return
 	}
-	if n.s.now-n.receivedAt >= relay.FeedTimeout {
-		n.abandon(c, relay.Failed)
+	if n.sim.now-n.lastFeedAt >= relay.FeedTimeout {
+		n.leaveParent(c, relay.Failed)
 		return
 	}
-	n.s.at(n.receivedAt+relay.FeedTimeout, func() { n.watchParent(c) })
+	n.sim.at(n.lastFeedAt+relay.FeedTimeout, func() { n.watchParent(c) })
 }
 
-// abandon leaves a parent and subscribes to another.
-func (n *node) abandon(c *child, reason relay.EndReason) {
+// leaveParent ends the subscription c and subscribes again, unless c is no longer the
+// node's subscription.
+func (n *node) leaveParent(c *child, reason relay.EndReason) {
 	if n.up && n.incarnation == c.incarnation && n.parent == c {
 		n.parent.ended, n.parent = true, nil
-		n.selector.Ended(n.s.now, reason)
+		n.selector.Ended(n.sim.now, reason)
 		n.subscribe(n.incarnation)
 	}
 }
 
-// receive handles a feed of the parent.
-func (n *node) receive(c *child, f *wire.Feed) {
+// handleFeed applies a feed from the parent, and forwards new updates to the children.
+func (n *node) handleFeed(c *child, feed *wire.Feed) {
 	if n.parent != c {
 		return
 	}
-	n.receivedAt = n.s.now
-	contactAt := c.subscription.ContactAt(n.s.now, f)
-	if reason := n.selector.Check(n.s.now, n.s.now-contactAt); reason != relay.Continue {
-		n.s.measurements.staleParents++
-		n.abandon(c, reason)
+	n.lastFeedAt = n.sim.now
+	contactAt := c.subscription.ContactAt(n.sim.now, feed)
+	if reason := n.selector.Check(n.sim.now, n.sim.now-contactAt); reason != relay.Continue {
+		n.sim.measurements.staleParents++
+		n.leaveParent(c, reason)
 		return
 	}
 	before := n.hub.Index()
-	current, ok := n.hub.Receive(f, func() { n.freshAt = max(n.freshAt, contactAt) })
+	current, ok := n.hub.Receive(feed, func() { n.freshAt = max(n.freshAt, contactAt) })
 	after := n.hub.Index()
 	if after < before {
-		n.s.violation("%s went back from update %d to %d", n.name, before, after)
+		n.sim.recordViolation("the update index of %s decreased from %d to %d", n.name, before, after)
 	}
 	if after > before {
-		n.s.measurements.updatesReceived(n.s.now, before, after)
-		n.s.measurements.depth = max(n.s.measurements.depth, int(n.hub.Depth()))
+		n.sim.measurements.updatesReceived(n.sim.now, before, after)
+		n.sim.measurements.maxRelayDepth = max(n.sim.measurements.maxRelayDepth, int(n.hub.Depth()))
 	}
 	if current || after > before {
 		n.feed()
 	}
-	if !ok || n.selector.ShouldMove(n.s.now, n.candidates()) || c.subscription.NeedsRenewal(n.s.now, f) {
-		n.abandon(c, relay.Renew)
+	if !ok || n.selector.ShouldMove(n.sim.now, n.candidates()) || c.subscription.NeedsRenewal(n.sim.now, feed) {
+		n.leaveParent(c, relay.Renew)
 	}
 }
 
-// upkeep is the periodic work: it sweeps the local servers, shares the retry slack, and
-// keeps the registry in line.
-func (n *node) upkeep(incarnation uint64) {
+// maintain is the node's periodic work. It sweeps the local servers, sets the node's share
+// of the retry slack, and registers changes of the local servers.
+func (n *node) maintain(incarnation uint64) {
 	if !n.up || n.incarnation != incarnation {
 		return
 	}
-	_, v := n.admission.Sweep(n.s.now)
-	n.deliver(v)
-	nodes := len(n.group.Members()) - len(n.s.members)
-	n.table.SetRetrySlack(n.shares.Share(n.s.now-n.startedAt, nodes))
+	_, grants := n.admission.Sweep(n.sim.now)
+	n.deliverGrants(grants)
+	nodes := len(n.memberlist.Members()) - len(n.sim.members)
+	n.table.SetRetrySlack(n.shares.Share(n.sim.now-n.startedAt, nodes))
 	if n.server != nil && !n.registering {
 		n.register()
 	}
-	n.s.after(upkeepInterval, func() { n.upkeep(incarnation) })
+	n.sim.after(maintenanceInterval, func() { n.maintain(incarnation) })
 }
 
+// register proposes the next command, if any, that brings the registered servers in line
+// with the local ones.
 func (n *node) register() {
-	m := localserver.Machine{Node: n.name, Address: n.name, Zone: n.zone}
+	self := localserver.Machine{Node: n.name, Address: n.name, Zone: n.zone}
 	changes, _ := n.hub.State(n.registered.Index())
 	n.registered.Apply(changes)
-	todo := localserver.Difference(m, n.admission.Servers(), n.registered.Servers(), n.s.now-n.startedAt < ms(2*n.s.scenario.HeartbeatMs))
-	if len(todo) == 0 {
+	commands := localserver.Difference(self, n.admission.Servers(), n.registered.Servers(), n.sim.now-n.startedAt < ms(2*n.sim.scenario.HeartbeatMs))
+	if len(commands) == 0 {
 		return
 	}
 	n.registering = true
-	n.s.callLeader(&n.machine, proto.Size(todo[0]), func(c *quorumMember, answer func(error)) { c.propose(todo[0], answer) }, func(error) {
+	n.sim.callLeader(&n.machine, proto.Size(commands[0]), func(leader *quorumMember, answer func(error)) { leader.propose(commands[0], answer) }, func(error) {
 		n.registering = false
 	})
 }
--- a/internal/simulation/lab/operator.go
+++ b/internal/simulation/lab/operator.go
@@ -7,8 +7,8 @@
 	"ivydeck/internal/controlplane/catalog"
 )
 
-// sendConfigs sends the next configuration. From its acknowledgement on, no read may
-// return an older one.
+// sendConfigs sends the next configuration. Reads that start after its acknowledgement must
+// not return an older one.
 func (s *sim) sendConfigs() {
 	every := sec(s.scenario.Operator.EveryS)
 	retry := func(d time.Duration) { s.after(d, s.sendConfigs) }
@@ -25,7 +25,7 @@
 		switch {
 		case err == nil:
 			s.ackedRevision, s.baseRevision = max(s.ackedRevision, base+1), base+1
-			s.measurements.acks = append(s.measurements.acks, s.now-sentAt)
+			s.measurements.ackLatencies = append(s.measurements.ackLatencies, s.now-sentAt)
 			if every > 0 {
 				retry(every)
 			}
@@ -37,54 +37,55 @@
 	})
 }
 
-// readRevision reads the current revision, and checks that it is not older than any
-// that was acknowledged before.
+// readRevision reads the current revision, and records a violation if it is older than one
+// that was acknowledged before the read.
 func (s *sim) readRevision(retry func(time.Duration)) {
-	s.callLeader(nil, rpcBytes, func(c *quorumMember, answer func(error)) {
-		acked := s.ackedRevision // before the read
-		c.read(func(ok bool) {
+	s.callLeader(nil, rpcBytes, func(leader *quorumMember, answer func(error)) {
+		acked := s.ackedRevision // before the read starts
+		leader.read(func(ok bool) {
 			if !ok {
 				answer(errProposalDropped)
 				return
 			}
-			if rev := c.catalog.Revision(); rev < acked {
-				s.violation("%s reads revision %d, and %d was acknowledged", c.name, rev, acked)
+			if revision := leader.catalog.Revision(); revision < acked {
+				s.recordViolation("a read at %s returned revision %d, older than the acknowledged revision %d", leader.name, revision, acked)
 			} else {
-				s.baseRevision = rev
+				s.baseRevision = revision
 			}
 			answer(nil)
 		})
 	}, func(error) { retry(100 * time.Millisecond) })
 }
 
-// callLeader calls f in the leader's loop, and done with its result. It tries members in
-// turn until one knows the leader. from is the caller's machine; nil: the operator's.
-func (s *sim) callLeader(from *machine, size int, f func(c *quorumMember, answer func(error)), done func(error)) {
+// callLeader calls f in the leader's event loop, and done with its result. It tries the
+// quorum members in turn until one names the leader. from is the calling machine, or nil
+// for the operator's.
+func (s *sim) callLeader(from *machine, size int, f func(member *quorumMember, answer func(error)), done func(error)) {
 	if from == nil {
-		from = &s.outside
+		from = &s.operatorMachine
 	}
 	first := s.rng.IntN(len(s.members))
-	var try func(i int, c *quorumMember)
-	try = func(i int, c *quorumMember) {
+	var try func(i int, member *quorumMember)
+	try = func(i int, member *quorumMember) {
 		if i > 2*len(s.members) {
 			done(errProposalDropped)
 			return
 		}
 		next := func() { try(i+1, s.members[(first+i+1)%len(s.members)]) }
-		s.call(from, &c.machine, size, controlCallTimeout, func(answer func(int, func())) {
-			c.post(func() {
-				if !c.raft.IsLeader() {
-					to := c.leader()
+		s.call(from, &member.machine, size, controlCallTimeout, func(answer func(int, func())) {
+			member.post(func() {
+				if !member.raft.IsLeader() {
+					leader := member.leader()
 					answer(rpcBytes, func() {
-						if to == nil || to == c {
+						if leader == nil || leader == member {
 							next()
 						} else {
-							try(i+1, to)
+							try(i+1, leader)
 						}
 					})
 					return
 				}
-				f(c, func(err error) { answer(rpcBytes, func() { done(err) }) })
+				f(member, func(err error) { answer(rpcBytes, func() { done(err) }) })
 			})
 		}, func(sent bool) {
 			if sent {
--- a/internal/simulation/lab/peerview.go
+++ b/internal/simulation/lab/peerview.go
@@ -10,103 +10,104 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// peerView is the part that all machines have: membership, and a place in the tree of
-// relays.
+// peerView holds what quorum members and nodes have in common: membership, and a place in
+// the tree of relays.
 type peerView struct {
-	s        *sim
-	m        *machine
-	group    *membership.Memberlist
-	hub      *relay.Hub
-	pacing   relay.Pacing
-	children []*child
+	sim        *sim
+	host       *machine
+	memberlist *membership.Memberlist
+	hub        *relay.Hub
+	pacing     relay.Pacing
+	children   []*child
 }
 
-// child is a subscription to a machine's updates.
+// child is a node's subscription to the updates of its parent.
 type child struct {
 	node         *node
 	incarnation  uint64
-	have         uint64
-	lastDelivery time.Duration // when the last message to it arrives
+	sentIndex    uint64        // last update that the node has or that was sent to it
+	lastDelivery time.Duration // arrival time of the last message sent to the node
 	ended        bool
 
-	subscription relay.Subscription // of the node
-	subscribedAt time.Duration      // when the parent received the subscription
+	subscription relay.Subscription // the node's record of it
+	subscribedAt time.Duration      // when the parent received it
 }
 
 func (v *peerView) start(s *sim, m *machine) {
-	v.s, v.m, v.children, v.pacing = s, m, nil, relay.Pacing{}
+	v.sim, v.host, v.children, v.pacing = s, m, nil, relay.Pacing{}
 	self := &wire.Member{Name: m.name, Address: m.name, Zone: m.zone, QuorumMember: m.isQuorumMember, Generation: m.incarnation}
-	v.group = membership.New(self, s.rng.Uint64(), s.now)
+	v.memberlist = membership.New(self, s.rng.Uint64(), s.now)
 	if s.scenario.Steady && len(s.initialMembers) > 0 && s.now == 0 {
-		v.group.Load(s.now, s.initialMembers)
+		v.memberlist.Load(s.now, s.initialMembers)
 	}
-	// Periodic work of the machines does not coincide.
+	// Random offsets spread the periodic work of the machines.
 	s.after(time.Duration(s.rng.Int64N(int64(membership.ProbeInterval))), func() { v.probe(m.incarnation) })
 	s.after(time.Duration(s.rng.Int64N(int64(relay.Heartbeat))), func() { v.heartbeat(m.incarnation) })
 }
 
-// probe sends the probes that membership asks for.
+// probe sends the probes that are due, and schedules the next call.
 func (v *peerView) probe(incarnation uint64) {
-	if !v.m.up || v.m.incarnation != incarnation {
+	if !v.host.up || v.host.incarnation != incarnation {
 		return
 	}
-	for _, a := range v.group.Tick(v.s.now, v.s.seeds) {
-		v.send(a)
+	for _, probe := range v.memberlist.Tick(v.sim.now, v.sim.seeds) {
+		v.sendProbe(probe)
 	}
-	v.s.at(max(v.group.NextTick(), v.s.now+10*time.Millisecond), func() { v.probe(incarnation) })
+	v.sim.at(max(v.memberlist.NextTick(), v.sim.now+10*time.Millisecond), func() { v.probe(incarnation) })
 }
 
-func (v *peerView) send(a membership.Probe) {
-	v.exchange(a.Address, a.Request, a.Timeout(), func(answer *wire.ProbeResponse) {
-		for _, more := range v.group.HandleProbeResult(v.s.now, a, answer) {
-			v.send(more)
+func (v *peerView) sendProbe(probe membership.Probe) {
+	v.exchangeProbe(probe.Address, probe.Request, probe.Timeout(), func(answer *wire.ProbeResponse) {
+		for _, more := range v.memberlist.HandleProbeResult(v.sim.now, probe, answer) {
+			v.sendProbe(more)
 		}
 	})
 }
 
-// exchange sends a probe and merges the response; done gets nil if there was none.
-func (v *peerView) exchange(address string, p *wire.ProbeRequest, wait time.Duration, done func(*wire.ProbeResponse)) {
-	to := v.s.views[address]
-	if to == nil {
+// exchangeProbe sends a probe and merges the response. It calls done with nil if there is
+// no response.
+func (v *peerView) exchangeProbe(address string, request *wire.ProbeRequest, wait time.Duration, done func(*wire.ProbeResponse)) {
+	peer := v.sim.peerViews[address]
+	if peer == nil {
 		done(nil)
 		return
 	}
-	size := proto.Size(p)
-	v.s.measurements.probes++
-	v.s.measurements.probeBytes += int64(size + rpcBytes)
-	v.s.call(v.m, to.m, size, wait, func(answer func(int, func())) {
-		to.group.Merge(v.s.now, p.From)
-		to.group.Merge(v.s.now, p.Updates...)
+	size := proto.Size(request)
+	v.sim.measurements.probes++
+	v.sim.measurements.probeBytes += int64(size + rpcBytes)
+	v.sim.call(v.host, peer.host, size, wait, func(answer func(int, func())) {
+		peer.memberlist.Merge(v.sim.now, request.From)
+		peer.memberlist.Merge(v.sim.now, request.Updates...)
 		reply := func(reached bool) {
-			probed := to.group.HandleProbe(p)
+			probed := peer.memberlist.HandleProbe(request)
 			probed.Reached = reached
 			size := proto.Size(probed)
-			v.s.measurements.probeBytes += int64(size + rpcBytes)
+			v.sim.measurements.probeBytes += int64(size + rpcBytes)
 			answer(size, func() {
-				v.group.Merge(v.s.now, probed.Updates...)
+				v.memberlist.Merge(v.sim.now, probed.Updates...)
 				done(probed)
 			})
 		}
-		if p.Target == nil {
+		if request.Target == nil {
 			reply(true)
 			return
 		}
-		to.exchange(p.Target.Address, &wire.ProbeRequest{From: to.group.Self()}, membership.ProbeTimeout, func(a *wire.ProbeResponse) { reply(a != nil) })
+		peer.exchangeProbe(request.Target.Address, &wire.ProbeRequest{From: peer.memberlist.Self()}, membership.ProbeTimeout, func(response *wire.ProbeResponse) { reply(response != nil) })
 	}, func(bool) { done(nil) })
 }
 
-// heartbeat sends feeds to all children unless some were sent within the interval.
+// heartbeat sends feeds to all children when they are due, and schedules the next call.
 func (v *peerView) heartbeat(incarnation uint64) {
-	if !v.m.up || v.m.incarnation != incarnation {
+	if !v.host.up || v.host.incarnation != incarnation {
 		return
 	}
-	if v.s.now >= v.pacing.Due(v.hub.Depth()) {
+	if v.sim.now >= v.pacing.Due(v.hub.Depth()) {
 		v.feed()
 	}
-	v.s.at(v.pacing.Due(v.hub.Depth()), func() { v.heartbeat(incarnation) })
+	v.sim.at(v.pacing.Due(v.hub.Depth()), func() { v.heartbeat(incarnation) })
 }
 
-// liveChildren is the number of children whose process still runs.
+// liveChildren returns the number of children whose process is still running.
 func (v *peerView) liveChildren() int {
 	n := 0
 	for _, c := range v.children {
@@ -117,24 +118,24 @@
 	return n
 }
 
-// feed sends each child the updates that it does not have.
+// feed sends each child the updates that it lacks, and removes children that ended.
 func (v *peerView) feed() {
-	v.pacing.Sent(v.s.now)
+	v.pacing.Sent(v.sim.now)
 	keep := v.children[:0]
 	for _, c := range v.children {
 		if !c.ended && c.node.up && c.node.incarnation == c.incarnation {
 			keep = append(keep, c)
-			v.feedOne(c)
+			v.feedChild(c)
 		}
 	}
 	clear(v.children[len(keep):])
 	v.children = keep
 }
 
-func (v *peerView) feedOne(c *child) {
-	f, _ := v.hub.Feed(c.have, v.s.now, c.subscribedAt)
-	c.have = max(c.have, f.Latest)
-	size := proto.Size(f)
-	v.s.measurements.feedBytes += int64(size + rpcBytes)
-	v.s.stream(v.m, &c.node.machine, size+rpcBytes, &c.lastDelivery, func() { c.node.receive(c, f) })
+func (v *peerView) feedChild(c *child) {
+	feed, _ := v.hub.Feed(c.sentIndex, v.sim.now, c.subscribedAt)
+	c.sentIndex = max(c.sentIndex, feed.Latest)
+	size := proto.Size(feed)
+	v.sim.measurements.feedBytes += int64(size + rpcBytes)
+	v.sim.stream(v.host, &c.node.machine, size+rpcBytes, &c.lastDelivery, func() { c.node.handleFeed(c, feed) })
 }
--- a/internal/simulation/lab/quorum_member.go
+++ b/internal/simulation/lab/quorum_member.go
@@ -20,47 +20,47 @@
 	joinCallTimeout = 600 * time.Millisecond
 )
 
-// quorumMember is a machine of the control plane: it drives raft, the catalog and the
-// root of the relays as the real server does (internal/controlplane/server).
+// quorumMember is a simulated machine of the control plane. It drives raft, the catalog and
+// the root of the relays as internal/controlplane/server does.
 type quorumMember struct {
 	machine
 	peerView
-	s          *sim
+	sim        *sim
 	disk       simdisk.Disk
-	stallUntil time.Duration // until then a sync does not return
+	stallUntil time.Duration // end of the disk's stall
 
-	raft        *raft.Node
-	members     *raft.MembershipManager
-	catalog     *catalog.Catalog
-	applied     uint64                // index of the last applied entry
-	proposals   map[uint64]*proposal  // pending ones by index
-	reads       map[uint64]func(bool) // pending reads by token
-	token       uint64                // of the last read
-	syncing     bool                  // a sync is in progress
-	inbox       []func()              // calls that wait for the loop
-	managedAt   time.Duration
-	isLeader    bool
-	leaderSince time.Duration
+	raft          *raft.Node
+	members       *raft.MembershipManager
+	catalog       *catalog.Catalog
+	applied       uint64                // index of the last applied entry
+	proposals     map[uint64]*proposal  // pending proposals, by log index
+	reads         map[uint64]func(bool) // pending reads, by token
+	lastReadToken uint64
+	syncing       bool     // a disk sync is in progress
+	inbox         []func() // calls queued for the event loop
+	lastManagedAt time.Duration
+	isLeader      bool
+	leaderSince   time.Duration
 
-	contactAt time.Duration // when a quorum last confirmed what is applied
+	contactAt time.Duration // last contact with a quorum, updated when raft has no Ready to handle
 }
 
-// proposal is an entry that its proposer waits for.
+// proposal is a log entry whose result its proposer waits for.
 type proposal struct {
-	term   uint64
-	result func(error)
+	term uint64 // in which it was proposed
+	done func(error)
 }
 
-// start starts the process with what is on its disk.
+// start starts the process from the state on its disk.
 func (m *quorumMember) start() {
-	s := m.s
+	s := m.sim
 	s.incarnations++
 	m.incarnation, m.up, m.powered = s.incarnations, true, true
 	if m.disk.ID == 0 {
 		for m.disk.ID == 0 {
 			m.disk.ID = s.rng.Uint64()
 		}
-		if m == s.members[0] && !s.bootstrapped { // bootstrap: the first member begins as a quorum of one
+		if m == s.members[0] && !s.bootstrapped { // bootstrap the quorum with the first member as its only voter
 			s.bootstrapped = true
 			m.catalog = catalog.New()
 			data, err := m.catalog.Snapshot()
@@ -88,24 +88,24 @@
 	return &wire.Peer{Id: m.disk.ID, Address: m.name, ControlAddress: m.name, Voter: voter}
 }
 
-// stop ends the process, with power also the machine.
+// stop stops the process and loses unsynced writes. power also turns the machine off.
 func (m *quorumMember) stop(power bool) {
 	if m.up {
-		m.s.stop(&m.machine, power)
-		m.disk.Crash(m.s.rng)
+		m.sim.stop(&m.machine, power)
+		m.disk.Crash(m.sim.rng)
 		m.leadershipLost()
 	}
 }
 
-// leadershipLost records that the machine is not the leader any more.
+// leadershipLost records that the member is no longer the leader.
 func (m *quorumMember) leadershipLost() {
 	if m.isLeader {
 		m.isLeader = false
-		m.s.measurements.leaderLost(m.s.now, slices.ContainsFunc(m.s.members, func(o *quorumMember) bool { return o.isLeader }))
+		m.sim.measurements.leaderLost(m.sim.now, slices.ContainsFunc(m.sim.members, func(o *quorumMember) bool { return o.isLeader }))
 	}
 }
 
-// post calls f in the machine's loop.
+// post queues f for the event loop, and runs the loop unless a disk sync is in progress.
 func (m *quorumMember) post(f func()) {
 	m.inbox = append(m.inbox, f)
 	if !m.syncing {
@@ -113,7 +113,7 @@
 	}
 }
 
-// loop calls step whenever raft has something to do.
+// loop calls step at each tick of raft, and at least every manageInterval.
 func (m *quorumMember) loop(incarnation uint64) {
 	if !m.up || m.incarnation != incarnation {
 		return
@@ -121,20 +121,20 @@
 	if !m.syncing {
 		m.step()
 	}
-	m.s.at(max(m.s.now+time.Millisecond, min(m.raft.NextTick(), m.s.now+manageInterval)), func() { m.loop(incarnation) })
+	m.sim.at(max(m.sim.now+time.Millisecond, min(m.raft.NextTick(), m.sim.now+manageInterval)), func() { m.loop(incarnation) })
 }
 
-// step makes the calls in the inbox, ticks raft and executes what it asks for.
+// step makes the queued calls, ticks raft and executes its Ready.
 func (m *quorumMember) step() {
-	now := m.s.now
+	now := m.sim.now
 	for len(m.inbox) > 0 {
 		f := m.inbox[0]
 		m.inbox = m.inbox[1:]
 		f()
 	}
 	m.raft.Tick(now)
-	if now-m.managedAt >= manageInterval {
-		m.managedAt = now
+	if now-m.lastManagedAt >= manageInterval {
+		m.lastManagedAt = now
 		m.manage()
 	}
 	m.manageMembers()
@@ -142,58 +142,58 @@
 }
 
 // flush handles a Ready in the order that raft requires: it syncs the disk, sends the
-// messages, and applies the committed entries.
+// messages and applies the committed entries.
 func (m *quorumMember) flush() {
-	o := m.raft.Ready()
-	if o.Empty() {
-		m.contactAt = m.s.now - m.raft.QuorumContactAge(m.s.now)
+	ready := m.raft.Ready()
+	if ready.Empty() {
+		m.contactAt = m.sim.now - m.raft.QuorumContactAge(m.sim.now)
 		return
 	}
-	if o.Snapshot == nil && o.HardState == nil && len(o.Entries) == 0 {
-		m.advance(o)
+	if ready.Snapshot == nil && ready.HardState == nil && len(ready.Entries) == 0 {
+		m.advance(ready)
 		m.flush()
 		return
 	}
 	m.syncing = true
-	m.disk.Write(o.Snapshot, o.HardState, o.Entries)
+	m.disk.Write(ready.Snapshot, ready.HardState, ready.Entries)
 	incarnation := m.incarnation
-	took := max(0, m.stallUntil-m.s.now) + ms(m.s.scenario.SyncMs*(0.5+m.s.rng.Float64()))
-	m.s.after(took, func() {
+	took := max(0, m.stallUntil-m.sim.now) + ms(m.sim.scenario.SyncMs*(0.5+m.sim.rng.Float64()))
+	m.sim.after(took, func() {
 		if !m.up || m.incarnation != incarnation {
 			return
 		}
 		m.disk.Sync()
 		m.raft.ObserveSync(took)
 		m.syncing = false
-		if o.Snapshot != nil {
-			m.s.check(m.catalog.Restore(o.Snapshot.Data))
-			m.applied = o.Snapshot.Index
+		if ready.Snapshot != nil {
+			m.sim.check(m.catalog.Restore(ready.Snapshot.Data))
+			m.applied = ready.Snapshot.Index
 			m.hub.Apply(m.catalog.FullChanges())
 			m.feed()
 		}
-		if n := len(o.Entries); n > 0 {
-			m.raft.StableTo(o.Entries[n-1].Index)
+		if n := len(ready.Entries); n > 0 {
+			m.raft.StableTo(ready.Entries[n-1].Index)
 		}
-		m.advance(o)
+		m.advance(ready)
 		m.step()
 	})
 }
 
-// advance sends messages, applies entries, ends reads and compacts the log.
-func (m *quorumMember) advance(o raft.Ready) {
-	for _, message := range o.Messages {
-		to := m.s.memberByID(message.To)
-		if to == nil {
+// advance sends messages, applies entries, completes reads and compacts the log.
+func (m *quorumMember) advance(ready raft.Ready) {
+	for _, message := range ready.Messages {
+		receiver := m.sim.memberByID(message.To)
+		if receiver == nil {
 			continue
 		}
-		m.s.stream(&m.machine, &to.machine, proto.Size(message)+rpcBytes, m.s.lastDelivery(m, to), func() {
-			to.post(func() { to.raft.Step(m.s.now, message) })
+		m.sim.stream(&m.machine, &receiver.machine, proto.Size(message)+rpcBytes, m.sim.lastDelivery(m, receiver), func() {
+			receiver.post(func() { receiver.raft.Step(m.sim.now, message) })
 		})
 	}
-	for _, e := range o.CommittedEntries {
+	for _, e := range ready.CommittedEntries {
 		m.apply(e)
 	}
-	for _, r := range o.ReadStates {
+	for _, r := range ready.ReadStates {
 		if f := m.reads[r.Token]; f != nil {
 			delete(m.reads, r.Token)
 			f(r.OK)
@@ -201,34 +201,34 @@
 	}
 	if m.raft.SnapshotDue() {
 		data, err := m.catalog.Snapshot()
-		m.s.check(err)
+		m.sim.check(err)
 		if snap := m.raft.Compact(m.applied, data); snap != nil {
 			m.disk.Compact(snap)
 		}
 	}
-	m.s.measurements.disk = max(m.s.measurements.disk, m.disk.Bytes())
+	m.sim.measurements.maxDiskBytes = max(m.sim.measurements.maxDiskBytes, m.disk.Bytes())
 }
 
-// apply applies a committed entry, and ends its proposal.
-func (m *quorumMember) apply(e *wire.Entry) {
-	m.applied = e.Index
-	var verdict error
-	if e.Kind == wire.Entry_COMMAND {
+// apply applies a committed entry, and completes its proposal if one is pending.
+func (m *quorumMember) apply(entry *wire.Entry) {
+	m.applied = entry.Index
+	var applyErr error
+	if entry.Kind == wire.Entry_COMMAND {
 		cmd := new(wire.Command)
-		m.s.check(proto.Unmarshal(e.Data, cmd))
+		m.sim.check(proto.Unmarshal(entry.Data, cmd))
 		var changes *wire.Changes
-		if changes, verdict = m.catalog.Apply(cmd); changes != nil {
-			m.s.measurements.updateCommitted(m.s.now, changes.To)
+		if changes, applyErr = m.catalog.Apply(cmd); changes != nil {
+			m.sim.measurements.updateCommitted(m.sim.now, changes.To)
 			m.hub.Apply(changes)
 			m.feed()
 		}
 	}
-	if w := m.proposals[e.Index]; w != nil {
-		delete(m.proposals, e.Index)
-		if w.term != e.Term {
-			verdict = errProposalDropped
+	if pending := m.proposals[entry.Index]; pending != nil {
+		delete(m.proposals, entry.Index)
+		if pending.term != entry.Term {
+			applyErr = errProposalDropped
 		}
-		w.result(verdict)
+		pending.done(applyErr)
 	}
 }
 
@@ -240,67 +240,69 @@
 		return
 	}
 	if !m.isLeader {
-		m.isLeader, m.leaderSince = true, m.s.now
-		m.s.measurements.leaderElected(m.s.now)
+		m.isLeader, m.leaderSince = true, m.sim.now
+		m.sim.measurements.leaderElected(m.sim.now)
 	}
-	if m.raft.ShouldTransferLeadership() && m.raft.TransferLeadership(m.s.now) {
+	if m.raft.ShouldTransferLeadership() && m.raft.TransferLeadership(m.sim.now) {
 		return
 	}
-	dead := m.catalog.MembersOn(func(node string) bool { return m.group.Lost(m.s.now, node, m.s.now-m.leaderSince) })
+	dead := m.catalog.MembersOn(func(node string) bool { return m.memberlist.Lost(m.sim.now, node, m.sim.now-m.leaderSince) })
 	if len(dead) > 0 && len(m.proposals) == 0 {
 		m.propose(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: dead}}}, func(error) {})
 	}
 }
 
-// propose proposes a command. It is called in the loop.
-func (m *quorumMember) propose(cmd *wire.Command, result func(error)) {
+// propose proposes a command, and calls done with the result once the entry is applied or
+// the proposal fails. It must be called in the event loop.
+func (m *quorumMember) propose(cmd *wire.Command, done func(error)) {
 	data, err := proto.Marshal(cmd)
-	m.s.check(err)
-	if m.raft.IsLeader() && raft.Voters(m.raft.Peers()) < raft.MinAckVoters(faultTolerance, len(m.s.members)) {
-		result(errTooFewVoters)
+	m.sim.check(err)
+	if m.raft.IsLeader() && raft.Voters(m.raft.Peers()) < raft.MinAckVoters(faultTolerance, len(m.sim.members)) {
+		done(errTooFewVoters)
 		return
 	}
-	index, term, err := m.raft.Propose(m.s.now, data)
+	index, term, err := m.raft.Propose(m.sim.now, data)
 	if err != nil {
-		result(err)
+		done(err)
 		return
 	}
-	m.proposals[index] = &proposal{term, result}
+	m.proposals[index] = &proposal{term, done}
 }
 
-// read calls look once the state includes everything that was acknowledged before.
+// read calls done with true once the applied state includes everything that was acknowledged
+// before the call, or with false if the read fails.
 func (m *quorumMember) read(done func(ok bool)) {
-	m.token++
-	m.reads[m.token] = done
-	m.raft.ReadIndex(m.s.now, m.token)
+	m.lastReadToken++
+	m.reads[m.lastReadToken] = done
+	m.raft.ReadIndex(m.sim.now, m.lastReadToken)
 }
 
-// leader returns the leader as this member knows it; nil: it knows none.
+// leader returns the leader according to this member, or nil if it is unknown.
 func (m *quorumMember) leader() *quorumMember {
 	for _, p := range m.raft.Peers() {
 		if p.Id == m.raft.Leader() {
-			return m.s.memberByID(p.Id)
+			return m.sim.memberByID(p.Id)
 		}
 	}
 	return nil
 }
 
-// manageMembers executes what raft.MembershipManager asks for.
+// manageMembers executes the actions of raft.MembershipManager.
 func (m *quorumMember) manageMembers() {
-	actions := m.members.Tick(m.s.now, m.peer(false), raft.WantedVoters(faultTolerance, len(m.s.members)), m.knownMembers)
+	actions := m.members.Tick(m.sim.now, m.peer(false), raft.WantedVoters(faultTolerance, len(m.sim.members)), m.knownMembers)
 	if actions.Propose.Next != nil {
-		m.raft.ProposeMembership(m.s.now, actions.Propose.Next)
+		m.raft.ProposeMembership(m.sim.now, actions.Propose.Next)
 	}
 	for _, address := range actions.JoinAt {
 		m.requestJoin(address)
 	}
 }
 
-// knownMembers are the addresses of the seeds and of the quorum members in the
+// knownMembers returns the addresses of the seeds and of the quorum members in the
 // membership list.
 func (m *quorumMember) knownMembers() []string {
-	known := slices.Clone(m.s.seeds)
-	for _, member := range m.group.Members() {
+	known := slices.Clone(m.sim.seeds)
+	for _, member := range m.memberlist.Members() {
 		if member.QuorumMember {
 			known = append(known, member.Address)
 		}
@@ -308,19 +310,20 @@
 	return known
 }
 
-// requestJoin asks the process at an address to add this one as a member.
+// requestJoin sends a join request to the member at an address, and to the leader that the
+// response names, if any.
 func (m *quorumMember) requestJoin(address string) {
-	index := slices.IndexFunc(m.s.members, func(o *quorumMember) bool { return o.name == address })
+	index := slices.IndexFunc(m.sim.members, func(o *quorumMember) bool { return o.name == address })
 	if index < 0 {
 		return
 	}
-	other, incarnation := m.s.members[index], m.incarnation
+	other, incarnation := m.sim.members[index], m.incarnation
 	self := m.peer(false)
-	m.s.call(&m.machine, &other.machine, proto.Size(self), joinCallTimeout, func(answer func(int, func())) {
+	m.sim.call(&m.machine, &other.machine, proto.Size(self), joinCallTimeout, func(answer func(int, func())) {
 		other.post(func() {
-			change, joined := other.members.HandleJoin(m.s.now, self)
+			change, joined := other.members.HandleJoin(m.sim.now, self)
 			if change.Next != nil {
-				other.raft.ProposeMembership(m.s.now, change.Next)
+				other.raft.ProposeMembership(m.sim.now, change.Next)
 			}
 			answer(proto.Size(joined), func() {
 				if !m.up || m.incarnation != incarnation {
--- a/internal/simulation/lab/report.go
+++ b/internal/simulation/lab/report.go
@@ -17,11 +17,11 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// group is the runs of one scenario with one setting, and what the page shows of them.
+// group holds the runs of one scenario with one setting, and the data that the page shows.
 type group struct {
 	Name       string
 	Results    []*Result
-	Metrics    []string // mean and interval of each of Metrics
+	Metrics    []string // mean and interval of each metric, in the order of Metrics
 	Plots      []template.HTML
 	Routes     []routeRow
 	Violations []string
@@ -33,24 +33,25 @@
 	P50, P90, P99, P999Ms float64
 }
 
-func groups(results []*Result) []*group {
+// groupResults puts adjacent results of one scenario and setting into a group.
+func groupResults(results []*Result) []*group {
 	var list []*group
 	for _, r := range results {
 		name := strings.TrimSpace(r.Scenario + " " + r.Varied)
 		if len(list) == 0 || list[len(list)-1].Name != name {
 			list = append(list, &group{Name: name})
 		}
-		g := list[len(list)-1]
-		g.Results = append(g.Results, r)
+		last := list[len(list)-1]
+		last.Results = append(last.Results, r)
 		for _, f := range r.Violations {
-			g.Violations = append(g.Violations, fmt.Sprintf("seed %d, %s", r.Seed, f))
+			last.Violations = append(last.Violations, fmt.Sprintf("seed %d, %s", r.Seed, f))
 		}
 	}
 	return list
 }
 
-// series is the mean of a value over the runs of a group, second by second.
-func (g *group) series(of func(s *Second) float64) plotter.XYs {
+// series returns the mean of a value over the runs of a group for each second.
+func (g *group) series(value func(s *Second) float64) plotter.XYs {
 	longest := 0
 	for _, r := range g.Results {
 		longest = max(longest, len(r.Seconds))
@@ -60,7 +61,7 @@
 		sum, n := 0.0, 0
 		for _, r := range g.Results {
 			if i < len(r.Seconds) {
-				sum += of(&r.Seconds[i])
+				sum += value(&r.Seconds[i])
 				n++
 			}
 		}
@@ -69,7 +70,7 @@
 	return pts
 }
 
-func svg(p *plot.Plot, w, h vg.Length) (template.HTML, error) {
+func renderSVG(p *plot.Plot, w, h vg.Length) (template.HTML, error) {
 	c := vgsvg.New(w, h)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -77,11 +78,11 @@
 		return "", err
 	}
 	text := b.String()
-	return template.HTML(text[strings.Index(text, "<svg"):]), nil // drawn by the library
+	return template.HTML(text[strings.Index(text, "<svg"):]), nil // trusted, as the plot library generates it
 }
 
-// lines draws series, as pairs of a name and its points, in one plot.
-func lines(title, unit string, series ...any) (template.HTML, error) {
+// drawLines draws series in one plot. They are pairs of a name and its points.
+func drawLines(title, unit string, series ...any) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.Y.Min = 0
@@ -89,15 +90,15 @@
 	if err := plotutil.AddLines(p, series...); err != nil {
 		return "", err
 	}
-	return svg(p, 9*vg.Inch/2, 2.2*vg.Inch)
+	return renderSVG(p, 9*vg.Inch/2, 2.2*vg.Inch)
 }
 
-// draw makes a group's plots and tables.
+// draw computes the group's tables and plots.
 func (g *group) draw() error {
 	for _, metric := range Metrics {
 		var x []float64
 		for _, r := range g.Results {
-			x = append(x, metric.Of(r))
+			x = append(x, metric.Value(r))
 		}
 		g.Metrics = append(g.Metrics, Average(x).String())
 	}
@@ -108,33 +109,34 @@
 	return nil
 }
 
-// drawPlots makes a plot of each metric that is measured by the second.
+// drawPlots draws the values that are measured for each second.
 func (g *group) drawPlots() error {
-	for _, d := range []struct {
+	for _, figure := range []struct {
 		title, unit string
 		series      []any // pairs of a name and its points
 	}{
 		{"Value of the requests of a second", "", []any{"value", g.series(func(s *Second) float64 { return s.Value })}},
-		{"Refused in the end, by priority", "1/s", g.refusedSeries()},
+		{"Refused after the last attempt, by priority", "1/s", g.refusedSeries()},
 		{"Latency, 99th percentile", "ms", []any{"p99", g.series(func(s *Second) float64 { return s.P99Ms })}},
 		{"Slots in use, by service", "", g.busySeries()},
 		{"Share of the retry budget used", "", []any{"used", g.series(func(s *Second) float64 { return s.RetryBudget })}},
-		{"Update lag, the longest of a second", "ms", []any{"lag", g.series(func(s *Second) float64 { return s.LagMs })}},
+		{"Maximum update lag", "ms", []any{"lag", g.series(func(s *Second) float64 { return s.LagMs })}},
 		{"Without a leader", "share of the second", []any{"leaderless", g.series(func(s *Second) float64 { return s.Leaderless })}},
 	} {
-		if len(d.series) == 0 {
+		if len(figure.series) == 0 {
 			continue
 		}
-		h, err := lines(d.title, d.unit, d.series...)
+		html, err := drawLines(figure.title, figure.unit, figure.series...)
 		if err != nil {
-			return fmt.Errorf("lab: plotting: %w", err)
+			return fmt.Errorf("lab: draw plot: %w", err)
 		}
-		g.Plots = append(g.Plots, h)
+		g.Plots = append(g.Plots, html)
 	}
 	return nil
 }
 
-// refusedSeries is the requests that were refused in the end, a series a priority.
+// refusedSeries returns a series for each priority: the requests whose last attempt was
+// refused.
 func (g *group) refusedSeries() (series []any) {
 	priorities := 0
 	for _, r := range g.Results {
@@ -153,7 +155,7 @@
 	return series
 }
 
-// busySeries is the slots in use, a series a service.
+// busySeries returns a series for each service: the slots in use.
 func (g *group) busySeries() (series []any) {
 	seconds := g.Results[0].Seconds
 	if len(seconds) == 0 {
@@ -165,7 +167,7 @@
 	return series
 }
 
-// routeRows is the table of routes: means over the runs.
+// routeRows returns the table of routes, with means over the runs.
 func (g *group) routeRows() []routeRow {
 	names := map[string]bool{}
 	for _, r := range g.Results {
@@ -176,15 +178,15 @@
 	var rows []routeRow
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		row := routeRow{Name: name}
-		n := float64(len(g.Results))
+		runs := float64(len(g.Results))
 		for _, r := range g.Results {
-			x := r.Routes[name]
-			row.Value += x.Value / n
-			row.Refused += fraction(x.Refused, x.Requests) / n
-			row.P50 += x.P50Ms / n
-			row.P90 += x.P90Ms / n
-			row.P99 += x.P99Ms / n
-			row.P999Ms += x.P999Ms / n
+			route := r.Routes[name]
+			row.Value += route.Value / runs
+			row.Refused += fraction(route.Refused, route.Requests) / runs
+			row.P50 += route.P50Ms / runs
+			row.P90 += route.P90Ms / runs
+			row.P99 += route.P99Ms / runs
+			row.P999Ms += route.P999Ms / runs
 		}
 		rows = append(rows, row)
 	}
@@ -205,9 +207,9 @@
 {{range .Plots}}{{.}}{{end}}{{end}}
 `))
 
-// Report writes an HTML page about results in the order that Read returns them in.
+// Report writes an HTML page about results, which must be in the order that Read returns.
 func Report(w io.Writer, results []*Result) error {
-	list := groups(results)
+	list := groupResults(results)
 	for _, g := range list {
 		if err := g.draw(); err != nil {
 			return err
@@ -218,7 +220,7 @@
 		names = append(names, f.Name)
 	}
 	if err := page.Execute(w, map[string]any{"Groups": list, "Names": names}); err != nil {
-		return fmt.Errorf("lab: %w", err)
+		return fmt.Errorf("lab: write report: %w", err)
 	}
 	return nil
 }
--- a/internal/simulation/lab/scenario.go
+++ b/internal/simulation/lab/scenario.go
@@ -1,13 +1,13 @@
 // Package lab simulates whole meshes in simulated time. The real code of the control
-// plane, membership, relays, router and local servers runs among models of application
-// servers, clients, operators, the network and disks. The same scenario and seed give
-// the same run, event for event. A run injects faults, checks invariants as it goes,
-// and measures what the mesh is worth to its clients.
+// plane, membership, relays, router and local servers runs with models of application
+// servers, clients, operators, the network and disks. Runs of the same scenario and seed
+// execute the same events. A run injects faults, checks invariants, and measures the
+// outcomes of requests, the update lag and the bytes sent.
 //
-// A Scenario (scenario.go, validate.go, fault.go) is read from TOML; Run plays it
-// (sim.go on engine.go and network.go) and returns a Result. Sweep plays many, Compare
-// pairs them by seed, Shrink looks for a smaller scenario that still violates an
-// invariant, Report draws them. cmd/meshlab is the command line.
+// A Scenario (scenario.go, validate.go, fault.go) is read from TOML. Run simulates it
+// (sim.go, engine.go, network.go) and returns a Result. Sweep runs many scenarios and
+// seeds, Compare pairs results by seed, Report writes a page about results, and Shrink
+// reduces a scenario that violates an invariant. cmd/meshlab is the command line.
 package lab
 
 import (
@@ -23,18 +23,18 @@
 	"ivydeck/internal/config/meshconfig"
 )
 
-// Scenario describes a mesh, its workload and the faults that are injected. Names of
-// durations end in their unit.
+// Scenario describes a mesh, its workload and the faults to inject. Names of durations end
+// in their unit.
 type Scenario struct {
 	Name          string  `toml:"name"`
 	Seconds       float64 `toml:"seconds"` // of simulated time
 	Zones         int     `toml:"zones"`
-	QuorumMembers int     `toml:"cores"`        // quorum members, spread over the zones in turn
-	Nodes         int     `toml:"nodes"`        // sidecar machines, spread in the same way; the first have an application server each
-	Steady        bool    `toml:"steady"`       // the nodes know each other from the start
+	QuorumMembers int     `toml:"cores"`        // spread over the zones in turn
+	Nodes         int     `toml:"nodes"`        // sidecar machines, spread over the zones in turn; the first ones run an application server each
+	Steady        bool    `toml:"steady"`       // all machines start with the full membership list
 	SyncMs        float64 `toml:"sync_ms"`      // mean duration of a disk's sync
-	DrainMs       float64 `toml:"drain_ms"`     // in which a draining server may still get requests
-	HeartbeatMs   float64 `toml:"heartbeat_ms"` // between heartbeats of an application server
+	DrainMs       float64 `toml:"drain_ms"`     // how long a draining server may still receive requests
+	HeartbeatMs   float64 `toml:"heartbeat_ms"` // interval of an application server's heartbeats
 
 	Net      Net       `toml:"net"`
 	Retry    Retry     `toml:"retry"`
@@ -46,11 +46,12 @@
 	Chaos    Chaos     `toml:"chaos"`
 }
 
-// Chaos injects random faults. All have ended eight seconds before the end.
+// Chaos configures random faults, all of which end at least eight seconds before the run
+// does.
 type Chaos struct {
-	EveryS float64     `toml:"every_s"` // mean time between faults; 0: none
-	ForS   float64     `toml:"for_s"`   // at most
-	Kinds  []FaultKind `toml:"kinds"`   // empty: all
+	EveryS float64     `toml:"every_s"` // mean time between faults; 0 injects none
+	ForS   float64     `toml:"for_s"`   // faults last between 0.3 s and 0.3 s + ForS; 0 selects 4 s
+	Kinds  []FaultKind `toml:"kinds"`   // all kinds if empty
 }
 
 // Net is the network between machines.
@@ -58,26 +59,27 @@
 	LinkMs   float64 `toml:"link_ms"`   // one way, within a zone
 	ZoneMs   float64 `toml:"zone_ms"`   // added between zones
 	JitterMs float64 `toml:"jitter_ms"` // maximum added to each message
-	Loss     float64 `toml:"loss"`      // share of segments; each costs a retransmission timeout of 200 ms
-	MBps     float64 `toml:"mbps"`      // megabytes a second out of one machine; 0: no bound
+	Loss     float64 `toml:"loss"`      // share of segments lost; each costs a retransmission timeout of 200 ms
+	MBps     float64 `toml:"mbps"`      // megabytes a second that a machine can send; 0 is unlimited
 }
 
-// Retry is the retry budget that all nodes share.
+// Retry is the retry budget that all nodes share: in a window, at most Ratio times the
+// requests plus Slack may be retries.
 type Retry struct {
 	Ratio   float64 `toml:"ratio"`
 	WindowS float64 `toml:"window_s"`
 	Slack   float64 `toml:"slack"`
 }
 
-// Operator is the operator, who sends configurations.
+// Operator describes the configurations that the operator sends.
 type Operator struct {
-	EveryS float64 `toml:"every_s"` // 0: one configuration, at the start
-	Routes int     `toml:"routes"`  // unused ones, to make the configuration larger
+	EveryS float64 `toml:"every_s"` // interval; 0 sends one configuration at the start
+	Routes int     `toml:"routes"`  // unused routes that enlarge the configuration
 }
 
-// Clients is how clients react to refusals.
+// Clients describes how clients retry refused requests.
 type Clients struct {
-	MaxAttempts int `toml:"tries"` // of one request, each after a refusal that promises that it has not run
+	MaxAttempts int `toml:"tries"` // attempts of one request; a client retries only attempts that did not run
 }
 
 // Service is a service and its application servers.
@@ -85,19 +87,19 @@
 	Name        string  `toml:"name"`
 	Servers     int     `toml:"servers"`
 	Slots       int     `toml:"slots"`
-	WorkMs      float64 `toml:"work_ms"` // mean of an exponential distribution, without calls of other services
-	LostAnswers float64 `toml:"broken"`  // share of the runs of which the answer is lost
+	WorkMs      float64 `toml:"work_ms"` // mean of an exponential distribution, without the calls of other services
+	LostAnswers float64 `toml:"broken"`  // share of the runs whose response is lost
 	Rejects     float64 `toml:"balk"`    // share of the requests that are rejected before they run
 
-	Speeds          []float64 `toml:"speeds"` // factors on the work at each server in turn; empty: 1
-	Tail            float64   `toml:"tail"`   // share of the runs that take far longer, ...
-	TailFactor      float64   `toml:"tail_x"` // ... by this factor
-	Errors          float64   `toml:"errors"` // share of the runs that the application answers with an error
-	SlowStartS      float64   `toml:"cold_s"` // for this long from its start a server takes longer, ...
-	SlowStartFactor float64   `toml:"cold_x"` // ... by this factor
+	Speeds          []float64 `toml:"speeds"` // factors on the work, assigned to servers in turn; 1 if empty
+	Tail            float64   `toml:"tail"`   // share of the runs that take TailFactor times as long
+	TailFactor      float64   `toml:"tail_x"`
+	Errors          float64   `toml:"errors"` // share of the runs that end with status 500
+	SlowStartS      float64   `toml:"cold_s"` // time after its start in which a server takes SlowStartFactor times as long
+	SlowStartFactor float64   `toml:"cold_x"`
 }
 
-// Route is a route and its workload.
+// Route is a route and the requests that clients send to it.
 type Route struct {
 	Name            string  `toml:"name"`
 	Service         string  `toml:"service"`
@@ -106,30 +108,30 @@
 	TargetLatencyMs float64 `toml:"aim_ms"`
 	TimeoutMs       float64 `toml:"timeout_ms"`
 	MaxAttempts     int     `toml:"max_attempts"`
-	Rate            float64 `toml:"rate"` // requests a second, at all nodes together
+	Rate            float64 `toml:"rate"` // requests a second, over all nodes
 	Calls           []Call  `toml:"calls"`
 }
 
-// Call is a call of another service that a run makes, one after another.
+// Call describes the calls of another route that a run makes, one after another.
 type Call struct {
 	Route string  `toml:"route"`
-	Times float64 `toml:"times"` // mean number a run
+	Times float64 `toml:"times"` // mean number per run
 }
 
 // Load reads a scenario from a file.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("scenario: %w", err)
+		return nil, fmt.Errorf("scenario: read file: %w", err)
 	}
-	w, err := Parse(string(text))
+	scenario, err := Parse(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %s: %w", path, err)
 	}
-	return w, nil
+	return scenario, nil
 }
 
-// defaults is a scenario with the values of keys that a file need not have.
+// defaults returns a scenario with the default values of optional keys.
 func defaults() *Scenario {
 	return &Scenario{
 		Seconds:       30,
@@ -145,7 +147,7 @@
 	}
 }
 
-// Parse reads a scenario. The error names everything that is wrong, one a line.
+// Parse parses and validates a scenario. The error has a line for each invalid setting.
 func Parse(text string) (*Scenario, error) {
 	s := defaults()
 	meta, err := toml.Decode(text, s)
@@ -160,7 +162,7 @@
 	}
 	v := &validator{scenario: s}
 	for _, key := range meta.Undecoded() {
-		v.add("%s is no key", key)
+		v.add("unknown key %s", key)
 	}
 	v.validate()
 	return s, errors.Join(v.errors...)
@@ -170,25 +172,25 @@
 func (s *Scenario) Text() (string, error) {
 	var b bytes.Buffer
 	if err := toml.NewEncoder(&b).Encode(s); err != nil {
-		return "", fmt.Errorf("scenario: %w", err)
+		return "", fmt.Errorf("scenario: encode: %w", err)
 	}
 	return b.String(), nil
 }
 
-const host = "lab.example" // of all routes
+const host = "lab.example" // host of all routes
 
-// config is the operator's configuration of a revision, as msgpack.
+// config returns the operator's configuration with a revision, encoded as msgpack.
 func (s *Scenario) config(revision uint64) ([]byte, error) {
-	c := meshconfig.Config{Revision: revision}
+	config := meshconfig.Config{Revision: revision}
 	for _, s := range s.Services {
-		c.Backends = append(c.Backends, meshconfig.Backend{Name: s.Name})
+		config.Backends = append(config.Backends, meshconfig.Backend{Name: s.Name})
 	}
 	add := func(r Route) {
 		kind := meshconfig.Idempotent
 		if r.NonIdempotent {
 			kind = meshconfig.NonIdempotent
 		}
-		c.Routes = append(c.Routes, &meshconfig.Route{Name: r.Name, Host: host, Prefix: "/" + r.Name + "/", Kind: kind,
+		config.Routes = append(config.Routes, &meshconfig.Route{Name: r.Name, Host: host, Prefix: "/" + r.Name + "/", Kind: kind,
 			TimeoutMs: r.TimeoutMs, TargetLatencyMs: r.TargetLatencyMs, Priority: r.Priority, Backend: r.Service, MaxAttempts: r.MaxAttempts})
 	}
 	for _, r := range s.Routes {
@@ -197,12 +199,12 @@
 	for i := range s.Operator.Routes {
 		r := s.Routes[i%len(s.Routes)]
 		r.Name = fmt.Sprintf("unused-%d", i)
-		if uint64(i) == revision%uint64(s.Operator.Routes) { // the one that this revision changes
+		if uint64(i) == revision%uint64(s.Operator.Routes) { // this revision changes this route
 			r.TimeoutMs += float64(revision)
 		}
 		add(r)
 	}
-	return msgpack.Marshal(&c)
+	return msgpack.Marshal(&config)
 }
 
 func ms(x float64) time.Duration  { return time.Duration(x * float64(time.Millisecond)) }
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -11,59 +11,60 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// server is the model of an application server beside a node.
+// server models the application server of a node.
 type server struct {
-	s            *sim
-	kind         *Service
+	sim          *sim
+	service      *Service
 	node         *node
-	id           string // of its incarnation
+	id           string // of the current process
 	up           bool
 	draining     bool
 	drainAcked   bool
 	drainAckedAt time.Duration
-	speed        float64       // factor on its work, ...
-	slowdown     float64       // ... and another while a fault is in force
-	warmUntil    time.Duration // end of its slow start
-	grey         Fault         // zero: none
+	speed        float64       // factor on the work
+	slowdown     float64       // further factor on the work during a fault
+	warmUntil    time.Duration // end of the slow start
+	grey         Fault         // Kind is empty if there is none
 	stalledUntil time.Duration
-	seq          uint64 // of heartbeats
-	runs         []*run // that may be going on
+	heartbeatSeq uint64 // of the last heartbeat
+	runs         []*run // in progress; those that ended are removed when a run starts
 }
 
-// run is a request that a server works on.
+// run is the execution of a request by a server.
 type run struct {
-	over bool
-	end  func(status int32, result wire.ForwardResponse_Result)
+	ended bool
+	done  func(status int32, result wire.ForwardResponse_Result)
 }
 
-// finish ends a run, unless it has ended.
+// finish ends the run unless it has ended.
 func (r *run) finish(status int32, result wire.ForwardResponse_Result) {
-	if !r.over {
-		r.over = true
-		r.end(status, result)
+	if !r.ended {
+		r.ended = true
+		r.done(status, result)
 	}
 }
 
 func (v *server) start() {
-	v.s.incarnations++
-	v.id = fmt.Sprintf("i-%d", v.s.incarnations)
-	v.up, v.draining, v.drainAcked, v.slowdown, v.stalledUntil, v.seq = true, false, false, max(1, v.slowdown), 0, 0
-	v.warmUntil = v.s.now + sec(v.kind.SlowStartS)
+	v.sim.incarnations++
+	v.id = fmt.Sprintf("i-%d", v.sim.incarnations)
+	v.up, v.draining, v.drainAcked, v.slowdown, v.stalledUntil, v.heartbeatSeq = true, false, false, max(1, v.slowdown), 0, 0
+	v.warmUntil = v.sim.now + sec(v.service.SlowStartS)
 	id := v.id
-	v.s.after(time.Duration(v.s.rng.Int64N(int64(100*time.Millisecond))), func() { v.heartbeatLoop(id) })
+	v.sim.after(time.Duration(v.sim.rng.Int64N(int64(100*time.Millisecond))), func() { v.heartbeatLoop(id) })
 }
 
-// stop ends the process: what it works on has no answer.
+// stop stops the process and breaks its runs.
 func (v *server) stop() {
 	v.up = false
 	v.breakRuns()
 }
 
+// breakRuns ends all runs without a response, as when the connection breaks.
 func (v *server) breakRuns() {
 	runs := v.runs
 	v.runs = nil
 	for _, r := range runs {
-		v.s.after(time.Millisecond, func() { r.finish(0, wire.ForwardResponse_BROKEN) })
+		v.sim.after(time.Millisecond, func() { r.finish(0, wire.ForwardResponse_BROKEN) })
 	}
 }
 
@@ -72,71 +73,72 @@
 		return
 	}
 	v.sendHeartbeat()
-	v.s.after(ms(v.s.scenario.HeartbeatMs), func() { v.heartbeatLoop(id) })
+	v.sim.after(ms(v.sim.scenario.HeartbeatMs), func() { v.heartbeatLoop(id) })
 }
 
-// sendHeartbeat is one beat. The node answers it at once, where it runs.
+// sendHeartbeat sends a heartbeat unless the node is down or the server is stalled. The node
+// handles it at once.
 func (v *server) sendHeartbeat() {
-	if !v.node.up || v.stalledUntil > v.s.now {
+	if !v.node.up || v.stalledUntil > v.sim.now {
 		return
 	}
-	v.seq++
-	h := v.node.admission.Heartbeat(v.s.now, localserver.Heartbeat{
-		ID: v.id, Service: v.kind.Name, Address: v.node.name, Zone: v.node.zone, Slots: v.kind.Slots, Draining: v.draining, Seq: v.seq,
-		WarmupLeft: max(0, v.warmUntil-v.s.now),
+	v.heartbeatSeq++
+	reply := v.node.admission.Heartbeat(v.sim.now, localserver.Heartbeat{
+		ID: v.id, Service: v.service.Name, Address: v.node.name, Zone: v.node.zone, Slots: v.service.Slots, Draining: v.draining, Seq: v.heartbeatSeq,
+		WarmupLeft: max(0, v.warmUntil-v.sim.now),
 	})
-	v.node.deliver(h.Verdicts)
-	if h.OK && v.draining && !v.drainAcked {
-		v.drainAcked, v.drainAckedAt = true, v.s.now
+	v.node.deliverGrants(reply.Verdicts)
+	if reply.OK && v.draining && !v.drainAcked {
+		v.drainAcked, v.drainAckedAt = true, v.sim.now
 	}
-	if (h.New || h.Drains) && !v.node.registering {
+	if (reply.New || reply.Drains) && !v.node.registering {
 		v.node.register()
 	}
 }
 
-// drain announces the end of the server, ends it once no node may send to it any more,
-// and starts a new incarnation at a time.
+// drain sets the server's status to draining, stops the server once no node may send to it,
+// and starts a new process at restartAt.
 func (v *server) drain(restartAt time.Duration) {
 	v.draining = true
 	v.sendHeartbeat()
 	id := v.id
-	v.s.after(2*ms(v.s.scenario.DrainMs), func() {
+	v.sim.after(2*ms(v.sim.scenario.DrainMs), func() {
 		if v.id == id && v.up {
 			v.stop()
 			v.node.admission.Deregister(id)
-			v.s.at(restartAt, func() { v.s.startServer(v) })
+			v.sim.at(restartAt, func() { v.sim.startServer(v) })
 		}
 	})
 }
 
 const (
-	rejectDelay      = time.Millisecond     // until a rejection is sent
-	greyFailureDelay = 5 * time.Millisecond // a grey server fails fast, so that it looks idle
+	rejectDelay      = time.Millisecond     // time until a rejection is sent
+	greyFailureDelay = 5 * time.Millisecond // short, so that the load of a grey server looks low
 	greySlowdown     = 5                    // factor on the work of a slow grey server
-	maxWorkFactor    = 8                    // bound on the exponential distribution of work, in means
+	maxWorkFactor    = 8                    // bound on the exponential distribution of the work, as a multiple of its mean
 )
 
-// failsFor reports whether a grey server fails a run for a caller in a zone.
+// failsFor draws whether a grey server fails a run for a caller in a zone.
 func (v *server) failsFor(zone string) bool {
-	return v.grey.Kind != "" && (v.grey.From == "" || v.grey.From == zone) && v.s.rng.Float64() < v.grey.Factor
+	return v.grey.Kind != "" && (v.grey.From == "" || v.grey.From == zone) && v.sim.rng.Float64() < v.grey.Factor
 }
 
-// handle takes a request, and calls end with its result. retries is the number of
-// attempts before it.
+// handle executes a request, and calls end with its result. retries is the number of earlier
+// attempts.
 func (v *server) handle(t *attempt, request localserver.Request, deadline time.Duration, retries int, end func(int32, wire.ForwardResponse_Result)) {
-	s := v.s
-	begun := s.now
-	r := &run{end: func(status int32, result wire.ForwardResponse_Result) {
-		s.measurements.slotHeld(s.now, v.kind.Name, s.now-begun)
+	s := v.sim
+	startedAt := s.now
+	r := &run{done: func(status int32, result wire.ForwardResponse_Result) {
+		s.measurements.slotHeld(s.now, v.service.Name, s.now-startedAt)
 		end(status, result)
 	}}
 	if v.drainAcked && s.now > v.drainAckedAt+ms(s.scenario.DrainMs) {
-		s.violation("%s was sent a request %v after the acknowledgement of its draining status", v.id, s.now-v.drainAckedAt)
+		s.recordViolation("%s received a request %v after the acknowledgement of its draining status", v.id, s.now-v.drainAckedAt)
 	}
 	if retries > 0 {
-		s.measurements.requestRetried(s.now, v.kind.Name)
+		s.measurements.requestRetried(s.now, v.service.Name)
 	}
-	if s.rng.Float64() < v.kind.Rejects {
+	if s.rng.Float64() < v.service.Rejects {
 		s.after(rejectDelay, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
 		return
 	}
@@ -144,22 +146,22 @@
 		s.after(greyFailureDelay, func() { r.finish(503, wire.ForwardResponse_NOT_RUN) })
 		return
 	}
-	t.executed()
+	t.recordRun()
 	v.addRun(r)
 	s.at(deadline, func() { r.finish(0, wire.ForwardResponse_DEADLINE_EXCEEDED) })
 	v.execute(t, r, request.Call.Zone, deadline)
 }
 
-// addRun adds a run, and forgets those that have ended.
+// addRun adds a run, and removes the runs that have ended.
 func (v *server) addRun(r *run) {
-	v.runs = append(slices.DeleteFunc(v.runs, func(old *run) bool { return old.over }), r)
+	v.runs = append(slices.DeleteFunc(v.runs, func(old *run) bool { return old.ended }), r)
 }
 
-// execute draws the work of a run and how it ends.
+// execute draws the duration and the outcome of a run.
 func (v *server) execute(t *attempt, r *run, zone string, deadline time.Duration) {
-	s := v.s
+	s := v.sim
 	work := v.randomWork()
-	if v.kind.Errors > 0 && s.rng.Float64() < v.kind.Errors {
+	if v.service.Errors > 0 && s.rng.Float64() < v.service.Errors {
 		s.after(work, func() { r.finish(500, wire.ForwardResponse_ANSWERED) })
 		return
 	}
@@ -171,7 +173,7 @@
 		case GreyReset:
 			s.after(greyFailureDelay, func() { r.finish(0, wire.ForwardResponse_BROKEN) })
 			return
-		case GreyHang: // until its deadline
+		case GreyHang: // the run ends at its deadline
 			return
 		case GreySlow:
 			work *= greySlowdown
@@ -183,44 +185,44 @@
 			calls = append(calls, c.Route)
 		}
 	}
-	w := &workPlan{server: v, attempt: t, run: r, calls: calls, deadline: deadline}
-	w.part = work / time.Duration(len(calls)+1)
-	w.answerLost = s.rng.Float64() < v.kind.LostAnswers
-	s.after(w.part, w.next)
+	plan := &workPlan{server: v, attempt: t, run: r, calls: calls, deadline: deadline}
+	plan.workPart = work / time.Duration(len(calls)+1)
+	plan.answerLost = s.rng.Float64() < v.service.LostAnswers
+	s.after(plan.workPart, plan.next)
 }
 
-// randomWork draws how long the work of a run takes.
+// randomWork draws the duration of a run's work, including the rest of a stall.
 func (v *server) randomWork() time.Duration {
-	s := v.s
-	work := ms(v.kind.WorkMs * v.speed * v.slowdown * min(maxWorkFactor, -math.Log(1-s.rng.Float64())))
-	if v.kind.Tail > 0 && s.rng.Float64() < v.kind.Tail {
-		work = time.Duration(float64(work) * v.kind.TailFactor)
+	s := v.sim
+	work := ms(v.service.WorkMs * v.speed * v.slowdown * min(maxWorkFactor, -math.Log(1-s.rng.Float64())))
+	if v.service.Tail > 0 && s.rng.Float64() < v.service.Tail {
+		work = time.Duration(float64(work) * v.service.TailFactor)
 	}
 	if s.now < v.warmUntil {
-		work = time.Duration(float64(work) * max(1, v.kind.SlowStartFactor))
+		work = time.Duration(float64(work) * max(1, v.service.SlowStartFactor))
 	}
 	return work + max(0, v.stalledUntil-s.now)
 }
 
-// workPlan is the rest of a run: its calls of other services, one after another, with a
+// workPlan executes a run: its calls of other services, one after another, and an equal
 // part of the work before, between and after them.
 type workPlan struct {
 	server     *server
 	attempt    *attempt
 	run        *run
-	calls      []string // names of routes
-	made       int      // calls that were made
-	part       time.Duration
+	calls      []string // routes to call
+	callsMade  int      // number of calls made so far
+	workPart   time.Duration
 	deadline   time.Duration
 	answerLost bool
 }
 
-// next makes the next call, or ends the run after the last one.
+// next makes the next call, or finishes the run after the last one.
 func (w *workPlan) next() {
-	if w.run.over {
+	if w.run.ended {
 		return
 	}
-	if w.made == len(w.calls) {
+	if w.callsMade == len(w.calls) {
 		if w.answerLost {
 			w.run.finish(0, wire.ForwardResponse_BROKEN)
 			return
@@ -228,13 +230,13 @@
 		w.run.finish(200, wire.ForwardResponse_ANSWERED)
 		return
 	}
-	s := w.server.s
-	route := s.route(w.calls[w.made])
-	inner := &attempt{id: fmt.Sprintf("%s.%d", w.attempt.id, w.made), deadline: w.deadline, request: &request{s: s, route: route}}
-	w.made++
+	s := w.server.sim
+	route := s.route(w.calls[w.callsMade])
+	inner := &attempt{id: fmt.Sprintf("%s.%d", w.attempt.id, w.callsMade), deadline: w.deadline, request: &request{sim: s, route: route}}
+	w.callsMade++
 	w.server.node.handle(inner, func(response router.Response) {
-		inner.answered(response)
-		s.after(w.part, func() {
+		inner.recordResponse(response)
+		s.after(w.workPart, func() {
 			if response.Status != 200 {
 				w.run.finish(500, wire.ForwardResponse_ANSWERED)
 				return
--- a/internal/simulation/lab/shrink.go
+++ b/internal/simulation/lab/shrink.go
@@ -4,14 +4,15 @@
 	"slices"
 )
 
-// Shrink looks for a shorter scenario that still goes wrong: without some of the
-// troubles and routes, and ending soon after the fault. fails runs a scenario and says
-// at which second it broke, if it did.
-func Shrink(w *Scenario, fails func(*Scenario) (atS float64, broken bool)) *Scenario {
-	best := *w
-	if at, ok := fails(&best); ok {
-		if shorter := best; at+1 < best.Seconds {
-			shorter.Seconds = at + 1
+// Shrink reduces a scenario that violates an invariant: it ends the run soon after the first
+// violation, and removes faults and the workload of routes that the violation does not need.
+// fails runs a scenario, and returns the second of the first violation and whether there was
+// one.
+func Shrink(scenario *Scenario, fails func(*Scenario) (atS float64, violated bool)) *Scenario {
+	best := *scenario
+	if violationS, ok := fails(&best); ok {
+		if shorter := best; violationS+1 < best.Seconds {
+			shorter.Seconds = violationS + 1
 			if _, ok := fails(&shorter); ok {
 				best = shorter
 			}
@@ -20,10 +21,10 @@
 	for smaller := true; smaller; {
 		smaller = false
 		for i := range best.Faults {
-			c := best
-			c.Faults = slices.Delete(slices.Clone(best.Faults), i, i+1)
-			if _, ok := fails(&c); ok {
-				best, smaller = c, true
+			candidate := best
+			candidate.Faults = slices.Delete(slices.Clone(best.Faults), i, i+1)
+			if _, ok := fails(&candidate); ok {
+				best, smaller = candidate, true
 				break
 			}
 		}
@@ -31,11 +32,11 @@
 			if best.Routes[i].Rate == 0 || smaller {
 				continue
 			}
-			c := best
-			c.Routes = slices.Clone(best.Routes)
-			c.Routes[i].Rate = 0
-			if _, ok := fails(&c); ok {
-				best, smaller = c, true
+			candidate := best
+			candidate.Routes = slices.Clone(best.Routes)
+			candidate.Routes[i].Rate = 0
+			if _, ok := fails(&candidate); ok {
+				best, smaller = candidate, true
 			}
 		}
 	}
--- a/internal/simulation/lab/sim.go
+++ b/internal/simulation/lab/sim.go
@@ -11,67 +11,67 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// sim is one run of a scenario. All of it runs in one goroutine, in events of its
-// engine.
+// sim is one run of a scenario. It runs in one goroutine, in the events of its engine.
 type sim struct {
 	network
-	scenario       *Scenario
-	measurements   *measurements
-	members        []*quorumMember
-	nodes          []*node
-	servers        []*server
-	views          map[string]*peerView
-	index          map[string]int // of nodes, by name
-	seeds          []string
-	initialMembers []*wire.Member // whom all know at the start of a steady scenario
-	outside        machine        // the operator's machine
-	incarnations   uint64
-	attempts       uint64
-	bootstrapped   bool
-	burst          []float64 // factor on the rate of each route
-	losses         []float64 // shares of segments lost by the faults in force
-
-	baseRevision, ackedRevision uint64                              // of the operator's revisions
-	pipes                       map[[2]*quorumMember]*time.Duration // see lastDelivery
+	scenario        *Scenario
+	measurements    *measurements
+	members         []*quorumMember
+	nodes           []*node
+	servers         []*server
+	peerViews       map[string]*peerView
+	nodeIndexes     map[string]int // index in nodes, by name
+	seeds           []string
+	initialMembers  []*wire.Member // membership list of each machine at the start of a steady scenario
+	operatorMachine machine        // sends configurations
+	incarnations    uint64
+	attempts        uint64
+	bootstrapped    bool
+	rateFactors     []float64 // factor on the request rate of each route
+	lossShares      []float64 // of the MessageLoss faults in force
+
+	baseRevision, ackedRevision uint64                              // base of the operator's next configuration, and its last acknowledged revision
+	lastDeliveries              map[[2]*quorumMember]*time.Duration // see lastDelivery
 	violations                  []string
-	firstViolationAt            time.Duration // time of the first violation
+	firstViolationAt            time.Duration // simulated time of the first violation
 	recentEvents                []string      // the last events, reported with violations
 }
 
 const (
 	maxRecentEvents = 40
-	maxViolations   = 20              // that are reported
-	chaosFreeEnd    = 8 * time.Second // at the end of a scenario with chaos: everything has to recover
+	maxViolations   = 20              // violations in a result
+	chaosFreeEnd    = 8 * time.Second // end of a run, without random faults, in which the mesh recovers
 )
 
-// note records an event for the report of a violation.
-func (s *sim) note(format string, args ...any) {
+// recordEvent records an event that is reported if there are violations.
+func (s *sim) recordEvent(format string, args ...any) {
 	if len(s.recentEvents) >= maxRecentEvents {
 		s.recentEvents = append(s.recentEvents[:0], s.recentEvents[1:]...)
 	}
 	s.recentEvents = append(s.recentEvents, fmt.Sprintf("%9.3f s  ", s.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// violation records that an invariant does not hold.
-func (s *sim) violation(format string, args ...any) {
+// recordViolation records that an invariant does not hold. Violations past maxViolations are
+// only recorded as events.
+func (s *sim) recordViolation(format string, args ...any) {
 	if len(s.violations) == 0 {
 		s.firstViolationAt = s.now
 	}
 	text := fmt.Sprintf(format, args...)
-	s.note("BROKEN: %s", text)
+	s.recordEvent("VIOLATION: %s", text)
 	if len(s.violations) < maxViolations {
 		s.violations = append(s.violations, fmt.Sprintf("%.3f s: %s", s.now.Seconds(), text))
 	}
 }
 
-// check panics for an error that no scenario can cause.
+// check panics if err is not nil. It is for errors that no scenario can cause.
 func (s *sim) check(err error) {
 	if err != nil {
 		panic(fmt.Sprintf("lab: at %v: %v", s.now, err))
 	}
 }
 
-// Run simulates a scenario to its end. The same scenario and seed give the same Result.
+// Run simulates a scenario. The same scenario and seed give the same Result.
 func Run(scenario *Scenario, seed uint64) *Result {
 	s := prepare(scenario, seed)
 	s.run(sec(scenario.Seconds))
@@ -79,30 +79,30 @@
 	return s.measurements.result(s, seed)
 }
 
-// prepare builds the mesh of a scenario and schedules its workload and faults.
-func prepare(w *Scenario, seed uint64) *sim {
+// prepare builds the mesh of a scenario, and schedules the workload and the faults.
+func prepare(scenario *Scenario, seed uint64) *sim {
 	s := &sim{
-		scenario: w, measurements: newMeasurements(w), views: map[string]*peerView{}, index: map[string]int{},
-		pipes:   map[[2]*quorumMember]*time.Duration{},
-		outside: machine{name: "operator", zone: "z0", up: true, powered: true, incarnation: 1},
+		scenario: scenario, measurements: newMeasurements(scenario), peerViews: map[string]*peerView{}, nodeIndexes: map[string]int{},
+		lastDeliveries:  map[[2]*quorumMember]*time.Duration{},
+		operatorMachine: machine{name: "operator", zone: "z0", up: true, powered: true, incarnation: 1},
 	}
-	s.network = network{engine: &engine{rng: rand.New(rand.NewPCG(seed, 0x1ab))}, Net: w.Net, partitions: map[[2]string]bool{}}
+	s.network = network{engine: &engine{rng: rand.New(rand.NewPCG(seed, 0x1ab))}, Net: scenario.Net, partitions: map[[2]string]bool{}}
 	s.build()
-	for i := range w.Routes {
-		s.burst = append(s.burst, 1)
+	for i := range scenario.Routes {
+		s.rateFactors = append(s.rateFactors, 1)
 		s.generateRequests(i)
 	}
-	for _, t := range w.Faults {
-		s.at(sec(t.AtS), func() { s.injectFault(t) })
+	for _, fault := range scenario.Faults {
+		s.at(sec(fault.AtS), func() { s.injectFault(fault) })
 	}
-	if w.Chaos.EveryS > 0 {
-		s.chaos()
+	if scenario.Chaos.EveryS > 0 {
+		s.scheduleChaos()
 	}
 	s.sendConfigs()
 	return s
 }
 
-// build makes the machines of the scenario and starts them.
+// build creates the machines and servers of the scenario and starts them.
 func (s *sim) build() {
 	s.buildMembers()
 	s.buildNodes()
@@ -123,14 +123,14 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("z%d", zone) }
 
-// zoneOf is the zone of the i-th machine of a kind.
+// zoneOf returns the zone of the i-th quorum member or node.
 func (s *sim) zoneOf(i int) string { return zoneName(i % s.scenario.Zones) }
 
 func (s *sim) buildMembers() {
 	for i := range s.scenario.QuorumMembers {
-		m := &quorumMember{s: s, machine: machine{name: fmt.Sprintf("core%d", i), zone: s.zoneOf(i), isQuorumMember: true}}
+		m := &quorumMember{sim: s, machine: machine{name: fmt.Sprintf("core%d", i), zone: s.zoneOf(i), isQuorumMember: true}}
 		s.members = append(s.members, m)
-		s.views[m.name] = &m.peerView
+		s.peerViews[m.name] = &m.peerView
 		s.seeds = append(s.seeds, m.name)
 	}
 }
@@ -138,30 +138,30 @@
 func (s *sim) buildNodes() {
 	for i := range s.scenario.Nodes {
 		n := &node{machine: machine{name: fmt.Sprintf("node%d", i), zone: s.zoneOf(i)}}
-		n.s = s
+		n.sim = s
 		s.nodes = append(s.nodes, n)
-		s.index[n.name] = i
-		s.views[n.name] = &n.peerView
+		s.nodeIndexes[n.name] = i
+		s.peerViews[n.name] = &n.peerView
 	}
 }
 
-// buildServers puts the application servers on the first nodes, one each.
+// buildServers assigns an application server to each of the first nodes.
 func (s *sim) buildServers() {
 	for i := range s.scenario.Services {
 		service := &s.scenario.Services[i]
 		for range service.Servers {
-			at := len(s.servers)
-			v := &server{s: s, kind: service, node: s.nodes[at], speed: 1}
+			index := len(s.servers)
+			v := &server{sim: s, service: service, node: s.nodes[index], speed: 1}
 			if len(service.Speeds) > 0 {
-				v.speed = service.Speeds[at%len(service.Speeds)]
+				v.speed = service.Speeds[index%len(service.Speeds)]
 			}
-			s.nodes[at].server = v
+			s.nodes[index].server = v
 			s.servers = append(s.servers, v)
 		}
 	}
 }
 
-// allMembers is the membership list of a mesh in which each machine knows all others.
+// allMembers returns the membership list with all machines, sorted by name.
 func (s *sim) allMembers() []*wire.Member {
 	var list []*wire.Member
 	add := func(m *machine) {
@@ -179,10 +179,10 @@
 	return list
 }
 
-// faultTolerance is the number of quorum members that may be lost at one time.
+// faultTolerance is the number of quorum members that may be lost at the same time.
 const faultTolerance = 1
 
-// memberByID returns the quorum member with an id on its disk; nil: there is none.
+// memberByID returns the quorum member with an ID, or nil if there is none.
 func (s *sim) memberByID(id uint64) *quorumMember {
 	for _, m := range s.members {
 		if m.disk.ID == id {
@@ -192,13 +192,14 @@
 	return nil
 }
 
-// lastDelivery is when the last message from one quorum member to another arrives.
+// lastDelivery returns the arrival time of the last message from one quorum member to
+// another, for stream to read and update.
 func (s *sim) lastDelivery(from, to *quorumMember) *time.Duration {
 	key := [2]*quorumMember{from, to}
-	if s.pipes[key] == nil {
-		s.pipes[key] = new(time.Duration)
+	if s.lastDeliveries[key] == nil {
+		s.lastDeliveries[key] = new(time.Duration)
 	}
-	return s.pipes[key]
+	return s.lastDeliveries[key]
 }
 
 func (s *sim) route(name string) *Route {
@@ -206,18 +207,19 @@
 	return &s.scenario.Routes[i]
 }
 
-// checkFinalState checks the invariants of the end of a run: a leader in contact with a
-// quorum has every acknowledged revision.
+// checkFinalState records a violation if a leader in contact with a quorum lacks an
+// acknowledged revision.
 func (s *sim) checkFinalState() {
 	for _, m := range s.members {
 		inContact := m.raft.QuorumContactAge(s.now) < time.Second
 		if m.up && m.raft.IsLeader() && inContact && m.catalog.Revision() < s.ackedRevision {
-			s.violation("%s leads with revision %d, and %d was acknowledged", m.name, m.catalog.Revision(), s.ackedRevision)
+			s.recordViolation("leader %s has revision %d, older than the acknowledged revision %d", m.name, m.catalog.Revision(), s.ackedRevision)
 		}
 	}
 }
 
-// fingerprint is a hash of the run: equal for runs with the same events.
+// fingerprint returns a hash of the run's state, which is equal for runs with the same
+// events.
 func (s *sim) fingerprint() uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, s.seq, s.attempts, s.incarnations, s.rng.Uint64(), s.measurements.total)
--- a/internal/simulation/lab/statistics.go
+++ b/internal/simulation/lab/statistics.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Mean is a mean with the half width of its 95 % interval, by Student's t.
+// Mean is a mean with the half width of its 95 % confidence interval, by Student's t.
 type Mean struct {
 	N               int
 	Mean, HalfWidth float64
@@ -16,20 +16,20 @@
 
 func (m Mean) String() string { return fmt.Sprintf("%.4f ± %.4f", m.Mean, m.HalfWidth) }
 
-// Average returns the mean of a sample. One value has no interval.
-func Average(x []float64) Mean {
-	if len(x) < 2 {
-		return Mean{len(x), stat.Mean(x, nil), math.NaN()}
+// Average returns the mean of a sample. HalfWidth is NaN for fewer than two values.
+func Average(sample []float64) Mean {
+	if len(sample) < 2 {
+		return Mean{len(sample), stat.Mean(sample, nil), math.NaN()}
 	}
-	mean, dev := stat.MeanStdDev(x, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975)
-	return Mean{len(x), mean, t * dev / math.Sqrt(float64(len(x)))}
+	mean, deviation := stat.MeanStdDev(sample, nil)
+	quantile := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(sample) - 1)}.Quantile(0.975)
+	return Mean{len(sample), mean, quantile * deviation / math.Sqrt(float64(len(sample)))}
 }
 
-// Metrics are what studies compare.
+// Metrics are the values of a result that Compare and Report show.
 var Metrics = []struct {
-	Name string
-	Of   func(r *Result) float64
+	Name  string
+	Value func(r *Result) float64
 }{
 	{"worth", func(r *Result) float64 { return r.Total.Value }},
 	{"refused", func(r *Result) float64 { return fraction(r.Total.Refused, r.Total.Requests) }},
@@ -46,28 +46,28 @@
 
 func fraction(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
-// Compare returns, for each figure, the mean of both and of their differences,
-// paired by seed.
+// Compare returns a table with the means of a and b for each metric, and the mean of the
+// differences, paired by seed. The seeds of a and b must be the same, in the same order.
 func Compare(a, b []*Result) (lines []string, err error) {
 	if len(a) != len(b) || len(a) == 0 {
-		return nil, fmt.Errorf("%d plays against %d can't be paired", len(a), len(b))
+		return nil, fmt.Errorf("lab: cannot pair %d results with %d", len(a), len(b))
 	}
 	lines = append(lines, fmt.Sprintf("%-20s %12s %12s   %s", "", "A", "B", "B - A, 95 %"))
-	for _, f := range Metrics {
-		var x, y, d []float64
+	for _, metric := range Metrics {
+		var valuesA, valuesB, differences []float64
 		for i := range a {
 			if a[i].Seed != b[i].Seed {
-				return nil, fmt.Errorf("seed %d against seed %d can't be paired", a[i].Seed, b[i].Seed)
+				return nil, fmt.Errorf("lab: cannot pair a result of seed %d with one of seed %d", a[i].Seed, b[i].Seed)
 			}
-			x, y = append(x, f.Of(a[i])), append(y, f.Of(b[i]))
-			d = append(d, y[i]-x[i])
+			valuesA, valuesB = append(valuesA, metric.Value(a[i])), append(valuesB, metric.Value(b[i]))
+			differences = append(differences, valuesB[i]-valuesA[i])
 		}
-		diff := Average(d)
+		diff := Average(differences)
 		note := ""
 		if math.Abs(diff.Mean) > diff.HalfWidth {
 			note = "  differs"
 		}
-		lines = append(lines, fmt.Sprintf("%-20s %12.4f %12.4f   %s%s", f.Name, stat.Mean(x, nil), stat.Mean(y, nil), diff, note))
+		lines = append(lines, fmt.Sprintf("%-20s %12.4f %12.4f   %s%s", metric.Name, stat.Mean(valuesA, nil), stat.Mean(valuesB, nil), diff, note))
 	}
 	return lines, nil
 }
--- a/internal/simulation/lab/sweep.go
+++ b/internal/simulation/lab/sweep.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// Job is one run of a study.
+// Job is one run of a sweep: a scenario, a seed, and the varied setting for the result.
 type Job struct {
 	Scenario *Scenario
 	Seed     uint64
 	Varied   string
 }
 
-// Sweep runs jobs on all cores and returns their results in order. done is called
-// after each, by one goroutine at a time.
+// Sweep runs jobs on all cores and returns their results in the order of the jobs. It calls
+// done after each job, from one goroutine at a time.
 func Sweep(jobs []Job, done func()) []*Result {
 	results := make([]*Result, len(jobs))
 	next := make(chan int)
--- a/internal/simulation/standin/standin.go
+++ b/internal/simulation/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin has application servers that stand in for real ones, beside real nodes: they heartbeat as a server
-// does, and answer by a handler.
+// Package standin runs stand-in application servers next to real nodes. They send heartbeats as an application server
+// does, and serve requests with a given handler.
 package standin
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Options describe a server.
+// Options configures a stand-in server.
 type Options struct {
 	ID, Service, Zone string
-	Address           string // where it listens
-	Control           string // where its node takes heartbeats, host:port
+	Address           string // host:port at which it listens
+	Control           string // host:port at which its node receives heartbeats
 	Slots             int
 	Heartbeat         time.Duration
-	Handler           http.Handler // nil: it listens to nobody
+	Handler           http.Handler // the server does not listen if nil
 }
 
-// Server is a stand-in that runs.
+// Server is a running stand-in server.
 type Server struct {
-	options Options
-	web     *http.Server // nil: none
-	client  http.Client
-	stop    func()
+	options    Options
+	httpServer *http.Server // nil if Options.Handler is nil
+	client     http.Client
+	stop       func()
 
 	mu       sync.Mutex
 	draining bool
 	sequence int
 }
 
-// heartbeat is what a server says of itself.
+// heartbeat is the msgpack body of a heartbeat request.
 type heartbeat struct {
 	Service  string `msgpack:"backend"`
 	Address  string `msgpack:"address"`
@@ -46,25 +46,25 @@
 	Sequence int    `msgpack:"call_seq"`
 }
 
-// Start runs a server until Stop.
-func Start(o Options) (*Server, error) {
-	s := &Server{options: o, client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
+// Start starts a server, which runs until Stop.
+func Start(options Options) (*Server, error) {
+	s := &Server{options: options, client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	if o.Handler != nil {
-		l, err := net.Listen("tcp", o.Address)
+	if options.Handler != nil {
+		listener, err := net.Listen("tcp", options.Address)
 		if err != nil {
 			cancel()
-			return nil, fmt.Errorf("a stand-in server: %w", err)
+			return nil, fmt.Errorf("standin: listen: %w", err)
 		}
-		s.web = &http.Server{ReadHeaderTimeout: 3 * time.Second, Handler: o.Handler}
-		running.Go(func() { s.web.Serve(l) })
+		s.httpServer = &http.Server{ReadHeaderTimeout: 3 * time.Second, Handler: options.Handler}
+		running.Go(func() { s.httpServer.Serve(listener) })
 	}
-	running.Go(func() { s.heartbeats(ctx) })
+	running.Go(func() { s.heartbeatLoop(ctx) })
 	s.stop = sync.OnceFunc(func() {
 		cancel()
-		if s.web != nil {
-			s.web.Close()
+		if s.httpServer != nil {
+			s.httpServer.Close()
 		}
 		running.Wait()
 		s.client.CloseIdleConnections()
@@ -72,11 +72,11 @@
 	return s, nil
 }
 
-// Stop ends the server without a word to its node.
+// Stop stops the server without notice to its node, and waits until its goroutines end.
 func (s *Server) Stop() { s.stop() }
 
-// heartbeats tells the node again and again that the server is there.
-func (s *Server) heartbeats(ctx context.Context) {
+// heartbeatLoop sends a heartbeat in each interval until ctx is done.
+func (s *Server) heartbeatLoop(ctx context.Context) {
 	tick := time.NewTicker(s.options.Heartbeat)
 	defer tick.Stop()
 	for {
@@ -89,7 +89,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat, without a retry.
+// sendHeartbeat sends one heartbeat. It ignores errors, as the next heartbeat follows.
 func (s *Server) sendHeartbeat(ctx context.Context) {
 	s.mu.Lock()
 	s.sequence++
@@ -115,7 +115,7 @@
 	}
 }
 
-// Drain marks the server: it wants no new requests.
+// Drain sets the status to draining, so that the mesh sends no new requests, and sends it to the node.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
--- a/internal/simulation/timeline/timeline.go
+++ b/internal/simulation/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline reads the logs of many machines and says how a start of all of them went: which step each of them
-// reached when, counted from the first process of the wave.
+// Package timeline reads the logs of many machines and reports the time at which each machine reached each step of the
+// last simultaneous start, counted from the first process that started.
 package timeline
 
 import (
@@ -13,106 +13,107 @@
 	"time"
 )
 
-// Event is one line of a log.
+// Event is a log line of one of the project's programs.
 type Event struct {
 	At      time.Time
 	Machine string
-	Name    string // such as leadership.acquired; see the operators' page
+	Name    string // such as leadership.acquired
 }
 
-// line is one of the programs' own, as slog's text handler writes it, behind what a collector may have put in front of
-// it: its last word is taken for the machine's name.
-var line = regexp.MustCompile(`^(.*?)time=(\S+) level=\w+ msg=(\S+)`)
+// logLine matches a line of slog's text handler. A log collector may have put a prefix before it, whose last word is the
+// machine's name.
+var logLine = regexp.MustCompile(`^(.*?)time=(\S+) level=\w+ msg=(\S+)`)
 
-// Read returns the events of a log in order. Lines of others are passed over; machine names those that do not name theirs.
+// Read returns the events of a log in order, and skips lines of other programs. machine is the machine's name for lines
+// without a prefix.
 func Read(r io.Reader, machine string) ([]Event, error) {
 	var list []Event
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		m := line.FindStringSubmatch(lines.Text())
-		if m == nil {
+		match := logLine.FindStringSubmatch(lines.Text())
+		if match == nil {
 			continue
 		}
-		at, err := time.Parse(time.RFC3339Nano, m[2])
+		timestamp, err := time.Parse(time.RFC3339Nano, match[2])
 		if err != nil {
 			continue
 		}
-		e := Event{At: at, Machine: machine, Name: cmp.Or(renamed[m[3]], m[3])}
-		if words := strings.Fields(m[1]); len(words) > 0 {
-			e.Machine = words[len(words)-1]
+		event := Event{At: timestamp, Machine: machine, Name: cmp.Or(currentNames[match[3]], match[3])}
+		if words := strings.Fields(match[1]); len(words) > 0 {
+			event.Machine = words[len(words)-1]
 		}
-		list = append(list, e)
+		list = append(list, event)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("timeline: %w", err)
+		return nil, fmt.Errorf("timeline: read log: %w", err)
 	}
 	return list, nil
 }
 
-// renamed maps events of the version before to their present names, so that its logs are read as well.
-var renamed = map[string]string{"data.start": "sidecar.started", "server.new": "server.registered", "data.ready": "sidecar.ready"}
+// currentNames maps the event names of the previous version to the current ones, so that its logs can be read as well.
+var currentNames = map[string]string{"data.start": "sidecar.started", "server.new": "server.registered", "data.ready": "sidecar.ready"}
 
-// Steps of a start, in the order in which they wait for each other.
+// Steps are the events of a start, in the order in which they depend on each other.
 var Steps = []string{"control.started", "leadership.acquired", "sidecar.started", "server.registered", "config.applied", "sidecar.ready"}
 
-// calm is the time without a start that parts two waves.
-const calm = 3 * time.Second
+// waveGap is the minimum time between the starts of two waves.
+const waveGap = 3 * time.Second
 
-// Step is how the machines of a wave came to one step, after its first start.
+// Step holds the times at which machines reached a step, counted from the start of the wave.
 type Step struct {
 	Name                string
 	Machines            int
 	First, Median, Last time.Duration
-	Slowest             string // the machine that came last
+	Slowest             string // the machine that reached the step last
 }
 
-// Wave is the last time that many machines started together.
+// Wave is a simultaneous start of many machines.
 type Wave struct {
-	Began time.Time
-	Steps []Step
+	StartedAt time.Time
+	Steps     []Step
 }
 
-// Last finds the last wave of starts, and for each step when each machine first came to it. ok is false where nothing has
-// started.
-func Last(events []Event) (w Wave, ok bool) {
+// Last returns the last wave, with the first time at which each machine reached each step. ok is false if there is no
+// start among the events.
+func Last(events []Event) (wave Wave, ok bool) {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
-	starts := func(e Event) bool { return e.Name == "control.started" || e.Name == "sidecar.started" }
-	var before time.Time
-	for _, e := range events {
-		if !starts(e) {
+	isStart := func(event Event) bool { return event.Name == "control.started" || event.Name == "sidecar.started" }
+	var previous time.Time
+	for _, event := range events {
+		if !isStart(event) {
 			continue
 		}
-		if !ok || e.At.Sub(before) > calm {
-			w.Began, ok = e.At, true
+		if !ok || event.At.Sub(previous) > waveGap {
+			wave.StartedAt, ok = event.At, true
 		}
-		before = e.At
+		previous = event.At
 	}
 	if !ok {
-		return w, false
+		return wave, false
 	}
 	for _, name := range Steps {
 		reached := map[string]time.Duration{}
-		for _, e := range events {
-			if _, again := reached[e.Machine]; e.Name == name && !again && !e.At.Before(w.Began) {
-				reached[e.Machine] = e.At.Sub(w.Began)
+		for _, event := range events {
+			if _, known := reached[event.Machine]; event.Name == name && !known && !event.At.Before(wave.StartedAt) {
+				reached[event.Machine] = event.At.Sub(wave.StartedAt)
 			}
 		}
 		if len(reached) == 0 {
 			continue
 		}
 		var all []time.Duration
-		s := Step{Name: name, Machines: len(reached)}
-		for machine, after := range reached {
-			all = append(all, after)
-			if after > s.Last || s.Slowest == "" || after == s.Last && machine < s.Slowest {
-				s.Last, s.Slowest = after, machine
+		step := Step{Name: name, Machines: len(reached)}
+		for machine, elapsed := range reached {
+			all = append(all, elapsed)
+			if elapsed > step.Last || step.Slowest == "" || elapsed == step.Last && machine < step.Slowest {
+				step.Last, step.Slowest = elapsed, machine
 			}
 		}
 		slices.Sort(all)
-		s.First, s.Median = all[0], all[len(all)/2]
-		w.Steps = append(w.Steps, s)
+		step.First, step.Median = all[0], all[len(all)/2]
+		wave.Steps = append(wave.Steps, step)
 	}
-	return w, true
+	return wave, true
 }
--- a/internal/simulation/timeline/timeline_test.go
+++ b/internal/simulation/timeline/timeline_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLastWave: of two starts the last counts, a machine's first word on a step alone, whatever a collector has put in
-// front of the lines, and what others have written does not matter.
+// TestLastWave checks that Last uses the last of two waves and each machine's first event of a step, and that Read
+// accepts prefixes of log collectors and skips other lines.
 func TestLastWave(t *testing.T) {
 	const log = `note: a line of somebody else's
   -9.9 c1 time=2026-02-18T01:08:00.000Z level=INFO msg=control.started node=c1
@@ -23,21 +23,21 @@
 `
 	events, err := Read(strings.NewReader(log), "")
 	if err != nil || len(events) != 9 {
-		t.Fatalf("%d events, %v", len(events), err)
+		t.Fatalf("Read returned %d events, want 9; error %v", len(events), err)
 	}
-	w, ok := Last(events)
-	if !ok || w.Began.Second() != 40 || len(w.Steps) != 4 {
-		t.Fatalf("%+v, %v", w, ok)
+	wave, ok := Last(events)
+	if !ok || wave.StartedAt.Second() != 40 || len(wave.Steps) != 4 {
+		t.Fatalf("Last returned %+v, %v; want a wave from second 40 with 4 steps", wave, ok)
 	}
 	const ms = time.Millisecond
 	want := Step{Name: "sidecar.ready", Machines: 2, First: 300 * ms, Median: 450 * ms, Last: 450 * ms, Slowest: "n2"}
-	if got := w.Steps[3]; got != want {
-		t.Errorf("%+v, want %+v", got, want)
+	if got := wave.Steps[3]; got != want {
+		t.Errorf("last step %+v, want %+v", got, want)
 	}
-	if own, _ := Read(strings.NewReader("time=2026-02-18T01:08:00Z level=INFO msg=control.started"), "c9"); len(own) != 1 || own[0].Machine != "c9" {
-		t.Errorf("a machine's own file: %+v", own)
+	if unprefixed, _ := Read(strings.NewReader("time=2026-02-18T01:08:00Z level=INFO msg=control.started"), "c9"); len(unprefixed) != 1 || unprefixed[0].Machine != "c9" {
+		t.Errorf("a log without prefixes: events %+v, want one of machine c9", unprefixed)
 	}
 	if _, ok := Last(nil); ok {
-		t.Error("nothing has started, and a wave was found")
+		t.Error("Last found a wave without events")
 	}
 }
