--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -49,9 +49,9 @@
 }
 
 // limitMemory sets the soft memory limit of the Go runtime to two thirds of the node's
-// limit. The rest is left for stacks, the program itself and the kernel. It keeps the
-// default rate of garbage collection: with rare collections the heap would grow slowly
-// for a long time, which looks like a leak.
+// limit. The rest is left for memory that the runtime does not count, such as the mapped
+// binary and kernel buffers. It keeps the default rate of garbage collection: with rare
+// collections the heap would grow slowly for a long time, which looks like a leak.
 func limitMemory(mb int) {
 	debug.SetMemoryLimit(int64(mb) << 20 * 2 / 3)
 	debug.SetGCPercent(100)
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -18,7 +18,7 @@
 )
 
 // The test binary runs main instead of the tests if this variable is set.
-const runMainVariable = "CURLEWRING_TEST_COMMAND"
+const runMainVariable = "BALANCER_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(runMainVariable) != "" {
@@ -28,7 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// command returns the program with a configuration file, and its log.
+// command returns a command that runs the program with a configuration file, and the
+// buffer for its log.
 func command(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -121,7 +122,7 @@
 		t.Fatalf("the test itself uses %d bytes of heap", m.HeapAlloc)
 	}
 	if m.NextGC > 8<<20 {
-		t.Errorf("with %d live bytes the next collection is at %d", m.HeapAlloc, m.NextGC)
+		t.Errorf("with %d live bytes the next collection is at %d bytes, want at most 8 MiB", m.HeapAlloc, m.NextGC)
 	}
 }
 
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -32,8 +32,8 @@
 	inBatch bool // true between turn and commit
 }
 
-func newHost(in *bufio.Reader, out *bufio.Writer) *host {
-	return &host{reader: in, writer: out, nodes: map[int]*node{}}
+func newHost(input *bufio.Reader, output *bufio.Writer) *host {
+	return &host{reader: input, writer: output, nodes: map[int]*node{}}
 }
 
 // run processes batches until the input ends.
@@ -139,18 +139,18 @@
 	if err != nil {
 		return fmt.Errorf("booting instance %d: %w", *event.I, err)
 	}
-	instance := &node{
+	newNode := &node{
 		balancer: decide.New(policySettings, event.Seed, h.now),
 		classes:  map[string]int{},
 		tenants:  map[string]int{},
 	}
 	for i, c := range event.Info.Classes {
-		instance.classes[c.Name] = i
+		newNode.classes[c.Name] = i
 	}
 	for i, t := range event.Info.Tenants {
-		instance.tenants[t.Name] = i
+		newNode.tenants[t.Name] = i
 	}
-	h.nodes[*event.I] = instance
+	h.nodes[*event.I] = newNode
 	return nil
 }
 
@@ -169,26 +169,26 @@
 // event passes an event to its instance and writes the resulting actions. It reports a
 // panic of the policy with the action bail_out.
 func (h *host) event(m *message) (err error) {
-	var instance *int
+	var number *int
 	switch {
 	case m.View != nil:
-		instance = m.View.I
+		number = m.View.I
 	case m.Req != nil:
-		instance = m.Req.I
+		number = m.Req.I
 	case m.Done != nil:
-		instance = m.Done.I
+		number = m.Done.I
 	case m.Check != nil:
-		instance = m.Check.I
+		number = m.Check.I
 	case m.Reminder != nil:
-		instance = m.Reminder.I
+		number = m.Reminder.I
 	case m.Cancelled != nil:
-		instance = m.Cancelled.I
+		number = m.Cancelled.I
 	case m.Opened != nil:
-		instance = m.Opened.I
+		number = m.Opened.I
 	case m.Heard != nil:
-		instance = m.Heard.I
+		number = m.Heard.I
 	}
-	n, i, err := h.node(instance)
+	n, i, err := h.node(number)
 	if err != nil {
 		return err
 	}
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -49,7 +49,7 @@
 				`{"done":{}}` + "\n" + `{"done":{}}` + "\n",
 		},
 		{
-			"exit and boot in one batch forget the list", firstTurnLine + bootLine + listLines + commitLine +
+			"exit and boot in one batch discard the list", firstTurnLine + bootLine + listLines + commitLine +
 				secondTurnLine + `{"exit":{"i":4}}` + "\n" + bootLine + requestLine + commitLine,
 			`{"done":{}}` + "\n" + `{"defer":{"i":4,"in_ns":10000000,"handle":99}}` + "\n" + `{"done":{}}` + "\n",
 		},
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -8,8 +8,8 @@
 
 // Admission at the front proxy: a request is admitted with the probability P = (b-r)/(b-a) between the bounds
 // a and b of the curve of its value, where r is the node's mean response time in multiples of the latency
-// target. The curves are stacked, so that a lower value is refused completely before a higher one is refused
-// at all. If the number of calls in flight shows an overload before the response times do, it replaces r.
+// target. The curves are stacked: all requests of a lower value are refused before any of a higher value. If
+// the number of calls in flight shows an overload before the response times do, it replaces r.
 const (
 	admissionLatencyMax = 1.0 // r at which the pressure is 1
 	admissionLatencyMin = 0.6 // r at which the pressure is 0
@@ -150,9 +150,9 @@
 	return left
 }
 
-// admissionProbability returns the probability of admission for a value at the current pressure. The curve of
-// each level but the lowest starts at a higher pressure the smaller the share of arrivals on its level or
-// above, so that noise in the pressure of one node does not refuse rare requests of high value.
+// admissionProbability returns the probability of admission for a value at the current pressure. Except for
+// the lowest level, a curve starts at a higher pressure if fewer arrivals are on its level or above. Noise in
+// the pressure of one node then does not refuse rare requests of high value.
 func (b *Balancer) admissionProbability(value float64) float64 {
 	level := b.level(value)
 	width := 1 / float64(len(b.valueLevels))
@@ -165,7 +165,7 @@
 	return linearProbability(b.pressure(), low, low+width)
 }
 
-// level returns the index of the lowest level that is at least value, or else of the highest level.
+// level returns the index of the lowest level that is at least value, or of the highest if there is none.
 func (a *admission) level(value float64) int {
 	i, _ := slices.BinarySearch(a.valueLevels, value)
 	return min(i, len(a.valueLevels)-1)
@@ -194,8 +194,8 @@
 
 // concurrencyRatio returns the mean number of calls in flight in multiples of this node's share of the
 // servers' capacity. Ejected servers do not count as capacity, as their calls would overload the others. The
-// few calls of one node vary at random, while the servers receive the sum over all nodes: therefore the calls
-// are averaged over arrivals, and half the square root of the capacity is added as a tolerance.
+// few calls of one node vary at random, while the servers receive the sum over all nodes. The calls are
+// therefore averaged over arrivals, and half the square root of the capacity is added as a tolerance.
 func (b *Balancer) concurrencyRatio() float64 {
 	available, total := 0, len(b.localSubset)+len(b.remoteSubset)
 	for i := range total {
--- a/decide/admission_gate.go
+++ b/decide/admission_gate.go
@@ -13,12 +13,12 @@
 	gateOutcomeWindow = 8                      // outcomes over which r is averaged
 	gateLatencyMin    = 0.8                    // r below which every request is admitted
 	gateLatencyMax    = 2.0                    // r from which every request is refused
-	gateCalmPressure  = 0.83                   // pressure below which Calm returns true
+	gateLowPressure   = 0.83                   // pressure below which LowPressure returns true
 	gateIdleLatency   = 0.5                    // upper bound of r for an idle service
-	gateIdleSlack     = 0.001                  // upper bound of its pressure above gateLatencyMin
+	gateIdleSlack     = 0.001                  // tolerated excess of its pressure over gateLatencyMin
 
 	saturationWindow       = time.Second // time constant of the decay of the saturation counters
-	saturationPrior        = 2           // requests that are added to those that found a free server
+	saturationPrior        = 2           // unsaturated requests assumed in addition to the counted ones
 	toleratedSaturation    = 0.1         // share of saturated requests that does not raise the pressure
 	saturatedPressureShare = 0.6         // pressure rise at full saturation, as a share of r's range
 
@@ -76,8 +76,8 @@
 }
 
 // saturationDecay returns the factor by which the saturation counters have decayed since their last update.
-// They decay with time, because a gate that admits few requests would keep a past overload for too long if
-// they decayed with each request.
+// They decay with time: if they decayed with each request, a gate that admits few requests would react to a
+// past overload for too long.
 func (g *Gate) saturationDecay(now time.Duration) float64 {
 	return math.Exp(-float64(now-g.saturationUpdatedAt) / float64(saturationWindow))
 }
@@ -91,8 +91,8 @@
 	return max(g.normalizedLatency, gateLatencyMin+latencyRange*saturatedPressureShare*excess)
 }
 
-// Calm reports whether the pressure is so low that hardly any request is refused.
-func (g *Gate) Calm(now time.Duration) bool { return g.Pressure(now) < gateCalmPressure }
+// LowPressure reports whether the pressure is so low that hardly any request is refused.
+func (g *Gate) LowPressure(now time.Duration) bool { return g.Pressure(now) < gateLowPressure }
 
 // Idle reports whether requests find free servers and are answered well within their latency targets.
 func (g *Gate) Idle(now time.Duration) bool {
--- a/decide/admission_gate_test.go
+++ b/decide/admission_gate_test.go
@@ -99,15 +99,15 @@
 func TestToleratedSaturation(t *testing.T) {
 	for _, c := range []struct {
 		saturatedEvery int // one in this many requests finds no free server
-		calm           bool
+		lowPressure    bool
 	}{{20, true}, {11, true}, {4, false}, {1, false}} {
 		g := NewGate(1, 0)
 		g.SetPriorities([]int{0, 1, 2})
 		for i := range 400 {
 			g.RecordCapacity(0, i%c.saturatedEvery > 0)
 		}
-		if g.Calm(0) != c.calm || g.Idle(0) && !c.calm || (g.Probability(0, 2) > 0.99) != c.calm {
-			t.Errorf("one in %d requests finds no free server: pressure %.2f, calm %v", c.saturatedEvery, g.Pressure(0), g.Calm(0))
+		if g.LowPressure(0) != c.lowPressure || g.Idle(0) && !c.lowPressure || (g.Probability(0, 2) > 0.99) != c.lowPressure {
+			t.Errorf("one in %d requests finds no free server: pressure %.2f, low pressure %v", c.saturatedEvery, g.Pressure(0), g.LowPressure(0))
 		}
 	}
 }
--- a/decide/api.go
+++ b/decide/api.go
@@ -48,8 +48,9 @@
 	Value                float64
 	LateValueShare       float64 // share of the value that an answer after the target earns
 	Effect               Effect
-	Group                Group         // servers that drop repeats, if Effect is Keyed
-	KeyTTL               time.Duration // how long they do so, from the first send that may have run
+	Group                Group // servers that drop repeats, if Effect is Keyed
+	// The servers drop repeats for this time after the first send that may have run.
+	KeyTTL time.Duration
 }
 
 // Weights is the meaning of Server.Weight.
@@ -69,13 +70,13 @@
 	Share float64 // share of the service
 }
 
-// Prices are deducted from the result, each multiplied by the rate or share that it applies to.
+// Prices are deducted from the result, each multiplied by the quantity in its comment.
 type Prices struct {
-	CrossZone float64 // for attempts that cross zones, per first attempt
-	Handshake float64 // for new connections, per first attempt
-	Probe     float64 // for probes, per first attempt
-	Waste     float64 // for work that served no answer, as a share of all work
-	LateFail  float64 // for the value of requests that failed after their latency target
+	CrossZone float64 // attempts that cross zones, per first attempt
+	Handshake float64 // new connections per first attempt
+	Probe     float64 // probes per first attempt
+	Waste     float64 // share of all work without a served answer
+	LateFail  float64 // value of requests that failed after their latency target
 }
 
 // Goal holds the weights of the parts of the result.
@@ -86,9 +87,9 @@
 	NinesFull float64 // number of nines that earns the full weight
 }
 
-// Settings are the settings of a node at its start; absent ones are zero. Invalid settings neither cause a
-// panic nor break a rule: fewer than one node counts as one, a negative wait counts as zero, and without a
-// class every request fails.
+// Settings are the settings of a node at its start; absent ones are zero. Invalid settings cause neither a
+// panic nor a violation of the protocol: fewer than one node counts as one, a negative wait counts as zero,
+// and without a class every request fails.
 type Settings struct {
 	Node, Nodes         int // index of this node in its tier, and number of nodes in the tier
 	Tier, Tiers         int // index of this node's tier (0 is the front proxy), and number of tiers
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -29,7 +29,7 @@
 
 // Balancer is the load-balancing policy of one node. It must not be used concurrently. Its handlers append
 // the resulting actions to out and return the extended slice. The embedded structs hold the state of its
-// parts, each with a file of its own.
+// parts.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
@@ -92,7 +92,7 @@
 	value := b.valueOf(&r)
 	targetLeft := b.latencyTargetLeft(&r)
 	if b.settings.Tier == 0 && b.settings.Classes[r.Class].LateValueShare == 0 {
-		// An answer after the latency target has no value: give up before it to save the servers' work.
+		// An answer after the latency target has no value: end the call before it to save the servers' work.
 		if targetLeft <= b.settings.AnswerGrace {
 			value = 0
 		} else {
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -34,8 +34,8 @@
 
 // takeConnection chooses the connection for a send and returns the bucket of its idle time, or noIdleBucket
 // if the connection is new or was idle for less than minIdleTime. If the connection was idle for as long as
-// dead ones, all idle connections of the server are closed: a new connection costs a handshake, a dead one
-// the request. The counters cover all servers, so that one hung server does not mark connections as dead.
+// dead ones, all idle connections of the server are closed: a handshake costs less than a lost request. The
+// counters cover all servers, so that one hung server does not mark connections as dead.
 func (b *Balancer) takeConnection(s *server) (bucket int) {
 	if len(s.idle) == 0 {
 		return noIdleBucket
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -10,7 +10,7 @@
 	maxConsecutiveFailures = 3               // consecutive failures that eject a server
 	baseEjectionTime       = time.Second     // doubled with each ejection since the last success
 	maxEjectionDoublings   = 3               // limit of the doublings
-	serviceRateWindow      = 5 * time.Second // time constant of the average of serviceRate
+	serviceRateWindow      = 5 * time.Second // time constant of the smoothing of serviceRate
 )
 
 // outlierState is the outlier detection state of a server or a zone.
--- a/decide/p2c.go
+++ b/decide/p2c.go
@@ -26,8 +26,9 @@
 }
 
 // pick returns the less loaded of two random servers of the local subset, or the less loaded of two of the
-// remote subset if its load is lower even after multiplication by remoteLoadFactor. It returns nil if no
-// server is usable. If at least half of the subset is ejected, the servers are probably not the cause, and
+// remote subset if its load is lower even after multiplication by remoteLoadFactor. For a keyed call that may
+// have run, whose group is a zone or cell, it considers all members of the group instead. It returns nil if
+// no server is usable. If at least half of the subset is ejected, the servers are probably not the cause, and
 // ejections are ignored.
 func (b *Balancer) pick(c *call) *server {
 	class := &b.settings.Classes[c.Class]
@@ -109,8 +110,8 @@
 		if avoidEjected && ejected || !b.inGroup(c, s) || !b.withinSlowStart(s) {
 			continue
 		}
-		// Exclude the server of the previous attempt, unless it is the only one: a keyed call that is
-		// confined to it would otherwise wait until its deadline.
+		// Exclude the server of the previous attempt, unless it is the only one of the list: the call would
+		// otherwise wait until its deadline.
 		n := len(c.attempts)
 		if avoidEjected && n > 0 && c.attempts[n-1].server == s && len(list) > 1 {
 			continue
--- a/decide/policy_sim_test.go
+++ b/decide/policy_sim_test.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// handle runs before, then passes an event to the Balancer.
+// handle calls before, passes an event to the Balancer and applies the resulting actions.
 func (sim *policySim) handle(event func([]Action) []Action, before func()) {
 	before()
 	sim.apply(event(sim.buf[:0]))
@@ -247,7 +247,7 @@
 				sim.fail("second answer to request %d", a.Request)
 			}
 			if a.Kind == Refuse {
-				sim.mayRefuse(request)
+				sim.checkRefusal(request)
 				if a.Wait < 0 || a.Wait > sim.settings.MaxRetryAfter || a.Wait > 0 && !sim.settings.MaySetRetryAfter {
 					sim.fail("invalid retry-after of %v", a.Wait)
 				}
@@ -331,7 +331,7 @@
 	sim.pendingOutcomes = append(sim.pendingOutcomes, pendingOutcome{sim.now + elapsed, request.ID, len(request.attempts) - 1, s.ID, result, elapsed})
 }
 
-func (sim *policySim) mayRefuse(request *openRequest) {
+func (sim *policySim) checkRefusal(request *openRequest) {
 	class := sim.settings.Classes[request.Class]
 	for _, attempt := range request.attempts {
 		if !attempt.pending && !attempt.mayHaveRun {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -82,10 +82,10 @@
 	return time.Duration(lateLatencyFactor * mean * float64(b.latencyTarget(&c.Request)))
 }
 
-// checkLateAttempts marks attempts without an answer after lateLatency as late. If the connection of one is
-// considered dead, the request has probably not reached the server: a hedged request is sent if that is safe
-// and within the retry budget. Hedging a request that is only slow costs more than it saves, as the first
-// attempt continues.
+// checkLateAttempts marks attempts without an answer after lateLatency as late. If the connection of a late
+// attempt is considered dead, the request has probably not reached the server: a hedged request is sent if
+// that is safe and within the retry budget. Hedging a request that is only slow costs more than it saves, as
+// the first attempt continues.
 func (b *Balancer) checkLateAttempts(c *call) {
 	for i := range c.attempts {
 		a := &c.attempts[i]
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -137,7 +137,7 @@
 	return sends
 }
 
-// All nodes together must not overload a starting server, although each node knows only its own sends. They
+// All nodes together must not overload a starting server, although each node observes only its own sends. They
 // must still send it some requests.
 func TestColdBudgetOverManyNodes(t *testing.T) {
 	const restartAt = 5 * time.Second
@@ -147,7 +147,7 @@
 			Tier: 1, AnswerGrace: 10 * ms, Classes: []Class{{LatencyTarget: 9 * time.Second, Deadline: 9 * time.Second, Value: 1}},
 		}
 		// Each node receives 100 requests per second, which is just the capacity of its two servers. With a
-		// latency of 900 ms, each server holds so many calls that a starting one looks idle.
+		// latency of 900 ms, each server holds so many calls that a starting one has the lowest load.
 		sends := simulateNodes(nodes, 2*nodes, set, 900*ms, 15*time.Second, func(step int) (time.Duration, bool) {
 			return restartAt, step == int(restartAt/(10*ms))
 		})
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -24,7 +24,7 @@
 	}
 	subset := float64(max(1, len(b.localSubset)+len(b.remoteSubset)))
 	members := float64(max(1, len(b.members)))
-	nodes := max(1, float64(b.settings.Nodes)*subset/members) // nodes whose subset has the server
+	nodes := max(1, float64(b.settings.Nodes)*subset/members) // mean number of nodes per server
 	overload := b.settings.OverloadDuration.Seconds()
 	rate := max(b.serviceRate/subset*slowStartSafety*b.settings.OverloadFactor*share, 1/nodes/overload)
 	s.slowStartTokens = min(s.slowStartTokens+rate*(b.now-s.tokensFilledAt).Seconds(), 1+rate*overload/4)
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -12,8 +12,8 @@
 // Subset of the servers that a node uses. It limits the number of connections and gives the node enough
 // responses per server to estimate latencies.
 const (
-	frontSubsetSize  = 8    // minimum for a front node, and number of front nodes per server
-	innerSubsetSize  = 5    // the same for other tiers; smaller, for more calls per server
+	frontSubsetSize  = 8    // minimum subset size of a front node, and desired number of nodes per server
+	innerSubsetSize  = 5    // the same for other tiers; smaller, for more calls from a node to each server
 	localSubsetShare = 0.75 // share of the subset in the node's zone
 
 	// wait before the first retry of a list request, doubled with each further one
--- a/internal/balancer/node/frontend.go
+++ b/internal/balancer/node/frontend.go
@@ -129,8 +129,8 @@
 		w.Header().Set("Connection", "close")
 	}
 	if r.Body != http.NoBody {
-		// net/http reads the rest of the body after the response, without a deadline
-		// possibly forever.
+		// net/http reads the rest of the body after the response, possibly forever if there
+		// is no deadline.
 		http.NewResponseController(w).SetReadDeadline(f.clock.wall(conn.bodyDeadline(now)))
 	}
 	if len(r.TransferEncoding) > 0 {
--- a/internal/balancer/node/list.go
+++ b/internal/balancer/node/list.go
@@ -23,7 +23,7 @@
 	entries    []entry
 }
 
-// servers returns the entries as the policy takes them.
+// servers returns the entries without their addresses, for the policy.
 func (l *list) servers() []decide.Server {
 	servers := make([]decide.Server, len(l.entries))
 	for i := range l.entries {
--- a/internal/balancer/node/loop.go
+++ b/internal/balancer/node/loop.go
@@ -57,12 +57,12 @@
 
 	ctx    context.Context // cancelled to stop the loop and all attempts
 	events chan any
-	ready  atomic.Bool // at least one server accepts requests
+	ready  atomic.Bool // whether at least one server accepts requests
 
 	// The fields below are used only by the goroutine that executes run.
 	now          time.Duration
 	attempts     sync.WaitGroup
-	shuttingDown bool // new requests are failed
+	shuttingDown bool // whether new requests are failed
 	nextID       uint64
 	pending      map[uint64]*pending
 	peers        map[string]*peer
@@ -93,11 +93,11 @@
 }
 
 // run handles events until the context ends, and then waits until all attempts have returned.
-func (l *loop) run(known *list) {
+func (l *loop) run(storedList *list) {
 	defer l.attempts.Wait()
 	stored := &list{}
-	if known != nil {
-		stored = known
+	if storedList != nil {
+		stored = storedList
 	}
 	l.now = l.clock.now()
 	l.applyList(stored, decide.ListStored)
--- a/internal/balancer/node/node.go
+++ b/internal/balancer/node/node.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// The listener stays open for at least lateConnWindow, as clients may open
-	// connections up to 0.4 s after the shutdown was requested, and until no connection
-	// has been accepted for quietPeriod.
+	// The listener stays open for at least lateConnWindow, and until no connection has
+	// been accepted for quietPeriod. Clients may open connections up to 0.4 s after the
+	// shutdown was requested.
 	lateConnWindow = 600 * time.Millisecond
 	quietPeriod    = 200 * time.Millisecond
-	// The platform kills the process at the earliest 0.7 s after the longest deadline
-	// of a class. maxDrainWait is the maximum of that deadline.
+	// A shutdown fails the requests that are still pending after the longest deadline of a
+	// class, or maxDrainWait if that is shorter, plus shutdownMargin. The platform kills
+	// the process at the earliest 0.7 s after that deadline.
 	maxDrainWait   = 3 * time.Second
 	shutdownMargin = 300 * time.Millisecond
 )
@@ -52,7 +53,7 @@
 	sockets.evict = func() bool { return n.frontend.evictIdle(n.clock.now()) || n.upstream.evictOldest() }
 	address, err := net.ResolveTCPAddr("tcp", config.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("opening the listener: %w", err)
+		return nil, fmt.Errorf("resolving the listening address: %w", err)
 	}
 	if n.listener, err = net.ListenTCP("tcp", address); err != nil {
 		return nil, fmt.Errorf("opening the listener: %w", err)
--- a/internal/balancer/node/node_test.go
+++ b/internal/balancer/node/node_test.go
@@ -94,7 +94,7 @@
 			w.WriteHeader(code)
 		}
 	}
-	half := func(w http.ResponseWriter, _ *http.Request) {
+	truncatedResponse := func(w http.ResponseWriter, _ *http.Request) {
 		c, b, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
@@ -104,9 +104,9 @@
 		c.Close()
 	}
 	for _, c := range []struct {
-		name  string
-		first http.HandlerFunc // nil if the connection is refused
-		again bool
+		name    string
+		first   http.HandlerFunc // nil if the connection is refused
+		retried bool
 	}{
 		{"turned away, 503", status(503, true), true},
 		{"turned away, 504", status(504, true), true},
@@ -115,7 +115,7 @@
 		{"500", status(500, false), false},
 		{"500 with X-Turned-Away", status(500, true), false},
 		{"reset", resetConnection, false},
-		{"truncated response", half, false},
+		{"truncated response", truncatedResponse, false},
 		{"unexpected status", status(404, false), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,10 +133,10 @@
 				contacted := bad != nil && bad.requestCount() > 0
 				switch {
 				case resp.StatusCode == 200 && body == "fine":
-					if contacted && !c.again {
+					if contacted && !c.retried {
 						t.Fatal("a request that may have been executed was retried")
 					}
-				case !contacted || c.again:
+				case !contacted || c.retried:
 					t.Fatalf("got %s", resp.Status)
 				case resp.StatusCode == 429 || resp.StatusCode == 503:
 					t.Fatalf("refused with %s although the request may have been executed", resp.Status)
--- a/internal/balancer/node/parsing_test.go
+++ b/internal/balancer/node/parsing_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Invalid requests must be rejected with a status that does not ask the client to retry,
-// and must not reach a server.
+// Invalid requests must be rejected with a status after which clients do not retry, and
+// must not reach a server.
 func TestBadRequests(t *testing.T) {
 	s := newFakeServer(t, respond("fine"))
 	n := startNodeWithServers(t, s)
--- a/internal/balancer/node/request.go
+++ b/internal/balancer/node/request.go
@@ -22,8 +22,8 @@
 	idempotencyKeyHeader = "Idempotency-Key"
 )
 
-// requestError describes a malformed request. Its status is never 429 or 503, which would
-// ask the client to retry.
+// requestError describes a malformed request. Its status is never 429 or 503, after which
+// clients retry.
 type requestError struct {
 	status int
 	reason string
--- a/internal/balancer/node/requests.go
+++ b/internal/balancer/node/requests.go
@@ -37,7 +37,7 @@
 type pending struct {
 	call     *call
 	request  decide.Request
-	deadline time.Duration // of the client
+	deadline time.Duration // the client's deadline
 	answer   chan answer   // has capacity 1 for the final answer
 	answered bool
 	attempts []*attempt
--- a/internal/balancer/node/upstream.go
+++ b/internal/balancer/node/upstream.go
@@ -28,7 +28,7 @@
 	clock          clock
 	sockets        *sockets
 	connectTimeout time.Duration
-	idleFor        time.Duration // idle timeout of connections
+	idleTimeout    time.Duration
 
 	mu   sync.Mutex
 	idle map[string][]*conn // by server id, the most recently used last
@@ -38,7 +38,7 @@
 	net.Conn
 	address   string
 	incoming  incoming
-	reader    *bufio.Reader // of incoming
+	reader    *bufio.Reader // reads from incoming
 	inspector *sock.Inspector
 	sockets   *sockets
 	idleSince time.Duration
@@ -62,16 +62,16 @@
 
 func newUpstream(clock clock, sockets *sockets, settings *decide.Settings) *upstream {
 	u := &upstream{
-		clock: clock, sockets: sockets, connectTimeout: settings.ConnectTimeout, idleFor: settings.ConnIdle,
+		clock: clock, sockets: sockets, connectTimeout: settings.ConnectTimeout, idleTimeout: settings.ConnIdle,
 		idle: map[string][]*conn{},
 	}
 	if u.connectTimeout <= 0 {
 		u.connectTimeout = time.Second
 	}
-	if u.idleFor <= 0 {
-		u.idleFor = 10 * time.Second
+	if u.idleTimeout <= 0 {
+		u.idleTimeout = 10 * time.Second
 	}
-	u.idleFor -= min(idleMargin, u.idleFor/10)
+	u.idleTimeout -= min(idleMargin, u.idleTimeout/10)
 	return u
 }
 
@@ -86,7 +86,7 @@
 		}
 		c := stack[len(stack)-1]
 		u.idle[p.id] = stack[:len(stack)-1]
-		if c.address == p.address && u.clock.now()-c.idleSince < u.idleFor && c.alive() {
+		if c.address == p.address && u.clock.now()-c.idleSince < u.idleTimeout && c.alive() {
 			return c
 		}
 		c.close()
@@ -123,7 +123,7 @@
 	now := u.clock.now()
 	for id, stack := range u.idle {
 		expired := 0
-		for expired < len(stack) && (all || now-stack[expired].idleSince >= u.idleFor) {
+		for expired < len(stack) && (all || now-stack[expired].idleSince >= u.idleTimeout) {
 			stack[expired].close()
 			expired++
 		}
@@ -155,7 +155,7 @@
 // alive reports whether an idle connection is open and has no unread data.
 func (c *conn) alive() bool { return c.inspector.Idle() }
 
-// dial opens a connection to a server until the deadline at the latest. If the socket budget is
+// dial opens a connection to a server before the deadline. If the socket budget is
 // exhausted, it evicts idle connections first.
 func (u *upstream) dial(ctx context.Context, target *peer, deadline time.Duration) (*conn, error) {
 	for !u.sockets.acquire() {
--- a/internal/balancer/settings/settings.go
+++ b/internal/balancer/settings/settings.go
@@ -22,7 +22,7 @@
 	Objective      Objective     `json:"objective_mix"`
 	Tenants        []Tenant      `json:"tenants"`
 	Zones          []string      `json:"areas"`
-	CountedBy      string        `json:"counted_by"` // "work" if capacity counts work instead of requests
+	CountedBy      string        `json:"counted_by"` // "work" if value is counted per unit of work, not per request
 	Node           int           `json:"me"`         // index of this node
 	Nodes          int           `json:"n_instances"`
 	OverQuotaValue float64       `json:"over_share_worth"` // factor on the value of requests over their tenant's quota
@@ -30,7 +30,7 @@
 	RegistryMode   string        `json:"registry_mode"` // "subscribe" if the node requests lists
 	Tier           int           `json:"tier"`
 	Tiers          []string      `json:"tiers"`
-	WeightSource   string        `json:"weight_source"` // key of weights
+	WeightSource   string        `json:"weight_source"` // key in the table weights
 	Zone           string        `json:"zone"`
 }
 
@@ -42,8 +42,8 @@
 	Deadline             time.Duration `json:"deadline_ns"`
 	Value                float64       `json:"worth"`
 	LateValueShare       float64       `json:"late_worth"` // share of Value for a response after the latency target
-	Semantics            string        `json:"semantics"`  // key of effects
-	Group                string        `json:"group"`      // key of groups; required if Semantics is "by_key"
+	Semantics            string        `json:"semantics"`  // key in the table effects
+	Group                string        `json:"group"`      // key in the table groups; required if Semantics is "by_key"
 	KeyTTL               time.Duration `json:"key_ttl_ns"`
 }
 
@@ -67,8 +67,8 @@
 	SlowStartMinShare   float64       `json:"cold_from"`
 	SlowStartDuration   time.Duration `json:"cold_ns"`
 	DrainGrace          time.Duration `json:"drain_grace_ns"`
-	FallMultiple        float64       `json:"fall_multiple"`
-	FallFor             time.Duration `json:"fall_ns"`
+	OverloadFactor      float64       `json:"fall_multiple"`
+	OverloadDuration    time.Duration `json:"fall_ns"`
 	AnswerGrace         time.Duration `json:"grace_to_answer_ns"`
 }
 
@@ -77,7 +77,7 @@
 	MarksRetry bool `json:"marks_retry"` // whether clients mark retries as such
 }
 
-// Deductions are costs subtracted from the value of a request.
+// Deductions are the prices of decide.Prices.
 type Deductions struct {
 	CrossZone float64 `json:"cross_zone"`
 	Handshake float64 `json:"handshake"`
@@ -117,8 +117,8 @@
 	groups = map[string]decide.Group{"all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupCell}
 )
 
-// Lookup returns the value of a name in a table. Its error for an unknown name mentions
-// kind, the kind of thing that is named.
+// Lookup returns the value of a name in a table. The error for an unknown name contains
+// kind, which says what the name denotes, such as "group".
 func Lookup[T any](table map[string]T, kind, name string) (T, error) {
 	v, ok := table[name]
 	if !ok {
@@ -176,8 +176,8 @@
 		ListRequestInterval: s.Obligations.ListRequestInterval,
 		SlowStartMinShare:   s.Obligations.SlowStartMinShare,
 		SlowStartDuration:   s.Obligations.SlowStartDuration,
-		OverloadFactor:      s.Obligations.FallMultiple,
-		OverloadDuration:    s.Obligations.FallFor,
+		OverloadFactor:      s.Obligations.OverloadFactor,
+		OverloadDuration:    s.Obligations.OverloadDuration,
 		AnswerGrace:         s.Obligations.AnswerGrace,
 		MarksClientRetries:  s.Callers.MarksRetry,
 		Prices:              s.Deductions.translate(),
--- a/internal/dataplane/router/request.go
+++ b/internal/dataplane/router/request.go
@@ -11,7 +11,7 @@
 	maxWaitDivisor    = 5                     // a request waits for a server for up to its latency target divided by this
 	minWait           = 30 * time.Millisecond // lower bound of that wait
 	maxRejections     = 12                    // rejections after which a request that has waited for maxWait is given up
-	immediateAttempts = 2                     // rejections before a request may queue at a server while the service is calm
+	immediateAttempts = 2                     // rejections before a request may queue at a server while the pressure is low
 )
 
 // Arrival is a request as received by the node.
@@ -150,7 +150,7 @@
 		return Action{}, false
 	}
 	r.service.picker.Begin(id)
-	action := Action{Server: id, IgnoreEjection: unhealthy, Retry: r.mayHaveRun || len(r.inFlight) > 0, MayQueue: r.rejections >= immediateAttempts || !r.service.gate.Calm(now), TypicalLatency: r.TypicalLatency()}
+	action := Action{Server: id, IgnoreEjection: unhealthy, Retry: r.mayHaveRun || len(r.inFlight) > 0, MayQueue: r.rejections >= immediateAttempts || !r.service.gate.LowPressure(now), TypicalLatency: r.TypicalLatency()}
 	if r.rejections >= immediateAttempts {
 		r.recordSaturation(now)
 	}
--- a/internal/dataplane/router/router_test.go
+++ b/internal/dataplane/router/router_test.go
@@ -228,13 +228,13 @@
 				r.HandleOutcome(0, r.Next(0).Server, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Queued: true}, decide.Unhealthy)
 			}
 			action := r.Next(0)
-			if queue := c.rejections >= immediateAttempts; action.MayQueue != queue && table.service(0, "s").gate.Calm(0) {
+			if queue := c.rejections >= immediateAttempts; action.MayQueue != queue && table.service(0, "s").gate.LowPressure(0) {
 				t.Errorf("MayQueue is %v after %d rejections", action.MayQueue, c.rejections)
 			}
 			r.HandleOutcome(0, action.Server, &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: 200}, decide.Served)
 			r.End(0)
 		}
-		if saturated := c.rejections >= immediateAttempts; table.service(0, "s").gate.Calm(0) == saturated {
+		if saturated := c.rejections >= immediateAttempts; table.service(0, "s").gate.LowPressure(0) == saturated {
 			t.Errorf("after %d rejections of each request, the pressure is %.2f", c.rejections, table.Pressure(0, "s"))
 		}
 	}
