--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -16,10 +16,10 @@
 const SafetyFactor = 0.4
 
 // Budget is a node's part of the retry budget for one service. It is not safe for
-// concurrent use. Times are durations since any fixed moment.
+// concurrent use. Times are durations since an epoch chosen by the caller.
 type Budget struct {
 	ratio, slack      float64       // multiplied by SafetyFactor
-	width             time.Duration // of a bucket
+	width             time.Duration // duration of a bucket
 	newest            int64         // number of the newest bucket
 	retries, requests [buckets + 1]float64
 }
@@ -80,8 +80,8 @@
 
 // Shares divides the slack by the number of nodes that may have used it.
 type Shares struct {
-	Slack  float64       // of all nodes together
-	Window time.Duration // of the retry budget
+	Slack  float64       // slack of all nodes together
+	Window time.Duration // window of the retry budget
 	// FirstStart is true if no earlier process of this node can have sent retries.
 	FirstStart bool
 
@@ -93,9 +93,8 @@
 // nodes the present number of nodes, including this one. Nodes that have left within
 // the last two windows still count, as they may have used their shares.
 //
-// Unless FirstStart is set, the share is 0 for the first window: the process cannot
-// know how many retries its predecessor sent, or other nodes sent when their shares
-// were larger.
+// Unless FirstStart is set, the share is 0 for the first window. The retries that the
+// previous process sent, or that other nodes sent with larger shares, are unknown.
 func (s *Shares) Share(age time.Duration, nodes int) float64 {
 	if nodes >= s.maxNodes || age-s.maxNodesAt > 2*s.Window {
 		s.maxNodes, s.maxNodesAt = nodes, age
--- a/internal/dataplane/health/health.go
+++ b/internal/dataplane/health/health.go
@@ -13,10 +13,10 @@
 // Outlier detection by the share of failures.
 const (
 	outcomeWindow          = 2 * time.Second // time constant of the exponential decay of outcomes
-	confidence             = 1.64            // z value of a one-sided 95 % confidence bound of the share of failures
-	maxFailureShare        = 0.1             // a server is ejected if that bound exceeds this share
+	confidence             = 1.64            // z value of the one-sided 95 % lower bound of the share of failures
+	maxFailureShare        = 0.1             // a server is ejected if the lower bound of its share of failures exceeds this
 	minFailures            = 1.5             // decayed failures required for an ejection; one failure never suffices
-	maxConsecutiveFailures = 3               // eject a server whatever its share of failures is
+	maxConsecutiveFailures = 3               // failures in a row that eject a server at any share of failures
 )
 
 // Ejection and restoration.
@@ -24,8 +24,8 @@
 	baseEjectionTime        = 800 * time.Millisecond  // doubled with each further ejection
 	maxEjectionTime         = 6 * time.Second         // maximum after doubling
 	ejectionResetAfter      = 20 * time.Second        // healthy time after which the ejection time is reset
-	maxEjectionDoublings    = 4                       // of baseEjectionTime
-	probeInterval           = 120 * time.Millisecond  // between probes of an ejected server
+	maxEjectionDoublings    = 4                       // maximum number of doublings of baseEjectionTime
+	probeInterval           = 120 * time.Millisecond  // minimum time between probes of an ejected server
 	probesToRestore         = 4                       // successful probes in a row that restore it
 	nonIdempotentProbeAfter = 1500 * time.Millisecond // time without a probe after which a non-idempotent request may be one
 )
@@ -34,7 +34,7 @@
 const (
 	hangTimeout          = 700 * time.Millisecond // time without a response after which a server hangs
 	minHangingCalls      = 3                      // minimum number of running requests of a hanging server
-	hangProbeInterval    = 500 * time.Millisecond // between probes of a hanging server
+	hangProbeInterval    = 500 * time.Millisecond // minimum time between probes of a hanging server
 	overdueLatencyFactor = 6                      // multiple of the typical latency after which a running request counts as failed
 	minOverdueTime       = 600 * time.Millisecond // lower bound of that time
 	lateLatencyFactor    = 3                      // time-outs before this multiple of the typical latency are ignored
@@ -43,20 +43,20 @@
 // Relative latency of a server.
 const (
 	relativeLatencyGain = 0.05 // minimum weight of the newest run in the moving average; the first runs weigh more
-	relearnRuns         = 3    // runs for which the average of the warmup counts after it
+	relearnRuns         = 3    // maximum weight of the average when the warmup ends, in runs
 	minRelativeLatency  = 0.4
 	maxRelativeLatency  = 4
 )
 
 const (
-	maxZones   = 16   // zones with a record of their own
-	maxRunning = 4096 // running requests that are tracked
+	maxZones   = 16   // maximum number of zones with a record
+	maxRunning = 4096 // maximum number of running requests that are tracked
 )
 
 // Call describes a request to a server.
 type Call struct {
-	Zone           string        // where its call graph entered the mesh; some faults affect a single zone
-	TypicalLatency time.Duration // of its route over all servers, measured by the entry node; 0 if unknown
+	Zone           string        // zone in which its call graph entered the mesh; some faults affect a single zone
+	TypicalLatency time.Duration // mean latency of its route over all servers, measured by the entry node; 0 if unknown
 	NonIdempotent  bool          // the request must not run twice
 	IgnoreEjection bool          // the entry node has no better server
 }
@@ -80,44 +80,44 @@
 	Errored                 // a failure response, or a rejection of a request that had a slot
 	Broken                  // an incomplete response, or one that does not belong to the request
 	TimedOut                // the deadline was exceeded
-	Void                    // says nothing about the server, such as a cancelled request
+	Ignored                 // not counted, such as a cancelled request
 )
 
 // Server is the state of one incarnation of a server. It is not safe for concurrent use.
 type Server struct {
-	all             record             // of all callers
-	zones           map[string]*record // of callers, by zone
+	all             record             // outcomes for all callers
+	zones           map[string]*record // outcomes by zone of the callers
 	running         map[string]*run    // by request ID
 	freeRuns        []*run             // free list
 	relativeLatency float64
-	latencyRuns     int           // runs in relativeLatency
+	latencyRuns     int           // weight of relativeLatency, in runs
 	warmupEnd       time.Duration // 0 if the server is not warming up
-	respondedAt     time.Duration // last response
+	respondedAt     time.Duration // time of the last response
 	minCallsAt      time.Duration // when the number of running requests last rose to minHangingCalls
-	probedAt        time.Duration // last probe while hanging
-	checkedAt       time.Duration // last check for overdue requests
+	probedAt        time.Duration // time of the last probe while hanging
+	checkedAt       time.Duration // time of the last check for overdue requests
 }
 
 // run is a running request.
 type run struct {
 	Call
 	startedAt time.Duration
-	overdue   bool      // it has been counted as failed
-	probes    []*record // records for which it is a probe
+	overdue   bool      // counted as failed already
+	probes    []*record // ejected records that the request probes
 }
 
 // record is the state of outlier detection for a group of callers.
 type record struct {
 	failures, total     float64 // decayed counts of outcomes
 	consecutiveFailures int
-	updatedAt           time.Duration // last outcome
+	updatedAt           time.Duration // time of the last outcome
 	ejected             bool
-	ejectedUntil        time.Duration // no probes are sent before
-	probedAt            time.Duration // last probe
+	ejectedUntil        time.Duration // no probes are sent before this time
+	probedAt            time.Duration // time of the last probe
 	probing             int           // probes in flight
 	successfulProbes    int           // consecutive successful probes
-	ejections           int           // since the last reset, see ejectionResetAfter
-	restoredAt          time.Duration // last restoration
+	ejections           int           // number of ejections since the last reset; see ejectionResetAfter
+	restoredAt          time.Duration // time of the last restoration
 }
 
 // New returns the state of a server without history.
@@ -127,8 +127,8 @@
 	}
 }
 
-// SetWarmup sets the remaining warmup time. When the warmup ends, the relative latency measured so far loses most of its
-// weight, so that it is soon replaced.
+// SetWarmup sets the remaining warmup time. When the warmup ends, it limits the weight of the relative latency measured so far
+// to relearnRuns.
 func (s *Server) SetWarmup(now, left time.Duration) {
 	if left > 0 {
 		s.warmupEnd = now + left
@@ -223,9 +223,9 @@
 	r.endProbes()
 	// A request that arrived shortly before its deadline would have timed out at any server.
 	if outcome == TimedOut && r.TypicalLatency > 0 && now-r.startedAt < lateLatencyFactor*r.TypicalLatency {
-		outcome = Void
+		outcome = Ignored
 	}
-	if r.overdue || outcome == Void {
+	if r.overdue || outcome == Ignored {
 		return false, false
 	}
 	if outcome == Served && r.TypicalLatency > 0 {
--- a/internal/dataplane/health/health_test.go
+++ b/internal/dataplane/health/health_test.go
@@ -57,7 +57,7 @@
 		running = append(running, ending{sim.now + took, id, outcome})
 	}
 	for _, e := range running {
-		sim.server.End(sim.now, e.id, Void)
+		sim.server.End(sim.now, e.id, Ignored)
 	}
 }
 
@@ -89,8 +89,8 @@
 func TestUnhealthyServers(t *testing.T) {
 	for _, c := range []struct {
 		name, zone string
-		share      float64 // of failing requests
-		maxFailed  int     // of the 1,000 requests offered in 10 s
+		share      float64 // share of failing requests
+		maxFailed  int     // maximum number of failed requests of the 1,000 offered in 10 s
 	}{
 		{"some requests of all zones", "", 0.4, 60},
 		{"all requests of all zones", "", 1, 40},
@@ -214,8 +214,8 @@
 	forced.IgnoreEjection = true
 	s.Begin(now, "id", call)
 	s.Begin(now, "id", forced)
-	s.End(now, "id", Void)
-	s.End(now, "id", Void)
+	s.End(now, "id", Ignored)
+	s.End(now, "id", Ignored)
 	if v := s.Check(now+probeInterval, call); v != Healthy {
 		t.Errorf("further probe: %v, want Healthy", v)
 	}
--- a/internal/dataplane/http1/head.go
+++ b/internal/dataplane/http1/head.go
@@ -14,7 +14,7 @@
 // headReader reads the lines of a head of limited size.
 type headReader struct {
 	r         *bufio.Reader
-	remaining int // bytes that the head may still take
+	remaining int // bytes left of the limit
 }
 
 // line returns the next line without its CRLF. The slice is valid until the next read.
@@ -66,8 +66,8 @@
 // fieldOffsets holds the offsets of a field's name and value, and of the end of the value, in the text of a head.
 type fieldOffsets struct{ name, value, end int }
 
-// fields reads header fields up to the empty line. It copies first and the fields into one string, head, and returns
-// fields that are substrings of it. They overwrite the elements of reuse.
+// fields reads header fields up to the empty line. It copies first and the fields into one string, head. The returned fields
+// are substrings of head and overwrite the elements of reuse.
 func (h *headReader) fields(first []byte, reuse Headers) (head string, _ Headers, _ error) {
 	var textSpace [768]byte // on the stack; larger heads are moved to the heap
 	var offsetSpace [24]fieldOffsets
--- a/internal/dataplane/http1/http1.go
+++ b/internal/dataplane/http1/http1.go
@@ -50,7 +50,7 @@
 	Target  string // path and query as sent
 	Host    string
 	Headers Headers
-	Length  int64 // of the body in bytes; -1 if it is chunked
+	Length  int64 // body length in bytes; -1 if the body is chunked
 	Close   bool  // "Connection: close" is set
 	Expect  bool  // the client waits for 100 Continue before it sends the body
 }
@@ -65,11 +65,11 @@
 type Response struct {
 	Status  int
 	Headers Headers
-	Length  int64 // of the body in bytes; -1 if it is chunked
+	Length  int64 // body length in bytes; -1 if the body is chunked
 	Close   bool  // "Connection: close" is set
 }
 
-// Error is the reason for the rejection of a message, with the status code for its sender.
+// Error explains why a message is rejected. Status is the status code of the response to its sender.
 type Error struct {
 	Status int
 	Text   string
--- a/internal/dataplane/http1/write.go
+++ b/internal/dataplane/http1/write.go
@@ -66,14 +66,14 @@
 
 // AppendResponse appends a whole response. fields holds lines of its head. If bodyless is set, it omits the Content-Length
 // and the body, as the responses to HEAD and with status 204 or 304 require.
-func AppendResponse(dst []byte, status int, fields, body []byte, bodyless, close bool) []byte {
+func AppendResponse(dst []byte, status int, fields, body []byte, bodyless, closeConn bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
 	dst = append(dst, reasonPhrase(status)...)
 	dst = append(dst, "\r\n"...)
 	dst = append(dst, fields...)
-	if close {
+	if closeConn {
 		dst = append(dst, "Connection: close\r\n"...)
 	}
 	if !bodyless {
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -23,7 +23,7 @@
 	forgetAfter         = 2 * time.Minute // retention of terminated incarnations, since their last heartbeat
 	maxIncarnations     = 64              // including terminated ones
 	maxCalledServices   = 16              // distinct services counted in the calls of one run
-	defaultSlots        = 8               // of a server that does not report its slots
+	defaultSlots        = 8               // slots of a server that does not report their number
 )
 
 // Heartbeat is the state that a server reports to its node.
@@ -60,12 +60,12 @@
 // incarnation is one incarnation of a server.
 type incarnation[T comparable] struct {
 	Heartbeat
-	heartbeatAt   time.Duration
-	heartbeatSeen bool // it has sent a heartbeat to this process
-	drained       bool
-	drainedAt     time.Duration // when its draining status was first acknowledged
-	terminated    bool
-	unresponsive  bool // terminated by Sweep; a further heartbeat restores it
+	heartbeatAt    time.Duration
+	heartbeatSeen  bool // the server has sent a heartbeat to this process
+	drainStarted   bool
+	drainStartedAt time.Duration // time of the first heartbeat with the draining status
+	terminated     bool
+	unresponsive   bool // terminated by Sweep; a further heartbeat restores it
 
 	inflight    int
 	queue       []queuedRequest[T] // by priority, then in order of arrival
@@ -82,12 +82,12 @@
 
 // HeartbeatResult is the result of Registry.Heartbeat.
 type HeartbeatResult[T comparable] struct {
-	OK        bool     // false if the incarnation has ended, or maxIncarnations is reached
-	New       bool     // the incarnation was unknown
-	Recovered bool     // the incarnation had been terminated by Sweep
-	Drains    bool     // the incarnation has begun to drain
-	Ended     []string // earlier incarnations at the same address, which this one has replaced
-	Verdicts  []SlotGrant[T]
+	OK           bool     // false if the incarnation has ended, or maxIncarnations is reached
+	New          bool     // the incarnation was unknown
+	Recovered    bool     // the incarnation had been terminated by Sweep
+	DrainStarted bool     // this is the first heartbeat with the draining status
+	Ended        []string // earlier incarnations at the same address, which this one has replaced
+	Grants       []SlotGrant[T]
 }
 
 // Heartbeat handles a heartbeat of a server.
@@ -109,7 +109,7 @@
 			old.unresponsive = false
 			if !old.terminated {
 				result.Ended = append(result.Ended, id)
-				result.Verdicts = append(result.Verdicts, old.end()...)
+				result.Grants = append(result.Grants, old.end()...)
 			}
 		}
 	} else if heartbeat.Seq < server.Seq || server.terminated && !server.unresponsive {
@@ -125,12 +125,12 @@
 	heartbeat.Draining = heartbeat.Draining || server.Draining // draining is never revoked
 	server.Heartbeat, server.heartbeatAt = heartbeat, now
 	server.health.SetWarmup(now, heartbeat.WarmupLeft)
-	if heartbeat.Draining && !server.drained {
-		server.drained, server.drainedAt, result.Drains = true, now, true
+	if heartbeat.Draining && !server.drainStarted {
+		server.drainStarted, server.drainStartedAt, result.DrainStarted = true, now, true
 		if !server.heartbeatSeen {
 			// An earlier process of this node may have acknowledged the draining status at an unknown time. Assume that the
 			// drain time is over.
-			server.drainedAt = now - s.drain
+			server.drainStartedAt = now - s.drain
 		}
 	}
 	server.heartbeatSeen, result.OK = true, true
@@ -139,8 +139,8 @@
 
 // Adopt adds a server that is registered for this machine before its first
 // heartbeat to this process, so that a restarted process can serve at once. It
-// reports false if any server is known already. Requests name the incarnation that
-// they are for, so that another incarnation at its address rejects them.
+// returns false if the registry already has a server, or if registered has no slots.
+// Requests name their incarnation, so another incarnation at the address rejects them.
 func (s *Registry[T]) Adopt(now time.Duration, registered Heartbeat) bool {
 	if len(s.incarnations) > 0 || registered.Slots <= 0 {
 		return false
@@ -151,7 +151,7 @@
 
 // Deregister terminates a server at its own request. It reports false if the server is
 // unknown or already terminated.
-func (s *Registry[T]) Deregister(id string) (ended bool, verdicts []SlotGrant[T]) {
+func (s *Registry[T]) Deregister(id string) (ended bool, grants []SlotGrant[T]) {
 	server := s.incarnations[id]
 	if server == nil {
 		return false, nil
@@ -164,18 +164,18 @@
 }
 
 // end terminates an incarnation and rejects its queued requests.
-func (m *incarnation[T]) end() (verdicts []SlotGrant[T]) {
+func (m *incarnation[T]) end() (grants []SlotGrant[T]) {
 	m.terminated = true
 	return m.clear()
 }
 
 // clear rejects all queued requests.
-func (m *incarnation[T]) clear() (verdicts []SlotGrant[T]) {
+func (m *incarnation[T]) clear() (grants []SlotGrant[T]) {
 	for _, queued := range m.queue {
-		verdicts = append(verdicts, SlotGrant[T]{queued.ticket, false})
+		grants = append(grants, SlotGrant[T]{queued.ticket, false})
 	}
 	m.queue = nil
-	return verdicts
+	return grants
 }
 
 // ids returns the IDs of all incarnations in sorted order, so that simulations are deterministic.
@@ -190,7 +190,7 @@
 
 // Sweep terminates servers that have sent neither heartbeats nor responses for too
 // long, and returns their IDs. It drops incarnations that were terminated long ago.
-func (s *Registry[T]) Sweep(now time.Duration) (unresponsive []string, verdicts []SlotGrant[T]) {
+func (s *Registry[T]) Sweep(now time.Duration) (unresponsive []string, grants []SlotGrant[T]) {
 	for _, id := range s.ids() {
 		server := s.incarnations[id]
 		age := now - server.heartbeatAt
@@ -199,11 +199,11 @@
 		}
 		if !server.terminated && age > maxMissedHeartbeats*s.heartbeat+time.Second && now-server.respondedAt > s.heartbeat {
 			unresponsive = append(unresponsive, id)
-			verdicts = append(verdicts, server.end()...)
+			grants = append(grants, server.end()...)
 			server.unresponsive = true
 		}
 	}
-	return unresponsive, verdicts
+	return unresponsive, grants
 }
 
 // Servers returns the servers of this machine as they should be registered, sorted by ID.
--- a/internal/dataplane/localserver/localserver_test.go
+++ b/internal/dataplane/localserver/localserver_test.go
@@ -21,7 +21,7 @@
 
 // queueable returns a request to server "i" that may be queued.
 func queueable(id string, priority uint32) Request {
-	return Request{Member: "i", Service: "s", Attempt: id, Priority: priority, Wait: true}
+	return Request{Member: "i", Service: "s", Attempt: id, Priority: priority, MayQueue: true}
 }
 
 // TestQueue checks that queued requests are ordered by priority, and that a request of
@@ -33,17 +33,17 @@
 		decision Decision
 		rejected string // ticket of the replaced request
 	}{{3, Slot, ""}, {3, Slot, ""}, {3, Queue, ""}, {4, Queue, ""}, {1, Queue, "3"}, {3, Full, ""}, {3, Full, ""}} {
-		decision, _, verdicts := s.Arrive(0, queueable(fmt.Sprint(i), c.priority), fmt.Sprint(i))
-		if decision != c.decision || c.rejected != "" && (len(verdicts) != 1 || verdicts[0] != SlotGrant[string]{c.rejected, false}) || c.rejected == "" && len(verdicts) > 0 {
-			t.Errorf("request %d: decision %v, verdicts %v", i, decision, verdicts)
+		decision, _, grants := s.Arrive(0, queueable(fmt.Sprint(i), c.priority), fmt.Sprint(i))
+		if decision != c.decision || c.rejected != "" && (len(grants) != 1 || grants[0] != SlotGrant[string]{c.rejected, false}) || c.rejected == "" && len(grants) > 0 {
+			t.Errorf("request %d: decision %v, grants %v", i, decision, grants)
 		}
 	}
 	unqueueable := queueable("unqueueable", 0)
-	unqueueable.Wait = false
+	unqueueable.MayQueue = false
 	if decision, _, _ := s.Arrive(0, unqueueable, "unqueueable"); decision != Full {
 		t.Errorf("request that must not be queued: decision %v, want Full", decision)
 	}
-	if f := s.Finish(ms, "i", "0", health.Served); !f.Queued || !slices.Equal(f.Verdicts, []SlotGrant[string]{{"4", true}}) {
+	if f := s.Finish(ms, "i", "0", health.Served); !f.Queued || !slices.Equal(f.Grants, []SlotGrant[string]{{"4", true}}) {
 		t.Errorf("the request of the highest priority did not get the free slot: %+v", f)
 	}
 	if !s.Dequeue("i", "2") || s.Dequeue("i", "4") {
@@ -57,14 +57,14 @@
 	s := newTestRegistry(1, 100*ms)
 	s.Arrive(0, queueable("runs", 0), "runs")
 	s.Arrive(0, queueable("waits", 0), "waits")
-	if h := s.Heartbeat(10*ms, Heartbeat{ID: "i", Service: "s", Address: "a", Slots: 1, Draining: true, Seq: 1}); !h.Drains {
-		t.Error("the draining status was not recorded")
+	if h := s.Heartbeat(10*ms, Heartbeat{ID: "i", Service: "s", Address: "a", Slots: 1, Draining: true, Seq: 1}); !h.DrainStarted {
+		t.Error("the first heartbeat with the draining status did not start the drain")
 	}
 	s.Heartbeat(20*ms, Heartbeat{ID: "i", Service: "s", Address: "a", Slots: 1, Seq: 2}) // draining is never revoked
 	if decision, _, _ := s.Arrive(70*ms, queueable("late", 0), "late"); decision != Terminated {
 		t.Errorf("new request after half of the drain time: decision %v, want Terminated", decision)
 	}
-	if f := s.Finish(95*ms, "i", "runs", health.Served); !slices.Equal(f.Verdicts, []SlotGrant[string]{{"waits", false}}) {
+	if f := s.Finish(95*ms, "i", "runs", health.Served); !slices.Equal(f.Grants, []SlotGrant[string]{{"waits", false}}) {
 		t.Errorf("slot freed after three quarters of the drain time: %+v, want a rejection", f)
 	}
 }
@@ -84,7 +84,7 @@
 		if decision, _, _ := s.Arrive(1501*ms, queueable("late", 0), "late"); decision != Terminated {
 			t.Errorf("adopted %v: decision on a new request is %v, want Terminated", adopted, decision)
 		}
-		if f := s.Finish(1502*ms, "i", "runs", health.Served); adopted && !slices.Equal(f.Verdicts, []SlotGrant[string]{{"waits", false}}) {
+		if f := s.Finish(1502*ms, "i", "runs", health.Served); adopted && !slices.Equal(f.Grants, []SlotGrant[string]{{"waits", false}}) {
 			t.Errorf("queued request of an adopted server: %+v, want a rejection", f)
 		}
 	}
@@ -98,7 +98,7 @@
 		s.Arrive(0, queueable(fmt.Sprint(i), 0), fmt.Sprint(i))
 	}
 	s.CallFailed("0.1")
-	if f := s.Finish(ms, "i", "0", health.Errored); f.Ejected || !slices.Equal(f.Verdicts, []SlotGrant[string]{{"2", true}}) {
+	if f := s.Finish(ms, "i", "0", health.Errored); f.Ejected || !slices.Equal(f.Grants, []SlotGrant[string]{{"2", true}}) {
 		t.Errorf("run with a failed call: %+v, want no ejection", f)
 	}
 	s.Run(ms, queueable("2", 0))
@@ -107,7 +107,7 @@
 	}
 	s.Run(2*ms, queueable("3", 0))
 	s.Arrive(2*ms, queueable("5", 0), "5")
-	if f := s.Finish(3*ms, "i", "2", health.Errored); !f.Ejected || !slices.Equal(f.Verdicts, []SlotGrant[string]{{"5", true}}) {
+	if f := s.Finish(3*ms, "i", "2", health.Errored); !f.Ejected || !slices.Equal(f.Grants, []SlotGrant[string]{{"5", true}}) {
 		t.Errorf("second failure: %+v, want an ejection", f)
 	}
 	if decision, _, _ := s.Arrive(4*ms, queueable("x", 0), "x"); decision != Unhealthy {
@@ -126,10 +126,10 @@
 	if !s.Adopt(0, Heartbeat{ID: "old", Service: "s", Address: "a", Slots: 1}) || s.Adopt(0, Heartbeat{ID: "x", Service: "s", Address: "a", Slots: 1}) {
 		t.Error("the first server was not adopted, or a second one was")
 	}
-	s.Arrive(0, Request{Member: "old", Service: "s", Attempt: "1", Wait: true}, "1")
-	s.Arrive(0, Request{Member: "old", Service: "s", Attempt: "2", Wait: true}, "2")
+	s.Arrive(0, Request{Member: "old", Service: "s", Attempt: "1", MayQueue: true}, "1")
+	s.Arrive(0, Request{Member: "old", Service: "s", Attempt: "2", MayQueue: true}, "2")
 	h := s.Heartbeat(ms, Heartbeat{ID: "new", Service: "s", Address: "a", Slots: 1})
-	if !slices.Equal(h.Ended, []string{"old"}) || !slices.Equal(h.Verdicts, []SlotGrant[string]{{"2", false}}) {
+	if !slices.Equal(h.Ended, []string{"old"}) || !slices.Equal(h.Grants, []SlotGrant[string]{{"2", false}}) {
 		t.Errorf("new incarnation at the same address: %+v", h)
 	}
 	if decision, _, _ := s.Arrive(ms, Request{Member: "old", Service: "s"}, "3"); decision != Terminated {
@@ -156,20 +156,20 @@
 }
 
 // TestSlotAccounting generates random events and checks that each queued request gets
-// exactly one verdict unless it is dequeued, and that no server exceeds its slots.
+// exactly one SlotGrant unless it is dequeued, and that no server exceeds its slots.
 func TestSlotAccounting(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		s := newTestRegistry(3, 400*ms)
 		queued, running := map[string]bool{}, map[string]bool{}
-		deliver := func(verdicts []SlotGrant[string]) {
-			for _, verdict := range verdicts {
-				if !queued[verdict.Ticket] {
-					t.Fatalf("seed %d: verdict on request %s, which is not queued", seed, verdict.Ticket)
+		deliver := func(grants []SlotGrant[string]) {
+			for _, grant := range grants {
+				if !queued[grant.Ticket] {
+					t.Fatalf("seed %d: SlotGrant for request %s, which is not queued", seed, grant.Ticket)
 				}
-				delete(queued, verdict.Ticket)
-				if verdict.Granted {
-					running[verdict.Ticket] = true
+				delete(queued, grant.Ticket)
+				if grant.Granted {
+					running[grant.Ticket] = true
 				}
 			}
 		}
@@ -188,8 +188,8 @@
 			id := fmt.Sprint(i)
 			switch rng.IntN(6) {
 			case 0, 1, 2:
-				decision, _, verdicts := s.Arrive(now, queueable(id, uint32(rng.IntN(4))), id)
-				deliver(verdicts)
+				decision, _, grants := s.Arrive(now, queueable(id, uint32(rng.IntN(4))), id)
+				deliver(grants)
 				queued[id], running[id] = decision == Queue, decision == Slot
 				if decision != Queue {
 					delete(queued, id)
@@ -200,7 +200,7 @@
 			case 3, 4:
 				if id := firstKey(running); id != "~" {
 					delete(running, id)
-					deliver(s.Finish(now, "i", id, health.Outcome(rng.IntN(5))).Verdicts)
+					deliver(s.Finish(now, "i", id, health.Outcome(rng.IntN(5))).Grants)
 				}
 			default:
 				if id := firstKey(queued); id != "~" && s.Dequeue("i", id) {
--- a/internal/dataplane/localserver/register.go
+++ b/internal/dataplane/localserver/register.go
@@ -8,7 +8,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Machine describes the machine of a Registry's servers, as it is registered with them.
+// Machine holds the state of a node that is registered with each of its servers.
 type Machine struct {
 	Node, Address, Zone string // Address is that of the node's internal listener
 	Draining            bool   // the node is shutting down, so its servers get no new requests
@@ -20,10 +20,10 @@
 	protocolVersion = ProtocolFields
 )
 
-// Difference returns the commands that make the registered servers of a machine equal
-// to its actual servers. If justStarted is true, registered servers are kept until the
-// first server has sent a heartbeat.
-func Difference(machine Machine, servers []Heartbeat, registered []*wire.Server, justStarted bool) []*wire.Command {
+// Reconcile returns the commands that make the registered servers of a machine equal
+// to its actual servers. If justStarted is true and servers is empty, no registered
+// server is removed.
+func Reconcile(machine Machine, servers []Heartbeat, registered []*wire.Server, justStarted bool) []*wire.Command {
 	stale := map[string]*wire.Server{}
 	for _, s := range registered {
 		if s.Node == machine.Node {
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -11,7 +11,7 @@
 // CallCount counts the calls that a run made to a service.
 type CallCount struct {
 	Service string
-	Times   uint32
+	Count   uint32
 }
 
 // run is a request that a local server is running.
@@ -21,12 +21,10 @@
 	callFailed bool // a call made by the run has failed
 }
 
-// Graph reports whether a request with this Attempt-Id is a call made by a run on this
-// machine, and whether that run is a retry. If so, it counts the call for the run. The
-// Attempt-Ids of a run's calls begin with the Attempt-Id of the run. A request that
-// names a run in flight here was admitted together with that run; a request with an
-// unknown ID enters the mesh as a new call graph.
-func (s *Registry[T]) Graph(attempt, service string) (inner, retry bool) {
+// RecordCall reports whether the request with this Attempt-Id is a call made by a run on
+// this machine, and whether that run is a retry. It counts such a call for the run. A
+// call was admitted together with its run. Any other request starts a new call graph.
+func (s *Registry[T]) RecordCall(attempt, service string) (inner, retry bool) {
 	r := s.caller(attempt)
 	if r == nil {
 		return false, false
@@ -37,7 +35,7 @@
 		r.calls = append(r.calls, CallCount{Service: service})
 	}
 	if i >= 0 {
-		r.calls[i].Times++
+		r.calls[i].Count++
 	}
 	return true, r.retry
 }
@@ -63,7 +61,7 @@
 	if n := len(s.freeRuns); n > 0 {
 		r, s.freeRuns = s.freeRuns[n-1], s.freeRuns[:n-1]
 	}
-	*r = run{retry: request.Repeat}
+	*r = run{retry: request.Retry}
 	s.runs[request.Attempt] = r
 	if server := s.incarnations[request.Member]; server != nil {
 		server.health.Begin(now, request.Attempt, request.Call)
@@ -78,13 +76,13 @@
 	}
 }
 
-// ResultOf returns the outcome of a response for outlier detection. A 504 response of the server is ignored, as its callers
+// OutcomeOf returns the outcome of a response for outlier detection. A 504 response of the server is ignored, as its callers
 // or the calls that it made may have used up the time; overdue requests are detected while they run.
-func ResultOf(response *wire.ForwardResponse) health.Outcome {
+func OutcomeOf(response *wire.ForwardResponse) health.Outcome {
 	switch response.Result {
 	case wire.ForwardResponse_ANSWERED:
 		if response.Status == 504 {
-			return health.Void
+			return health.Ignored
 		}
 		if response.Status >= 500 {
 			return health.Errored
@@ -92,7 +90,7 @@
 		return health.Served
 	case wire.ForwardResponse_NOT_RUN: // the server rejected a request although it had a free slot
 		if response.Terminated {
-			return health.Void
+			return health.Ignored
 		}
 		return health.Errored
 	case wire.ForwardResponse_DEADLINE_EXCEEDED:
@@ -103,21 +101,21 @@
 
 // FinishResult is the result of Finish.
 type FinishResult[T comparable] struct {
-	Called          []CallCount // calls made by the run
+	Calls           []CallCount // calls made by the run
 	Queued          bool        // the server has no free slot
 	RelativeLatency float64     // see health.Server.RelativeLatency
 	Utilization     float64     // running and queued requests per slot
-	Ejected         bool        // the outcome ejected the server, for some callers at least
+	Ejected         bool        // the outcome ejected the server for all callers or those of one zone
 	Restored        bool        // the outcome restored the server
-	Verdicts        []SlotGrant[T]
+	Grants          []SlotGrant[T]
 }
 
 // Finish records the outcome of a run, and passes its slot to the next queued request.
 func (s *Registry[T]) Finish(now time.Duration, member, attempt string, outcome health.Outcome) (result FinishResult[T]) {
 	if r := s.runs[attempt]; r != nil {
-		result.Called = r.calls
+		result.Calls = r.calls
 		if r.callFailed && outcome == health.Errored {
-			outcome = health.Void
+			outcome = health.Ignored
 		}
 		delete(s.runs, attempt)
 		s.freeRuns = append(s.freeRuns, r)
@@ -130,9 +128,9 @@
 		server.respondedAt = now
 	}
 	result.Ejected, result.Restored = server.health.End(now, attempt, outcome)
-	result.Verdicts = s.grantSlots(now, server)
+	result.Grants = s.grantSlots(now, server)
 	if result.Ejected || server.health.Hangs(now) { // queued requests are retried at other servers
-		result.Verdicts = append(result.Verdicts, server.clear()...)
+		result.Grants = append(result.Grants, server.clear()...)
 	}
 	result.Queued = len(server.queue) > 0 || server.inflight >= server.Slots
 	result.RelativeLatency, result.Utilization = server.health.RelativeLatency(), float64(server.inflight+len(server.queue))/float64(server.Slots)
--- a/internal/dataplane/localserver/slots.go
+++ b/internal/dataplane/localserver/slots.go
@@ -12,16 +12,15 @@
 type Request struct {
 	Member, Service, Attempt string
 	Priority                 uint32 // 0 is the highest
-	Repeat                   bool   // an earlier attempt may have run
-	Wait                     bool   // the request may be queued for a slot
+	Retry                    bool   // an earlier attempt may have run
+	MayQueue                 bool   // the request may be queued for a slot
 	health.Call
 }
 
-// SlotGrant is the decision on a queued request: it gets a slot, or is rejected. Each queued request gets one, unless it is
-// dequeued before.
+// SlotGrant is the decision on a queued request. There is exactly one for each queued request, unless it is dequeued first.
 type SlotGrant[T comparable] struct {
 	Ticket  T
-	Granted bool
+	Granted bool // false if the request is rejected
 }
 
 // queuedRequest is a request in the queue of a server.
@@ -32,8 +31,8 @@
 
 // Arrive decides whether a request gets a slot, is queued, or is rejected; reason is set
 // if it is rejected. If the queue is full, a request of higher priority replaces the last
-// one in the queue, which is rejected in verdicts.
-func (s *Registry[T]) Arrive(now time.Duration, request Request, ticket T) (decision Decision, reason string, verdicts []SlotGrant[T]) {
+// one in the queue, which is rejected in grants.
+func (s *Registry[T]) Arrive(now time.Duration, request Request, ticket T) (decision Decision, reason string, grants []SlotGrant[T]) {
 	server := s.incarnations[request.Member]
 	if decision, reason = s.rejection(now, server, request); reason != "" {
 		return decision, reason, nil
@@ -43,7 +42,7 @@
 		s.Run(now, request)
 		return Slot, "", nil
 	}
-	if !request.Wait { // another server may have a free slot, and an attempt there takes less time than waiting
+	if !request.MayQueue { // another server may have a free slot, and an attempt there takes less time than waiting
 		return Full, "no slot", nil
 	}
 	if len(server.queue) >= max(minQueueLimit, int(maxQueuePerSlot*float64(server.Slots))) {
@@ -52,13 +51,13 @@
 			return Full, "no room", nil
 		}
 		server.queue = server.queue[:len(server.queue)-1]
-		verdicts = append(verdicts, SlotGrant[T]{last.ticket, false})
+		grants = append(grants, SlotGrant[T]{last.ticket, false})
 	}
 	i, _ := slices.BinarySearchFunc(server.queue, request.Priority, func(queued queuedRequest[T], priority uint32) int {
 		return cmp.Or(cmp.Compare(queued.priority, priority), -1)
 	})
 	server.queue = slices.Insert(server.queue, i, queuedRequest[T]{ticket, request.Priority})
-	return Queue, "", verdicts
+	return Queue, "", grants
 }
 
 // rejection returns the decision and the reason if an incarnation must not receive a request, and an empty reason otherwise.
@@ -68,7 +67,7 @@
 		return Terminated, "no such server here"
 	case server.Service != request.Service:
 		return Terminated, "it serves " + server.Service
-	case server.drained && now-server.drainedAt > s.drain/2:
+	case server.drainStarted && now-server.drainStartedAt > s.drain/2:
 		// The other half of the drain time is a margin for requests to arrive.
 		return Terminated, "it is draining"
 	}
@@ -106,16 +105,16 @@
 
 // grantSlots frees one slot, and grants free slots to the queued requests in order. Late in the drain time, it rejects them
 // instead.
-func (s *Registry[T]) grantSlots(now time.Duration, server *incarnation[T]) (verdicts []SlotGrant[T]) {
+func (s *Registry[T]) grantSlots(now time.Duration, server *incarnation[T]) (grants []SlotGrant[T]) {
 	server.inflight--
 	for len(server.queue) > 0 && server.inflight < server.Slots {
 		next := server.queue[0]
 		server.queue = server.queue[1:]
-		granted := !server.terminated && !(server.drained && now-server.drainedAt > s.drain*3/4)
+		granted := !server.terminated && !(server.drainStarted && now-server.drainStartedAt > s.drain*3/4)
 		if granted {
 			server.inflight++
 		}
-		verdicts = append(verdicts, SlotGrant[T]{next.ticket, granted})
+		grants = append(grants, SlotGrant[T]{next.ticket, granted})
 	}
-	return verdicts
+	return grants
 }
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -213,7 +213,7 @@
 			return stream, result
 		}
 	}
-	if errors.Is(err, rpc.ErrNotSent) { // once a call has begun, an error no longer proves this
+	if errors.Is(err, rpc.ErrNotSent) { // after any other error, the server may have received the request
 		result.response, result.outcome = notSent(false, "%v", err), decide.Unconnected
 		return nil, result
 	}
--- a/internal/dataplane/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -20,13 +20,13 @@
 	ctx      context.Context // ends when the client disconnects, or with Serve's context
 	cancel   context.CancelFunc
 
-	requestCtx     context.Context // of the handlers; responses are written even after its end
+	requestCtx     context.Context // context of the handlers; responses are written even after it ends
 	cancelRequests context.CancelFunc
 
 	mu          sync.Mutex
 	pending     int  // requests without a response
 	closing     bool // no further request is accepted
-	readStopped bool // nothing more is read
+	readStopped bool // no further bytes are read
 
 	lastResponseAt time.Time // when the last response was written
 }
@@ -145,8 +145,8 @@
 }
 
 // beginRequest counts a request as pending, from its first byte on. It returns false if the connection is closing.
-// writeResponse decides under the same lock whether a response closes the connection, so no request is accepted behind one
-// that does.
+// writeResponse decides under the same lock whether a response closes the connection, so no request is accepted after such a
+// response.
 func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dataplane/proxy/fields.go
+++ b/internal/dataplane/proxy/fields.go
@@ -14,7 +14,7 @@
 // messageBuffers holds buffers for messages to clients and servers.
 var messageBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// putBuffer returns a buffer to the pool, with the memory of the message that was appended to it.
+// putBuffer returns a buffer to the pool. The buffer takes over the array of message, which was built by appending to it.
 func putBuffer(buf *[]byte, message []byte) {
 	if cap(message) <= maxPooledBuffer {
 		*buf = message
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -25,7 +25,7 @@
 func (i *Inbound) Forward(ctx context.Context, request *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 	deadline := time.Now().Add(time.Duration(request.TimeLeftMs) * time.Millisecond)
 	slotRequest := localserver.Request{
-		Member: request.Member, Service: request.Service, Attempt: request.Attempt, Priority: request.Priority, Repeat: request.Retry, Wait: request.MayQueue,
+		Member: request.Member, Service: request.Service, Attempt: request.Attempt, Priority: request.Priority, Retry: request.Retry, MayQueue: request.MayQueue,
 		Call: health.Call{Zone: request.Zone, TypicalLatency: time.Duration(request.TypicalLatencyMs) * time.Millisecond, NonIdempotent: request.NonIdempotent, IgnoreEjection: request.IgnoreEjection},
 	}
 	pool, rejection := i.admit(ctx, slotRequest, deadline)
@@ -34,9 +34,9 @@
 	}
 	start := i.now()
 	response, cancelled := pool.send(ctx, request, deadline)
-	outcome := localserver.ResultOf(response)
+	outcome := localserver.OutcomeOf(response)
 	if cancelled {
-		outcome = health.Void
+		outcome = health.Ignored
 	}
 	i.finish(pool, request, response, outcome, start)
 	return response, nil
@@ -50,13 +50,13 @@
 	if i.freeTicket = nil; queueTicket == nil {
 		queueTicket = new(ticket)
 	}
-	decision, reason, verdicts := i.registry.Arrive(i.now(), request, queueTicket)
-	if decision == localserver.Queue { // a verdict is delivered with mu held, so none can arrive before this
-		queueTicket.verdict = make(chan bool, 1)
+	decision, reason, grants := i.registry.Arrive(i.now(), request, queueTicket)
+	if decision == localserver.Queue { // a SlotGrant is delivered with mu held, so not before the channel exists
+		queueTicket.granted = make(chan bool, 1)
 	} else {
 		i.freeTicket = queueTicket
 	}
-	deliverVerdicts(verdicts)
+	deliverGrants(grants)
 	pool := i.pools[request.Member]
 	var load serverLoad
 	logDue := false
@@ -89,7 +89,7 @@
 	i.mu.Lock()
 	now := i.now()
 	finished := i.registry.Finish(now, request.Member, request.Attempt, outcome)
-	deliverVerdicts(finished.Verdicts)
+	deliverGrants(finished.Grants)
 	pool.load.busy += now - start
 	i.mu.Unlock()
 	response.Queued, response.RelativeLatency, response.Utilization = finished.Queued, float32(finished.RelativeLatency), float32(finished.Utilization)
@@ -103,8 +103,8 @@
 	if finished.Restored {
 		i.Log.Info("server.restored", "member", request.Member, "zone", request.Zone)
 	}
-	for _, called := range finished.Called {
-		count := &wire.CallCount{Service: called.Service, Count: called.Times}
+	for _, called := range finished.Calls {
+		count := &wire.CallCount{Service: called.Service, Count: called.Count}
 		if i.Pressure != nil {
 			count.Pressure = i.Pressure(called.Service)
 		}
@@ -115,12 +115,12 @@
 // cancelledText is the reason given for requests that their senders have cancelled.
 const cancelledText = "called off"
 
-// awaitSlot waits for the verdict on a queued request. It returns why the request was rejected, or "" if it has a slot.
+// awaitSlot waits for the SlotGrant of a queued request. It returns why the request was rejected, or "" if it has a slot.
 func (i *Inbound) awaitSlot(ctx context.Context, request localserver.Request, queueTicket *ticket, deadline time.Time) (reason string) {
 	timer := timerpool.Get(time.Until(deadline) - minTimeLeft)
 	defer timerpool.Put(timer)
 	select {
-	case granted := <-queueTicket.verdict:
+	case granted := <-queueTicket.granted:
 		if !granted {
 			return "no room"
 		}
@@ -135,14 +135,14 @@
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if !i.registry.Dequeue(request.Member, queueTicket) && <-queueTicket.verdict { // the slot was granted in the meantime
-		deliverVerdicts(i.registry.Release(i.now(), request.Member))
+	if !i.registry.Dequeue(request.Member, queueTicket) && <-queueTicket.granted { // the slot was granted in the meantime
+		deliverGrants(i.registry.Release(i.now(), request.Member))
 	}
 	return reason
 }
 
-// send sends the request to the server once. cancelled is set if the sender has cancelled the request, or if its time was up
-// before it was sent.
+// send sends the request to the server once. cancelled is set if the sender has cancelled the request, or if too little time
+// was left to send it.
 func (p *serverPool) send(ctx context.Context, request *wire.ForwardRequest, deadline time.Time) (response *wire.ForwardResponse, cancelled bool) {
 	conn, err := p.getConn(ctx, deadline)
 	timeLeft := time.Until(deadline)
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -33,7 +33,7 @@
 	handled       atomic.Int64 // requests for which Handle has returned
 	mu            sync.Mutex
 	arrivals      map[string][]string    // names of the servers that received a request, by Attempt-Id
-	headers       map[string]http.Header // of the last request that a server received, by Attempt-Id
+	headers       map[string]http.Header // headers of the last request that a server received, by Attempt-Id
 }
 
 // startServer starts a server whose response depends on the path of the request. Some paths block until gate is closed. It
@@ -120,7 +120,7 @@
 	}
 	server := rpc.NewServer(rpc.ServerOptions{Log: log, Identity: source})
 	server.Handle("forward", rpc.Unary(h.inbound.Forward))
-	h.outbound = &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: 10 * time.Second, Pool: rpc.NewPool(ctx, rpc.PoolOptions{Identity: source}), Log: log, Graph: h.inbound.Graph, CallFailed: h.inbound.CallFailed}
+	h.outbound = &Outbound{Node: "n", Zone: "z", Backend: "own", Ratio: 1, Window: 10 * time.Second, Pool: rpc.NewPool(ctx, rpc.PoolOptions{Identity: source}), Log: log, RecordCall: h.inbound.RecordCall, CallFailed: h.inbound.CallFailed}
 	h.outbound.Start(1)
 	h.outbound.SetRetrySlack(1000)
 	handle := func(ctx context.Context, call *Call) *Response {
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxServerHead = 64 << 10 // bytes, of a response
-	maxServerBody = 64 << 20 // bytes, of a response
+	maxServerHead = 64 << 10 // maximum head of a response, in bytes
+	maxServerBody = 64 << 20 // maximum body of a response, in bytes
 	dialTimeout   = 300 * time.Millisecond
 	minTimeLeft   = 5 * time.Millisecond // requests with less time left are not sent
 )
@@ -19,8 +19,8 @@
 // Heartbeat is the state that a server reports to the sidecar on its machine.
 type Heartbeat = localserver.Heartbeat
 
-// ticket identifies a request that may be queued for a slot. If it is queued, its channel receives one verdict.
-type ticket struct{ verdict chan bool }
+// ticket identifies a request that may be queued for a slot. If it is queued, its channel receives one value.
+type ticket struct{ granted chan bool }
 
 // Inbound forwards requests to the servers on this machine. As all requests to them pass through it, it counts those in
 // flight and can reject a request before the server receives it. The decisions are those of a localserver.Registry.
@@ -36,7 +36,7 @@
 
 	mu         sync.Mutex
 	registry   *localserver.Registry[*ticket]
-	freeTicket *ticket                // left by a request that was not queued, for reuse
+	freeTicket *ticket                // ticket of a request that was not queued, for reuse
 	pools      map[string]*serverPool // by member
 }
 
@@ -67,10 +67,10 @@
 // Since returns the duration from t to the zero time of the trace records.
 func (i *Inbound) Since(t time.Time) time.Duration { return i.start.Sub(t) }
 
-// deliverVerdicts sends verdicts to queued requests. It does not block, as each ticket receives one and has a buffer for it.
-func deliverVerdicts(verdicts []localserver.SlotGrant[*ticket]) {
-	for _, grant := range verdicts {
-		grant.Ticket.verdict <- grant.Granted
+// deliverGrants delivers grants to queued requests. It does not block, as each ticket receives one and has a buffer for it.
+func deliverGrants(grants []localserver.SlotGrant[*ticket]) {
+	for _, grant := range grants {
+		grant.Ticket.granted <- grant.Granted
 	}
 }
 
@@ -103,7 +103,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	result := i.registry.Heartbeat(now.Sub(i.start), heartbeat)
-	deliverVerdicts(result.Verdicts)
+	deliverGrants(result.Grants)
 	for _, id := range result.Ended {
 		i.removeServer(id)
 	}
@@ -113,7 +113,7 @@
 	if result.Recovered {
 		i.Log.Info("server.recovered", "member", heartbeat.ID)
 	}
-	if result.Drains {
+	if result.DrainStarted {
 		i.Log.Info("server.draining", "member", heartbeat.ID)
 	}
 	if result.OK {
@@ -137,8 +137,8 @@
 func (i *Inbound) Deregister(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	ended, verdicts := i.registry.Deregister(id)
-	deliverVerdicts(verdicts)
+	ended, grants := i.registry.Deregister(id)
+	deliverGrants(grants)
 	if ended {
 		i.removeServer(id)
 		i.Log.Info("server.deregistered", "member", id)
@@ -158,8 +158,8 @@
 func (i *Inbound) Sweep(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	unresponsive, verdicts := i.registry.Sweep(now.Sub(i.start))
-	deliverVerdicts(verdicts)
+	unresponsive, grants := i.registry.Sweep(now.Sub(i.start))
+	deliverGrants(grants)
 	for _, id := range unresponsive {
 		i.Log.Warn("server.heartbeat_lost", "member", id)
 		i.removeServer(id)
@@ -215,11 +215,11 @@
 	return i.registry.Busy()
 }
 
-// Graph reports whether a request is a call made by a run in flight here; see localserver.Registry.Graph.
-func (i *Inbound) Graph(attempt, service string) (inner, repeat bool) {
+// RecordCall counts a request that is a call made by a run in flight here; see localserver.Registry.RecordCall.
+func (i *Inbound) RecordCall(attempt, service string) (inner, retry bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.registry.Graph(attempt, service)
+	return i.registry.RecordCall(attempt, service)
 }
 
 // CallFailed records that a call made by a run here has failed; see localserver.Registry.CallFailed.
--- a/internal/dataplane/proxy/listener.go
+++ b/internal/dataplane/proxy/listener.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxPending       = 64                     // requests without a response, per connection
-	maxClients       = 3000                   // connections
-	writeTimeout     = 10 * time.Second       // for a client to receive a response
-	lingerTimeout    = 180 * time.Millisecond // for a client to receive the last response before the connection is closed
-	bodyTimeout      = 30 * time.Second       // for a client to send a body
+	maxPending       = 64                     // maximum number of requests without a response, per connection
+	maxClients       = 3000                   // maximum number of connections
+	writeTimeout     = 10 * time.Second       // time for a client to receive a response
+	lingerTimeout    = 180 * time.Millisecond // time for a client to receive the last response before the connection is closed
+	bodyTimeout      = 30 * time.Second       // time for a client to send a body
 	maxUncountedBody = 64 << 10               // bytes; bodies up to this size do not count against Listener.Memory
 )
 
@@ -45,8 +45,8 @@
 // Bounds holds the limits for clients. The configuration may change them at any time.
 type Bounds struct {
 	http1.Limits
-	HeadWait time.Duration // for the complete head, from its first byte
-	Idle     time.Duration // between a response and the next request
+	HeadWait time.Duration // time for the complete head, from its first byte
+	Idle     time.Duration // time between a response and the next request
 }
 
 // Listener accepts connections from clients. Pipelined requests of a connection run concurrently, and their responses are
@@ -86,9 +86,9 @@
 	}
 }
 
-// CloseAll cancels all requests, so that their responses can be written before the process ends. Otherwise completed
-// responses would wait behind that of a request that hangs.
-func (l *Listener) CloseAll() {
+// CancelRequests cancels all requests, so that responses can be written before the process ends. Otherwise a hanging request
+// would block the completed responses behind it.
+func (l *Listener) CancelRequests() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cancelled = true
@@ -147,7 +147,7 @@
 				return err
 			}
 			l.Log.Warn("listener.accept_failed", "err", err)
-			select { // for example if file descriptors have run out
+			select { // the error may be temporary, such as a lack of file descriptors
 			case <-time.After(20 * time.Millisecond):
 			case <-ctx.Done():
 			}
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -23,8 +23,8 @@
 	maxBudgetMs    = 3_600_000                    // the largest accepted Time-Budget
 	noTimeBudget   = time.Duration(math.MaxInt64) // without Time-Budget: only the timeout of the route applies
 
-	maxPriorities      = 16                     // shown in status and metrics
-	loggedPriorities   = 3                      // highest priorities, whose admission probabilities are logged with rejections
+	maxPriorities      = 16                     // maximum number of priorities in status and metrics
+	loggedPriorities   = 3                      // number of highest priorities whose admission probabilities are logged
 	configWait         = 300 * time.Millisecond // time that a request waits for the first configuration
 	noConfigRetryAfter = 500 * time.Millisecond // Retry-After if there is no configuration after configWait
 )
@@ -41,9 +41,9 @@
 	Pool                *rpc.Pool
 	Log                 *slog.Logger
 	Metrics             *metrics.Set
-	Graph               func(attempt, service string) (inner, repeat bool) // see localserver.Registry.Graph
-	CallFailed          func(attempt string)                               // see localserver.Registry.CallFailed; may be nil
-	Trace               func(trace.Record)                                 // receives a record of each request; may be nil
+	RecordCall          func(attempt, service string) (inner, retry bool) // see localserver.Registry.RecordCall; may be nil
+	CallFailed          func(attempt string)                              // see localserver.Registry.CallFailed; may be nil
+	Trace               func(trace.Record)                                // receives a record of each request; may be nil
 	served              atomic.Uint64
 	refused             atomic.Uint64
 	failed              atomic.Uint64
@@ -263,8 +263,8 @@
 	o.mu.Lock()
 	arrival.Service = o.table.ChooseService(route)
 	o.mu.Unlock()
-	if o.Graph != nil {
-		arrival.Inner, arrival.OfRetry = o.Graph(call.Headers.Get("Attempt-Id"), arrival.Service)
+	if o.RecordCall != nil {
+		arrival.Inner, arrival.OfRetry = o.RecordCall(call.Headers.Get("Attempt-Id"), arrival.Service)
 	}
 	return arrival
 }
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestCloseAll checks that a completed request is answered although an earlier one on the connection hangs.
-func TestCloseAll(t *testing.T) {
+// TestCancelRequests checks that a completed request is answered although an earlier one on the connection hangs.
+func TestCancelRequests(t *testing.T) {
 	gate := make(chan struct{})
 	h := newHarness(t, gate)
 	defer close(gate)
@@ -247,7 +247,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	h.listener.Stop()
-	h.listener.CloseAll()
+	h.listener.CancelRequests()
 	reader := bufio.NewReader(conn)
 	for i, want := range []int{504, 200} {
 		resp, err := http.ReadResponse(reader, nil)
@@ -336,7 +336,7 @@
 	h.outbound.Wait()
 }
 
-// TestInnerCalls checks that Graph identifies calls by the Attempt-Id of a run in flight.
+// TestInnerCalls checks that RecordCall identifies calls by the Attempt-Id of a run in flight.
 func TestInnerCalls(t *testing.T) {
 	gate := make(chan struct{})
 	h := newHarness(t, gate)
@@ -346,13 +346,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	for id, want := range map[string]bool{"graph1.abc": true, "graph1-x.y": true, "graph1": false, "graph1abc": false, "graph2.abc": false, ".": false} {
-		if inner, _ := h.inbound.Graph(id, "s"); inner != want {
+		if inner, _ := h.inbound.RecordCall(id, "s"); inner != want {
 			t.Errorf("%s: got inner %v", id, inner)
 		}
 	}
 	close(gate)
 	<-done
-	if inner, _ := h.inbound.Graph("graph1.abc", "s"); inner {
+	if inner, _ := h.inbound.RecordCall("graph1.abc", "s"); inner {
 		t.Error("a call of a run that has ended is reported as an inner call")
 	}
 }
--- a/internal/dataplane/proxy/refusal_log.go
+++ b/internal/dataplane/proxy/refusal_log.go
@@ -13,8 +13,8 @@
 // rejections counts the requests for a service that were rejected since the last log record.
 type rejections struct {
 	since      time.Duration
-	gates      int // not admitted by the gate of the service or of a downstream service
-	noCapacity int // admitted, but no server had capacity
+	gates      int // requests refused by the gate of the service or of a downstream service
+	noCapacity int // admitted requests for which no server had capacity
 }
 
 // count counts a rejection. It returns and resets the counts if they are due to be logged.
--- a/internal/dataplane/proxy/schedule_test.go
+++ b/internal/dataplane/proxy/schedule_test.go
@@ -38,12 +38,12 @@
 	interimBefore                          // preceded by interim responses (1xx)
 	otherBefore                            // preceded by a Not-Executed response to another request
 	otherAfter                             // followed by a response to another request
-	doubled                                // the response twice
+	doubled                                // the response is sent twice
 	cutInHead                              // the connection is closed within the head
 	cutInBody                              // the connection is closed within the body
 	noResponse                             // the connection is closed without a response
-	ownNotExecuted                         // Not-Executed response
-	otherNotExecuted                       // Not-Executed response to another request, then the connection is closed
+	ownNotExecuted                         // a Not-Executed response
+	otherNotExecuted                       // a Not-Executed response to another request, then the connection is closed
 	otherNotExecutedClose                  // the same with "Connection: close"
 	chunkedTrailer                         // chunked, with a trailer that names another request
 	behaviours                             // number of behaviours
@@ -140,10 +140,8 @@
 	return response.Result == wire.ForwardResponse_ANSWERED && string(response.Body) == id
 }
 
-// TestServerAnswersReachTheirRequests runs all scripts of the given length against the connection pool and the HTTP codec. A
-// response to another request may arrive before the connection is returned to the pool, while it is idle, or after the next
-// request has been written. A request must receive its own response or none, and must count as not run only if the server
-// has said so in a response to it.
+// TestServerAnswersReachTheirRequests checks for all scripts of the given length that a request receives its own response or
+// none, and counts as not run only if a response to it says so.
 func TestServerAnswersReachTheirRequests(t *testing.T) {
 	server := &scriptedServer{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -196,7 +194,7 @@
 }
 
 // cuttingProxy relays connections between two nodes. It resets both ends of one connection after a number of bytes in one
-// direction. Later connections reach the process that has replaced the server's sidecar by then.
+// direction. Later connections go to the process that replaces the server's sidecar.
 type cuttingProxy struct {
 	listener  net.Listener
 	target    string       // address of the sidecar
@@ -253,17 +251,15 @@
 	go relay(client, server, backward)
 }
 
-// TestAtMostOneRunAfterConnectionReset resets the connection between two nodes after each byte of a request and of its
-// response. Then another process, with other servers of the same service, takes over the address. No request may run twice,
-// a response that promises that the request has not run must be true, a response must belong to its request, and no request
-// for a server may reach one that has replaced it.
+// TestAtMostOneRunAfterConnectionReset resets the connection between two nodes after each byte, and replaces the server's node.
+// No request may run twice or at a replacement, and no response may deny a run or belong to another request.
 func TestAtMostOneRunAfterConnectionReset(t *testing.T) {
 	h, successor := newHarness(t, nil), newHarness(t, nil)
 	servers := successor.inbound.Servers()
 	for _, server := range servers {
 		successor.inbound.Deregister(server.ID)
 	}
-	successor.inbound.Sweep(time.Now().Add(time.Hour)) // makes it forget the ended incarnations
+	successor.inbound.Sweep(time.Now().Add(time.Hour)) // drops the ended incarnations
 	for _, server := range servers {
 		server.ID += "-new"
 		successor.inbound.Heartbeat(server, time.Now())
--- a/internal/dataplane/proxy/server_conn.go
+++ b/internal/dataplane/proxy/server_conn.go
@@ -17,7 +17,7 @@
 	defaultIdleTimeout = 9 * time.Second        // servers keep idle connections open for at least this long
 	idleMargin         = 400 * time.Millisecond // an idle connection is closed this long before the server's timeout
 
-	maxSkipped = 4 // responses to other requests that read skips
+	maxSkipped = 4 // maximum number of responses to other requests that read skips
 )
 
 // serverConn is a connection to a server on this machine. It carries one request at a time.
@@ -28,8 +28,8 @@
 	idleTimeout  time.Duration // how long the connection may be idle
 	idleDeadline time.Time     // an idle connection is not used after this
 
-	used    bool // it has carried an earlier request
-	skipped bool // it has carried a response to another request
+	used    bool // the connection has carried an earlier request
+	skipped bool // the connection has carried a response to another request
 
 	resp      http1.Response // head of the last response
 	interrupt func()         // aborts a pending read or write; allocated once
@@ -86,7 +86,7 @@
 }
 
 // read reads the response to a request, its head into c.resp. It skips up to maxSkipped responses to other requests, because
-// the right one may follow and a non-idempotent request can't be retried. The connection is not reused in that case.
+// the right one may follow and a non-idempotent request can't be retried. A connection with a skipped response is not reused.
 func (c *serverConn) read(method, attemptID string) (body []byte, err error) {
 	limits := http1.Limits{Head: maxServerHead, Body: maxServerBody}
 	for n := 0; ; n++ {
--- a/internal/dataplane/router/cluster.go
+++ b/internal/dataplane/router/cluster.go
@@ -14,7 +14,7 @@
 // successive versions share the parts that did not change.
 type ClusterState struct {
 	Config  *meshconfig.Config
-	Servers cowmap.Map[*wire.Server] // that may receive requests, by member ID
+	Servers cowmap.Map[*wire.Server] // servers that may receive requests, by member ID
 	Nodes   map[string][]string      // names of the sidecar nodes that are alive, by zone
 }
 
@@ -23,7 +23,7 @@
 type ClusterStateBuilder struct {
 	cluster    ClusterState
 	registered map[string]*wire.Server // all registered servers, by member ID
-	members    []*wire.Member          // of the cluster, sorted by name
+	members    []*wire.Member          // members of the cluster, sorted by name
 	notAlive   map[string]bool         // members that are not alive, by name
 	absent     map[string]bool         // nodes of registered servers that are not members
 	isDead     func(node string) bool
@@ -42,7 +42,7 @@
 	return &cluster
 }
 
-// Apply applies the changes after Index and sets the configuration, which includes them. If changes is nil, it only sets the
+// Apply applies the changes since Index and sets the configuration as of their end. If changes is nil, it only sets the
 // configuration.
 func (b *ClusterStateBuilder) Apply(changes *wire.Changes, config *meshconfig.Config) {
 	b.cluster.Config = config
--- a/internal/dataplane/router/hedge.go
+++ b/internal/dataplane/router/hedge.go
@@ -6,11 +6,11 @@
 
 const (
 	hedgeLatencyFactor    = 2                     // multiple of the typical latency after which an idempotent request is hedged
-	minHedgeLatencyFactor = 1.4                   // the same if the request would otherwise miss its latency target
-	minHedgeDelay         = 50 * time.Millisecond // lower bound of the delay
+	minHedgeLatencyFactor = 1.4                   // lower bound of that multiple for requests that would miss their latency target
+	minHedgeDelay         = 50 * time.Millisecond // lower bound of the hedge delay
 	hedgeBudgetReserve    = 3                     // retries that hedging leaves for failed requests
-	hedgeShare            = 0.02                  // of a service's requests; if all are slow, a second server does not help
-	maxHedgeTokens        = 2                     // hedged attempts in a burst
+	hedgeShare            = 0.02                  // maximum share of a service's requests; if all are slow, hedging does not help
+	maxHedgeTokens        = 2                     // maximum number of hedged attempts in a burst
 )
 
 // HedgeDelay returns the duration of an attempt after which Hedge may be called, or 0 if the request must not be hedged. If
--- a/internal/dataplane/router/outcome.go
+++ b/internal/dataplane/router/outcome.go
@@ -66,7 +66,7 @@
 		}
 	}
 	switch status {
-	case 408, 421, 429, 503: // A client takes these as a guarantee that the request has not run.
+	case 408, 421, 429, 503: // clients treat these as a guarantee that the request has not run
 		return &Response{Status: 502, Reason: "the server failed"}, false
 	}
 	return nil, true
--- a/internal/dataplane/router/request.go
+++ b/internal/dataplane/router/request.go
@@ -18,8 +18,8 @@
 type Arrival struct {
 	Route    *meshconfig.Route
 	Service  string        // returned by ChooseService
-	At       time.Duration // of the arrival
-	Deadline time.Duration // for the response
+	At       time.Duration // time of arrival
+	Deadline time.Duration // when the response is due
 	Inner    bool          // a call within an admitted call graph
 	OfRetry  bool          // a call made by the run of a retried request
 }
@@ -45,8 +45,8 @@
 	excluded           []string      // servers that must not be picked
 	serverSpace        [3][2]string  // initial backing arrays of the three lists
 	rejections         int           // by servers that did not receive the request
-	unhealthy          bool          // a server rejected the request because the server is unhealthy
-	saturationRecorded bool          // recordSaturation has reported to the gate
+	unhealthy          bool          // an ejected server rejected the request
+	saturationRecorded bool          // recordSaturation has reported this request
 }
 
 // ChooseService picks the service for a request at random, by the weights of its route.
@@ -76,10 +76,10 @@
 // End records the end of an admitted request at its gate.
 func (r *Request) End(now time.Duration) {
 	target := r.Route.TargetLatency()
-	if r.Inner { // its time is counted as part of its call graph's
+	if r.Inner { // the latency of its call graph includes it
 		target = 0
 	}
-	if len(r.reached) == 0 && !r.mayHaveRun { // its time says nothing about the servers
+	if len(r.reached) == 0 && !r.mayHaveRun { // no server has received it, so its duration is not a latency
 		target = 0
 	}
 	r.service.gate.Done(now, now-r.At, target)
@@ -120,7 +120,7 @@
 	if ok {
 		return action
 	}
-	// No server has a free slot. After maxWait, the client is expected to retry instead.
+	// No server has a free slot. After maxWait, the request is refused, and its client may retry.
 	r.recordSaturation(now)
 	if now-r.waitingSince > r.maxWait() {
 		return Action{Response: r.giveUp(now, "no server has room")}
@@ -129,8 +129,8 @@
 	return Action{Wait: min(queueRetryPause, r.Deadline-now)}
 }
 
-// recordSaturation reports to the gate, once per request, that no server has a free slot. Reporting only requests that cannot
-// be queued either would detect an overload too late, when all queues are full.
+// recordSaturation reports to the gate, once per request, that no server has a free slot. If it reported only requests that
+// cannot be queued either, the gate would detect an overload too late, when all queues are full.
 func (r *Request) recordSaturation(now time.Duration) {
 	if !r.saturationRecorded {
 		r.saturationRecorded = true
@@ -159,8 +159,8 @@
 	return action, true
 }
 
-// maxWait returns how long the request may wait for a server. Inner calls get no longer wait, although their failure fails the
-// whole graph, because they hold a slot of their caller meanwhile.
+// maxWait returns how long the request may wait for a server. Inner calls do not wait longer, although their failure fails
+// the whole graph: a waiting call occupies a slot of its caller.
 func (r *Request) maxWait() time.Duration {
 	return max(minWait, r.Route.TargetLatency()/maxWaitDivisor)
 }
--- a/internal/dataplane/router/router_test.go
+++ b/internal/dataplane/router/router_test.go
@@ -170,7 +170,7 @@
 	for _, c := range []struct {
 		name          string
 		first, second *wire.ForwardResponse
-		forward       bool // after the second attempt
+		forward       bool // whether the second response is forwarded
 		status        int
 	}{
 		{"first broken", outcome(wire.ForwardResponse_BROKEN), good, true, 0},
--- a/internal/dataplane/router/service_state.go
+++ b/internal/dataplane/router/service_state.go
@@ -10,8 +10,8 @@
 	Service           string
 	NormalizedLatency float64   // mean response time in multiples of the latency target
 	Pressure          float64   // NormalizedLatency, or an estimate from saturation if higher; see decide.Gate
-	Servers           int       // that may receive requests
-	Probabilities     []float64 // of admission, by priority
+	Servers           int       // number of servers that may receive requests
+	Probabilities     []float64 // admission probability of each priority
 	RetryBudgetLeft   float64   // retries that may be sent now
 }
 
--- a/internal/dataplane/router/table.go
+++ b/internal/dataplane/router/table.go
@@ -29,15 +29,15 @@
 	callCountGain      = 0.05 // weight of the newest run in the moving average of a route's calls
 	typicalLatencyGain = 0.03 // weight of the newest run in the moving average of a route's latency
 	minCallCount       = 0.1  // calls per run below which a service does not count as downstream
-	maxServices        = 4096 // services with state
+	maxServices        = 4096 // maximum number of services with state
 )
 
 // Options configure a Table.
 type Options struct {
 	Node, Zone  string
 	RetryRatio  float64       // retries per request, over all nodes (setting retry_ratio)
-	RetryWindow time.Duration // in which RetryRatio holds
-	Seed        uint64        // of all random choices
+	RetryWindow time.Duration // window in which RetryRatio holds
+	Seed        uint64        // seed of the random number generator
 }
 
 // Table is the state shared by all requests of a node.
@@ -45,7 +45,7 @@
 	options           Options
 	rng               *rand.Rand
 	cluster           *ClusterState
-	config            *meshconfig.Config            // last one applied; nil before the first
+	config            *meshconfig.Config            // configuration applied last; nil before the first
 	backends          map[string]bool               // names of the configured services
 	services          map[string]*service           // created on first use, as most nodes use only a few services
 	targets           map[string][]decide.Target    // servers by service, including services without a route
@@ -132,7 +132,7 @@
 }
 
 // downstreamGates returns the gates of the services that a route's call graphs call. A graph that would overload one of them
-// is refused at its entry, by its priority, because its inner calls are always admitted.
+// is refused at its entry, depending on its priority, because its inner calls are always admitted.
 func (t *Table) downstreamGates(now time.Duration, route *meshconfig.Route) []*decide.Gate {
 	var gates []*decide.Gate
 	for name, calls := range t.meanCalls[route.Name] {
--- a/internal/dataplane/sidecar/mesh_test.go
+++ b/internal/dataplane/sidecar/mesh_test.go
@@ -254,7 +254,7 @@
 
 	second := config(t, 7, "/two/")
 	m.waitFor("a second configuration", func() bool { return client.Apply(ctx, 3, second) == nil })
-	m.waitFor("its routes on the node", func() bool { return get("/two/x") == 200 })
+	m.waitFor("the routes of the second configuration on the node", func() bool { return get("/two/x") == 200 })
 	if got := get("/one/x"); got != 404 {
 		t.Errorf("the old route responds with %d after its removal, want 404", got)
 	}
@@ -302,7 +302,7 @@
 	stops[1]()
 	delete(stops, 1)
 	m.waitFor("the configuration after the loss of a machine", func() bool { return bytes.Equal(read(), third) })
-	m.waitFor("its routes on the node", func() bool { return get("/three/x") == 200 })
+	m.waitFor("the routes of the third configuration on the node", func() bool { return get("/three/x") == 200 })
 
 	// All quorum members lose their data after a backup and one later change, and are restored from the backup.
 	backup, err := client.Backup(ctx)
@@ -310,7 +310,7 @@
 		t.Fatalf("taking a backup: %v, %v", backup, err)
 	}
 	m.waitFor("a fourth configuration", func() bool { return client.Apply(ctx, 9, config(t, 11, "/four/")) == nil })
-	m.waitFor("its routes on the node", func() bool { return get("/four/x") == 200 })
+	m.waitFor("the routes of the fourth configuration on the node", func() bool { return get("/four/x") == 200 })
 	for n := 2; n <= 3; n++ {
 		stops[n]()
 		delete(stops, n)
@@ -326,9 +326,9 @@
 		stops[n] = m.start(server.Run, set)
 	}
 	m.waitFor("the configuration of the backup", func() bool { return bytes.Equal(read(), third) })
-	m.waitFor("its routes on a node that kept running", func() bool { return get("/three/x") == 200 && get("/four/x") == 404 })
-	m.waitFor("a change after the restore", func() bool { return client.Apply(ctx, 9, config(t, 12, "/five/")) == nil })
-	m.waitFor("its routes on the node", func() bool { return get("/five/x") == 200 })
+	m.waitFor("the routes of the backup on a node that kept running", func() bool { return get("/three/x") == 200 && get("/four/x") == 404 })
+	m.waitFor("a configuration change after the restore", func() bool { return client.Apply(ctx, 9, config(t, 12, "/five/")) == nil })
+	m.waitFor("the routes of the fifth configuration on the node", func() bool { return get("/five/x") == 200 })
 }
 
 // BenchmarkChanges measures successive configuration changes on a quorum of three on
--- a/internal/dataplane/sidecar/metrics.go
+++ b/internal/dataplane/sidecar/metrics.go
@@ -19,7 +19,7 @@
 // emitter adds a reading with the values of its labels.
 type emitter func(value float64, labels ...string)
 
-// readings returns a function for Gauge.Read that collects what read emits.
+// readings returns a function for Gauge.Read that collects the readings that read emits.
 func readings(read func(emit emitter)) func() []metrics.Reading {
 	return func() (list []metrics.Reading) {
 		read(func(value float64, labels ...string) {
--- a/internal/dataplane/sidecar/node.go
+++ b/internal/dataplane/sidecar/node.go
@@ -52,9 +52,9 @@
 // Run runs a sidecar until ctx ends, and returns after a graceful shutdown. It calls reload repeatedly; each call blocks until
 // the settings have changed, and returns nil when the program ends.
 func Run(ctx context.Context, settings *nodefile.Settings, reload func() *nodefile.Settings, log *slog.Logger) error {
-	running, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n, err := newNode(running, settings, log)
+	n, err := newNode(runCtx, settings, log)
 	if err != nil {
 		return err
 	}
@@ -64,16 +64,16 @@
 	}
 	defer sockets.close()
 	server, heartbeats, readiness := n.rpcServer(), n.httpServer(n.serveHeartbeat), n.httpServer(n.ready)
-	n.workers.Go(func() { server.Serve(running, sockets.internal) })
+	n.workers.Go(func() { server.Serve(runCtx, sockets.internal) })
 	n.workers.Go(func() {
-		if err := n.frontend.Serve(running, sockets.outbound); err != nil {
+		if err := n.frontend.Serve(runCtx, sockets.outbound); err != nil {
 			log.Error("listener.serve_failed", "err", err)
 		}
 	})
 	n.workers.Go(func() { heartbeats.Serve(sockets.control) })
 	n.workers.Go(func() { readiness.Serve(sockets.readiness) })
-	n.workers.Go(func() { n.agent.Run(running) })
-	n.workers.Go(func() { n.watch(running) })
+	n.workers.Go(func() { n.agent.Run(runCtx) })
+	n.workers.Go(func() { n.watch(runCtx) })
 	n.workers.Go(func() {
 		for s := reload(); s != nil; s = reload() {
 			n.settings.Store(s)
@@ -81,7 +81,7 @@
 	})
 	if settings.Metrics != "" {
 		n.workers.Go(func() {
-			n.outbound.Metrics.Serve(running, settings.Metrics, program.Secure(n.pool.Identity(), settings.SecureMetrics), log)
+			n.outbound.Metrics.Serve(runCtx, settings.Metrics, program.Secure(n.pool.Identity(), settings.SecureMetrics), log)
 		})
 	}
 	log.Info("sidecar.started", "node", settings.Node, "service", settings.Backend)
@@ -95,14 +95,14 @@
 	return nil
 }
 
-// newNode creates a node without starting it. Connections to other nodes are closed when running ends.
-func newNode(running context.Context, settings *nodefile.Settings, log *slog.Logger) (*Node, error) {
+// newNode creates a node without starting it. Connections to other nodes are closed when runCtx ends.
+func newNode(runCtx context.Context, settings *nodefile.Settings, log *slog.Logger) (*Node, error) {
 	rng := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), rand.Uint64()))
 	source, err := program.Identity(settings, log)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{log: log, startTime: time.Now(), pool: rpc.NewPool(running, rpc.PoolOptions{Identity: source})}
+	n := &Node{log: log, startTime: time.Now(), pool: rpc.NewPool(runCtx, rpc.PoolOptions{Identity: source})}
 	n.settings.Store(settings)
 	n.shares.FirstStart = settings.Bootstrap
 	n.inbound = proxy.NewInbound(settings.Bounds.Drain, settings.HeartbeatInterval, log)
@@ -113,7 +113,7 @@
 	n.gossip, n.hub, n.follower = n.agent.Gossip, n.agent.Hub, n.agent.Follower
 	n.outbound = &proxy.Outbound{
 		Node: settings.Node, Zone: settings.Zone, Backend: settings.Backend, Ratio: settings.Bounds.RetryRatio, Window: settings.Bounds.RetryWindow,
-		Pool: n.pool, Log: log, Graph: n.inbound.Graph, CallFailed: n.inbound.CallFailed,
+		Pool: n.pool, Log: log, RecordCall: n.inbound.RecordCall, CallFailed: n.inbound.CallFailed,
 	}
 	n.outbound.Start(rng.Uint64())
 	n.inbound.Pressure = n.outbound.Pressure
--- a/internal/dataplane/sidecar/shutdown.go
+++ b/internal/dataplane/sidecar/shutdown.go
@@ -43,7 +43,7 @@
 	for time.Since(start) < grace-exitMargin-cancelMargin && !idle() {
 		time.Sleep(20 * time.Millisecond)
 	}
-	n.frontend.CloseAll()
+	n.frontend.CancelRequests()
 	for time.Since(start) < grace-exitMargin && n.frontend.Pending() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	updatePauseFactor = 6 // pause after an update, in durations of that update
+	updatePauseFactor = 6 // pause after an update, as a multiple of its duration
 	maxUpdatePause    = 200 * time.Millisecond
 )
 
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -52,7 +52,7 @@
 }
 
 // ByAttempt returns the records of a request and of the calls made on its behalf,
-// ordered by start time. The id of such a call starts with the id of the request and a
+// ordered by start time. The ID of such a call starts with the ID of the request and a
 // dot.
 func (r *Ring) ByAttempt(attempt string) []Record {
 	r.mu.Lock()
@@ -68,7 +68,7 @@
 }
 
 // Sampled reports whether a request belongs to the given share of all requests. The
-// result depends only on the first component of the id, so that all nodes sample the
+// result depends only on the first component of the ID, so that all nodes sample the
 // same requests together with the calls made on their behalf.
 func Sampled(attempt string, share float64) bool {
 	root, _, _ := strings.Cut(attempt, ".")
--- a/internal/simulation/lab/forwarding.go
+++ b/internal/simulation/lab/forwarding.go
@@ -66,7 +66,7 @@
 	}
 	arrival := router.Arrival{Route: route, Service: n.table.ChooseService(route), At: s.now}
 	arrival.Deadline = s.now + min(route.Timeout(), t.deadline-s.now) - deadlineMargin
-	arrival.Inner, arrival.OfRetry = n.admission.Graph(t.id, arrival.Service)
+	arrival.Inner, arrival.OfRetry = n.admission.RecordCall(t.id, arrival.Service)
 	s.measurements.requestEntered(s.now, arrival.Service)
 	if arrival.OfRetry {
 		s.measurements.requestRetried(s.now, arrival.Service)
@@ -155,7 +155,7 @@
 	}
 	to := s.nodes[s.nodeIndexes[server.Node]]
 	request := localserver.Request{
-		Member: action.Server, Service: routed.Service, Attempt: t.id, Priority: routed.Priority, Repeat: action.Retry, Wait: action.MayQueue,
+		Member: action.Server, Service: routed.Service, Attempt: t.id, Priority: routed.Priority, Retry: action.Retry, MayQueue: action.MayQueue,
 		Call: health.Call{Zone: n.zone, TypicalLatency: action.TypicalLatency, NonIdempotent: routed.NonIdempotent(), IgnoreEjection: action.IgnoreEjection},
 	}
 	deadline := routed.Deadline
@@ -248,7 +248,7 @@
 	n, s := f.node, f.node.sim
 	if n.server == nil || n.server.id != f.request.Member || !n.server.up {
 		finished := n.admission.Finish(s.now, f.request.Member, f.request.Attempt, health.Broken)
-		n.deliverGrants(finished.Verdicts)
+		n.deliverGrants(finished.Grants)
 		f.reject(finished.Queued)
 		return
 	}
@@ -264,12 +264,12 @@
 // load that the node measures.
 func (f *forwardedRequest) finish(response *wire.ForwardResponse) {
 	n, s := f.node, f.node.sim
-	finished := n.admission.Finish(s.now, f.request.Member, f.request.Attempt, localserver.ResultOf(response))
-	n.deliverGrants(finished.Verdicts)
+	finished := n.admission.Finish(s.now, f.request.Member, f.request.Attempt, localserver.OutcomeOf(response))
+	n.deliverGrants(finished.Grants)
 	response.Queued = finished.Queued
 	response.RelativeLatency, response.Utilization = float32(finished.RelativeLatency), float32(finished.Utilization)
-	for _, c := range finished.Called {
-		response.Calls = append(response.Calls, &wire.CallCount{Service: c.Service, Count: c.Times, Pressure: n.table.Pressure(s.now, c.Service)})
+	for _, c := range finished.Calls {
+		response.Calls = append(response.Calls, &wire.CallCount{Service: c.Service, Count: c.Count, Pressure: n.table.Pressure(s.now, c.Service)})
 	}
 	f.done(response)
 }
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -240,7 +240,7 @@
 	self := localserver.Machine{Node: n.name, Address: n.name, Zone: n.zone}
 	changes, _ := n.hub.State(n.registered.Index())
 	n.registered.Apply(changes)
-	commands := localserver.Difference(self, n.admission.Servers(), n.registered.Servers(), n.sim.now-n.startedAt < ms(2*n.sim.scenario.HeartbeatMs))
+	commands := localserver.Reconcile(self, n.admission.Servers(), n.registered.Servers(), n.sim.now-n.startedAt < ms(2*n.sim.scenario.HeartbeatMs))
 	if len(commands) == 0 {
 		return
 	}
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -87,11 +87,11 @@
 		ID: v.id, Service: v.service.Name, Address: v.node.name, Zone: v.node.zone, Slots: v.service.Slots, Draining: v.draining, Seq: v.heartbeatSeq,
 		WarmupLeft: max(0, v.warmUntil-v.sim.now),
 	})
-	v.node.deliverGrants(reply.Verdicts)
+	v.node.deliverGrants(reply.Grants)
 	if reply.OK && v.draining && !v.drainAcked {
 		v.drainAcked, v.drainAckedAt = true, v.sim.now
 	}
-	if (reply.New || reply.Drains) && !v.node.registering {
+	if (reply.New || reply.DrainStarted) && !v.node.registering {
 		v.node.register()
 	}
 }
