--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -47,8 +47,8 @@
 	return int(b.newest % (buckets + 1))
 }
 
-// Request counts a request to the service.
-func (b *Budget) Request(now time.Duration) { b.requests[b.roll(now)]++ }
+// CountRequest counts a request to the service.
+func (b *Budget) CountRequest(now time.Duration) { b.requests[b.roll(now)]++ }
 
 // Available returns the number of retries that may be sent now. It may be negative.
 func (b *Budget) Available(now time.Duration) float64 {
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -35,7 +35,7 @@
 				busy := s/500%nodes == i || rng.IntN(10) == 0
 				for busy && rng.IntN(3) > 0 {
 					requests[s]++
-					budgets[i].Request(now)
+					budgets[i].CountRequest(now)
 				}
 				for rng.IntN(4) > 0 && budgets[i].Spend(now) {
 					retries[s]++
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	maxQueuePerSlot     = 0.5             // maximum queue length per slot; a longer queue would not raise the utilization
+	maxQueuePerSlot     = 0.5             // maximum queue length per slot
 	minQueueLimit       = 2               // lower bound of the maximum queue length
 	maxMissedHeartbeats = 3               // missed heartbeats after which a server is terminated
 	forgetAfter         = 2 * time.Minute // retention of terminated incarnations, since their last heartbeat
--- a/internal/dataplane/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -31,6 +31,7 @@
 	lastResponseAt time.Time // when the last response was written
 }
 
+// serve handles the requests of a connection until it closes. It runs them in workers and writes the responses in order.
 func (l *Listener) serve(parent context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(parent)
 	c := &clientConn{listener: l, netConn: conn, ctx: ctx, cancel: cancel}
@@ -241,7 +242,7 @@
 				return nil, err
 			}
 		}
-		if c.listener.Memory > 0 && c.listener.bodyMemory.Load()+max(0, req.Length) > c.listener.Memory {
+		if c.listener.MaxBodyMemory > 0 && c.listener.bodyMemory.Load()+max(0, req.Length) > c.listener.MaxBodyMemory {
 			return nil, &http1.Error{Status: 503, Text: "no memory for the body at the moment"}
 		}
 		c.setReadDeadline(time.Now().Add(bodyTimeout))
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -64,8 +64,8 @@
 
 func (i *Inbound) now() time.Duration { return time.Since(i.start) }
 
-// Since returns the duration from t to the zero time of the trace records.
-func (i *Inbound) Since(t time.Time) time.Duration { return i.start.Sub(t) }
+// StartOffset returns the duration from t to the zero time of the trace records.
+func (i *Inbound) StartOffset(t time.Time) time.Duration { return i.start.Sub(t) }
 
 // deliverGrants delivers grants to queued requests. It does not block, as each ticket receives one and has a buffer for it.
 func deliverGrants(grants []localserver.SlotGrant[*ticket]) {
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -36,8 +36,8 @@
 // decisions are those of a router.Table.
 type Outbound struct {
 	Node, Zone, Backend string
-	Ratio               float64       // retry_ratio, see router.Options.RetryRatio
-	Window              time.Duration // see router.Options.RetryWindow
+	RetryRatio          float64       // retry_ratio, see router.Options.RetryRatio
+	RetryWindow         time.Duration // see router.Options.RetryWindow
 	Pool                *rpc.Pool
 	Log                 *slog.Logger
 	Metrics             *metrics.Set
@@ -61,7 +61,7 @@
 	o.start = time.Now()
 	o.ready = make(chan struct{})
 	o.rejections = map[string]*rejections{}
-	o.table = router.NewTable(router.Options{Node: o.Node, Zone: o.Zone, RetryRatio: o.Ratio, RetryWindow: o.Window, Seed: seed})
+	o.table = router.NewTable(router.Options{Node: o.Node, Zone: o.Zone, RetryRatio: o.RetryRatio, RetryWindow: o.RetryWindow, Seed: seed})
 }
 
 func (o *Outbound) now() time.Duration { return time.Since(o.start) }
@@ -72,8 +72,8 @@
 	return o.served.Load(), o.refused.Load(), o.failed.Load()
 }
 
-// Since returns the duration from t to the zero time of the trace records.
-func (o *Outbound) Since(t time.Time) time.Duration { return o.start.Sub(t) }
+// StartOffset returns the duration from t to the zero time of the trace records.
+func (o *Outbound) StartOffset(t time.Time) time.Duration { return o.start.Sub(t) }
 
 // SetRetrySlack sets this node's share of the retry slack.
 func (o *Outbound) SetRetrySlack(slack float64) {
@@ -146,7 +146,7 @@
 }
 
 func textResponse(status int, reason string) *Response {
-	return &Response{Status: status, Fields: []byte("Content-Type: text/plain\r\n"), Body: []byte(reason + "\n"), Own: true}
+	return &Response{Status: status, Fields: []byte("Content-Type: text/plain\r\n"), Body: []byte(reason + "\n"), Generated: true}
 }
 
 // routerResponse converts a response that the router has generated.
@@ -164,7 +164,7 @@
 	record := trace.Record{Entry: true}
 	response := o.handle(ctx, call, &record)
 	switch {
-	case !response.Own:
+	case !response.Generated:
 		o.served.Add(1)
 	case response.NotExecuted:
 		o.refused.Add(1)
@@ -175,7 +175,7 @@
 	o.Metrics.Request(record.Route, response.Status, response.NotExecuted, record.Took)
 	if o.Trace != nil {
 		record.Attempt, record.Start = call.Headers.Get("Attempt-Id"), call.Arrived.Sub(o.start)
-		if response.Own {
+		if response.Generated {
 			record.Reason = strings.TrimSpace(string(response.Body))
 		}
 		o.Trace(record)
--- a/internal/dataplane/router/request.go
+++ b/internal/dataplane/router/request.go
@@ -59,7 +59,7 @@
 	if s == nil {
 		return nil, &Response{503, "no such service", 500 * time.Millisecond}
 	}
-	s.budget.Request(now)
+	s.budget.CountRequest(now)
 	s.hedgeTokens = min(maxHedgeTokens, s.hedgeTokens+hedgeShare)
 	if arrival.OfRetry { // calls of a retried run count as retries at the called service
 		s.budget.Charge(now, 1)
--- a/internal/dataplane/sidecar/node.go
+++ b/internal/dataplane/sidecar/node.go
@@ -112,7 +112,7 @@
 	})
 	n.gossip, n.hub, n.follower = n.agent.Gossip, n.agent.Hub, n.agent.Follower
 	n.outbound = &proxy.Outbound{
-		Node: settings.Node, Zone: settings.Zone, Backend: settings.Backend, Ratio: settings.Bounds.RetryRatio, Window: settings.Bounds.RetryWindow,
+		Node: settings.Node, Zone: settings.Zone, Backend: settings.Backend, RetryRatio: settings.Bounds.RetryRatio, RetryWindow: settings.Bounds.RetryWindow,
 		Pool: n.pool, Log: log, RecordCall: n.inbound.RecordCall, CallFailed: n.inbound.CallFailed,
 	}
 	n.outbound.Start(rng.Uint64())
@@ -120,13 +120,13 @@
 	if settings.TraceCapacity > 0 || settings.AccessLogShare > 0 {
 		n.traces = trace.NewRing(settings.TraceCapacity)
 		// Outbound and Inbound record times since their own start; recorder converts them to times since the node's start.
-		n.outbound.Trace, n.inbound.Trace = n.recorder(n.outbound.Since(n.startTime)), n.recorder(n.inbound.Since(n.startTime))
+		n.outbound.Trace, n.inbound.Trace = n.recorder(n.outbound.StartOffset(n.startTime)), n.recorder(n.inbound.StartOffset(n.startTime))
 	}
 	if settings.Metrics != "" {
 		n.outbound.Metrics = n.newMetrics()
 	}
 	n.frontend = &proxy.Listener{
-		Handle: n.outbound.Handle, Bounds: n.outbound.Bounds, Memory: int64(settings.MemoryMB) << 20 / 4, Log: log,
+		Handle: n.outbound.Handle, Bounds: n.outbound.Bounds, MaxBodyMemory: int64(settings.MemoryMB) << 20 / 4, Log: log,
 	}
 	return n, nil
 }
--- a/internal/dataplane/sidecar/shutdown.go
+++ b/internal/dataplane/sidecar/shutdown.go
@@ -15,9 +15,9 @@
 	cancelMargin     = 200 * time.Millisecond  // pending requests are cancelled this long before exitMargin, to be answered in time
 )
 
-// readWindow returns how long after SIGTERM requests are still read. The platform requires an answer to every request that a
-// client sends more than three seconds after SIGTERM, however long it takes. Earlier requests may fail in the second half of
-// the grace period.
+// readWindow returns how long after SIGTERM requests are still read. The platform requires a response to every request that a
+// client sends more than three seconds after SIGTERM, however long it takes. Reading ends before, so that clients retry such
+// requests on other nodes. Earlier requests may fail in the second half of the grace period.
 func readWindow(grace time.Duration) time.Duration { return min(maxReadWindow, grace-stopMargin) }
 
 // shutDown stops the node gracefully: it stops accepting requests, waits until pending requests are answered, and leaves the
