--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -30,23 +30,23 @@
 // Timing and bounds of the protocol.
 const (
 	ProbeInterval        = 500 * time.Millisecond
-	ProbeTimeout         = 400 * time.Millisecond // of a direct probe; an indirect probe gets twice as long
+	ProbeTimeout         = 400 * time.Millisecond // timeout of a direct probe; an indirect probe gets twice as long
 	pushPullTimeout      = 2 * time.Second        // the response may contain a full view
 	suspicionTimeout     = 1800 * time.Millisecond
 	deadRetention        = 30 * time.Second // dead members are kept this long, so that late updates do not revive them
 	indirectProbes       = 2                // members through which an unresponsive member is probed
-	maxPiggyback         = 8                // updates per message, besides the sender's own entry
+	maxPiggyback         = 8                // maximum number of updates in a message, besides the sender's own entry
 	transmitLimitReached = 255              // value of member.transmits that stops the broadcast
 	maxMembers           = 65_536           // over twice the design limit of 28,000 nodes
 
-	deadNodeLostAfter    = 1500 * time.Millisecond // since the node was declared dead
-	unknownNodeLostAfter = 10 * time.Second        // since the caller began to observe, if the node was never a member
+	deadNodeLostAfter    = 1500 * time.Millisecond // time since a node died or left after which it is lost
+	unknownNodeLostAfter = 10 * time.Second        // time since the caller began to observe after which an unlisted node is lost
 
-	joinInterval              = 300 * time.Millisecond // between push/pulls with seeds while the list has no other member
-	minPushPullInterval       = 2 * time.Second        // between push/pulls after a change or a difference
+	joinInterval              = 300 * time.Millisecond // time between push/pulls with seeds while the list has no other member
+	minPushPullInterval       = 2 * time.Second        // shortest time between push/pulls, after a change or a difference
 	maxPushPullBytesPerSecond = 512                    // limit of the digest traffic; lengthens minPushPullInterval in a large cluster
 	pushPullInterval          = 5 * time.Second        // longest interval per pushPullScale members
-	pushPullScale             = 100                    // in members
+	pushPullScale             = 100                    // number of members; see pushPullInterval
 	maxPushPullInterval       = time.Minute            // longest interval in a cluster of any size
 	pushPullsPerSeedPushPull  = 8                      // above pushPullScale members, one push/pull in this many is with seeds
 )
@@ -80,7 +80,7 @@
 	lastPushPullAt   time.Duration
 	pushPullInterval time.Duration // current interval between push/pulls
 	version          uint64
-	digest           uint64 // of the reachable members, excluding this node
+	digest           uint64 // digest of the reachable members, excluding this node
 	ranges           rangeDigests
 	pushPulls        int // number of push/pulls started
 
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -12,7 +12,7 @@
 type Probe struct {
 	Target  string
 	Via     string
-	Address string // of the receiver
+	Address string // address of the receiver
 	Request *wire.ProbeRequest
 }
 
@@ -78,7 +78,7 @@
 	}
 	if response != nil && response.Reached {
 		m.probing = false
-		if m.State == wire.Member_SUSPECT { // without waiting for its refutation
+		if m.State == wire.Member_SUSPECT { // the response proves it alive; don't wait for its refutation
 			l.setState(m, wire.Member_ALIVE)
 		}
 		return nil
--- a/internal/cluster/membership/push_pull.go
+++ b/internal/cluster/membership/push_pull.go
@@ -91,23 +91,23 @@
 	return Probe{Address: address, Request: &wire.ProbeRequest{From: l.self, FullView: true, Digest: l.Digest(), Ranges: ranges}}
 }
 
-// minPushPullInterval returns the shortest interval between push/pulls, which bounds their traffic while views change.
-func (l *Memberlist) minPushPullInterval() time.Duration {
+// shortestPushPullInterval returns the shortest interval between push/pulls, which bounds their traffic while views change.
+func (l *Memberlist) shortestPushPullInterval() time.Duration {
 	const digestBytes = 8
 	bytes := digestBytes * rangesFor(len(l.members))
 	return max(minPushPullInterval, time.Duration(bytes)*time.Second/maxPushPullBytesPerSecond)
 }
 
-// maxPushPullInterval returns the longest interval between push/pulls, which bounds how long a difference goes undetected.
-func (l *Memberlist) maxPushPullInterval() time.Duration {
+// longestPushPullInterval returns the longest interval between push/pulls, which bounds how long a difference goes undetected.
+func (l *Memberlist) longestPushPullInterval() time.Duration {
 	scaled := pushPullInterval * time.Duration(1+len(l.members)/pushPullScale)
-	return max(min(maxPushPullInterval, scaled), l.minPushPullInterval())
+	return max(min(maxPushPullInterval, scaled), l.shortestPushPullInterval())
 }
 
 // schedulePushPull moves the next push/pull forward, after a change of the view or a push/pull from a node with a different
 // view. A node that missed a change thus soon receives a push/pull from an up-to-date node, and then starts its own.
 func (l *Memberlist) schedulePushPull() {
-	shortest := l.minPushPullInterval()
+	shortest := l.shortestPushPullInterval()
 	l.pushPullInterval = shortest / 2 // doubled by the next push/pull
 	// A change reaches many nodes at about the same time: jitter keeps their push/pulls apart.
 	jitter := time.Duration(l.rng.Int64N(int64(shortest)))
@@ -149,7 +149,7 @@
 	} else if l.now < l.nextPushPullAt {
 		return nil
 	}
-	l.pushPullInterval = min(max(2*l.pushPullInterval, l.minPushPullInterval()), l.maxPushPullInterval())
+	l.pushPullInterval = min(max(2*l.pushPullInterval, l.shortestPushPullInterval()), l.longestPushPullInterval())
 	l.lastPushPullAt, l.nextPushPullAt = l.now, l.now+l.pushPullInterval
 	for _, address := range l.pushPullTargets(seeds) {
 		probes = append(probes, l.pushPullProbe(address, rangesFor(len(l.members))))
--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -180,7 +180,8 @@
 }
 
 // Restore writes the store of a new quorum's first member, which all others join, to an empty or missing folder. address is
-// the member's address for nodes, and controlAddress its address for operators.
+// the member's address for nodes, and controlAddress its address for operators. Servers that have stopped since the backup
+// stay registered until they are deregistered as usual.
 func (b *Backup) Restore(dir, address, controlAddress string, rng *rand.Rand) error {
 	if address == "" || controlAddress == "" {
 		return errors.New("backup: the member's addresses for nodes and for operators are required")
@@ -198,7 +199,7 @@
 	if err := state.Restore(snapshot); err != nil {
 		return err
 	}
-	state.Advance(restoredIndexOffset) // servers that have stopped since the backup are removed as usual
+	state.Advance(restoredIndexOffset)
 	data, err := state.Snapshot()
 	if err != nil {
 		return err
--- a/internal/controlplane/backup/compatibility_test.go
+++ b/internal/controlplane/backup/compatibility_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// TestLoadEarlierVersion loads a backup file of the version before the messages and packages were renamed, and the folder
-// that it was made from.
+// TestLoadEarlierVersion loads a backup file that an earlier version has written, and the folder that it was made from.
 func TestLoadEarlierVersion(t *testing.T) {
 	fromFile, err := Load("testdata/earlier-version.backup")
 	if err != nil {
--- a/internal/controlplane/catalog/accept_test.go
+++ b/internal/controlplane/catalog/accept_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("command for one changed route has %d bytes, the body has %d", size, len(second))
 	}
 	if accepted, err := apply(cmd); !accepted || err != nil || !bytes.Equal(c.Body(), second) || c.Revision() != 5 {
-		t.Fatalf("%v: revision %d", err, c.Revision())
+		t.Fatalf("second change: error %v, revision %d, want revision 5", err, c.Revision())
 	}
 	if accepted, err := apply(cmd); accepted || err != nil {
 		t.Errorf("resent delta: accepted %v, %v", accepted, err)
--- a/internal/controlplane/catalog/accepted.go
+++ b/internal/controlplane/catalog/accepted.go
@@ -13,7 +13,7 @@
 // memory and in snapshots. Replicas may use different bounds: the bound affects the answer to a resend, never the state.
 const maxAccepted = 16384
 
-// earlierMaxAccepted is the bound in versions whose snapshots lack the highest evicted revision.
+// earlierMaxAccepted is the value of maxAccepted in earlier versions, whose snapshots lack the highest evicted revision.
 const earlierMaxAccepted = 1024
 
 // Change identifies a configuration by its revision and the SHA-256 of its body. Different configurations may have the same
@@ -51,7 +51,7 @@
 	if len(a.newest) <= limit {
 		return
 	}
-	drop := max(1, limit/8) // each deletion moves the whole list, so it deletes several
+	drop := max(1, limit/8) // several at once, because a deletion moves the whole list
 	a.highestEvicted = a.newest[drop-1].revision
 	a.newest = slices.Delete(a.newest, 0, drop)
 }
--- a/internal/controlplane/catalog/accepted_test.go
+++ b/internal/controlplane/catalog/accepted_test.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	for i := range bodies {
-		bodies[i] = config(t, uint64((i+1)*step), nil)
+		bodies[i] = encodeConfig(t, uint64((i+1)*step), nil)
 		if update, err := c.Apply(put(uint64(i*step), bodies[i])); update == nil || err != nil {
 			t.Fatalf("change %d: %v", i, err)
 		}
@@ -62,7 +62,7 @@
 			{"old revision on the current base", current, 2, ErrInvalid},
 			{"current revision on the current base", current, current, ErrInvalid},
 		} {
-			body := config(t, other.revision, func(c map[string]any) { c["request_limits"] = map[string]any{"max_header_bytes": 1} })
+			body := encodeConfig(t, other.revision, func(c map[string]any) { c["request_limits"] = map[string]any{"max_header_bytes": 1} })
 			if _, err := c.Apply(put(other.base, body)); !errors.Is(err, other.want) {
 				t.Errorf("%s: %s: %v, want %v", name, other.name, err, other.want)
 			}
@@ -74,7 +74,7 @@
 // older changes may have been evicted.
 func TestRestoreOldVersions(t *testing.T) {
 	for _, kept := range []int{earlierMaxAccepted, earlierMaxAccepted - 1} {
-		s := &wire.Snapshot{State: &wire.State{Config: config(t, 9000, nil)}}
+		s := &wire.Snapshot{State: &wire.State{Config: encodeConfig(t, 9000, nil)}}
 		for i := range kept {
 			s.Accepted = append(s.Accepted, &wire.AcceptedConfig{Revision: uint64(5000 + i), Hash: make([]byte, 32)})
 		}
@@ -90,7 +90,7 @@
 		if kept == earlierMaxAccepted {
 			want = ErrOutcomeUnknown
 		}
-		if _, err := c.Apply(put(4, config(t, 4999, nil))); !errors.Is(err, want) {
+		if _, err := c.Apply(put(4, encodeConfig(t, 4999, nil))); !errors.Is(err, want) {
 			t.Errorf("%d changes kept: %v, want %v", kept, err, want)
 		}
 	}
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -11,7 +11,7 @@
 	"ivydeck/internal/transport/wire"
 )
 
-func config(t *testing.T, revision uint64, change func(map[string]any)) []byte {
+func encodeConfig(t *testing.T, revision uint64, change func(map[string]any)) []byte {
 	t.Helper()
 	fields := map[string]any{
 		"revision": revision,
@@ -36,7 +36,7 @@
 
 func TestAcceptConfig(t *testing.T) {
 	c := New()
-	three, seven := config(t, 3, nil), config(t, 7, nil)
+	three, seven := encodeConfig(t, 3, nil), encodeConfig(t, 7, nil)
 	route := func(key string, value any) func(map[string]any) {
 		return func(c map[string]any) { c["route_table"].([]map[string]any)[0][key] = value }
 	}
@@ -48,24 +48,24 @@
 	}{
 		{"first change", 0, three, "accepted"},
 		{"resent at once", 0, three, "duplicate"},
-		{"another change on a stale base", 0, config(t, 4, nil), "stale"},
+		{"another change on a stale base", 0, encodeConfig(t, 4, nil), "stale"},
 		{"second change", 3, seven, "accepted"},
 		{"first change resent after the second", 0, three, "duplicate"},
-		{"current revision with another body", 7, config(t, 7, route("priority", 2)), "invalid"},
-		{"truncated", 7, config(t, 9, nil)[:40], "invalid"},
-		{"trailing byte", 7, append(config(t, 9, nil), 1), "invalid"},
-		{"unknown backend", 7, config(t, 9, route("backend", "x")), "invalid"},
-		{"zero timeout", 7, config(t, 9, route("timeout_ms", 0)), "invalid"},
-		{"zero weight", 7, config(t, 9, func(c map[string]any) {
+		{"current revision with another body", 7, encodeConfig(t, 7, route("priority", 2)), "invalid"},
+		{"truncated", 7, encodeConfig(t, 9, nil)[:40], "invalid"},
+		{"trailing byte", 7, append(encodeConfig(t, 9, nil), 1), "invalid"},
+		{"unknown backend", 7, encodeConfig(t, 9, route("backend", "x")), "invalid"},
+		{"zero timeout", 7, encodeConfig(t, 9, route("timeout_ms", 0)), "invalid"},
+		{"zero weight", 7, encodeConfig(t, 9, func(c map[string]any) {
 			r := c["route_table"].([]map[string]any)[0]
 			delete(r, "backend")
 			r["weighted_backends"] = []map[string]any{{"backend": "s", "weight": 0}}
 		}), "invalid"},
-		{"two routes with the same host and prefix", 7, config(t, 9, func(c map[string]any) {
+		{"two routes with the same host and prefix", 7, encodeConfig(t, 9, func(c map[string]any) {
 			r := c["route_table"].([]map[string]any)
 			c["route_table"] = append(r, r[0])
 		}), "invalid"},
-		{"valid change after rejected ones", 7, config(t, 9, nil), "accepted"},
+		{"valid change after rejected ones", 7, encodeConfig(t, 9, nil), "accepted"},
 	} {
 		before := c.Index()
 		changes, err := c.Apply(put(step.base, step.body))
@@ -89,7 +89,7 @@
 
 func TestSnapshotRoundTrip(t *testing.T) {
 	c := New()
-	body := config(t, 3, nil)
+	body := encodeConfig(t, 3, nil)
 	c.Apply(put(0, body))
 	server := &wire.Server{Member: "i-1", Service: "s", Node: "n", Slots: 4}
 	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: server}})
--- a/internal/controlplane/catalog/image_test.go
+++ b/internal/controlplane/catalog/image_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("decoded empty state has index %d, want 0; %v", empty.Index(), err)
 	}
 	for revision := uint64(1); revision <= 40; revision++ {
-		apply(put(revision-1, config(t, revision, nil)))
+		apply(put(revision-1, encodeConfig(t, revision, nil)))
 		apply(server(fmt.Sprint("m", revision), "n"))
 		apply(server("m1", fmt.Sprint("n", revision)))
 		if revision%5 == 0 {
--- a/internal/controlplane/catalog/search_test.go
+++ b/internal/controlplane/catalog/search_test.go
@@ -18,9 +18,9 @@
 		rng := rand.New(rand.NewPCG(seed, 0xca7))
 		c := New()
 		bodies := make([][]byte, 0, changes)
-		forgotten := 0
+		evicted := 0
 		for i := range changes {
-			bodies = append(bodies, config(t, uint64((i+1)*step), nil))
+			bodies = append(bodies, encodeConfig(t, uint64((i+1)*step), nil))
 			if _, err := c.Apply(put(uint64(i*step), bodies[i])); err != nil {
 				t.Fatalf("seed %d: change %d: %v", seed, i, err)
 			}
@@ -40,16 +40,16 @@
 			case changed != nil:
 				t.Fatalf("seed %d: after %d changes, change %d was accepted twice", seed, i+1, resent)
 			case errors.Is(err, ErrOutcomeUnknown) && i-resent > maxAccepted/2:
-				forgotten++
+				evicted++
 			case err != nil:
 				t.Fatalf("seed %d: after %d changes, change %d resent: %v", seed, i+1, resent, err)
 			}
-			conflicting := config(t, uint64((resent+1)*step), func(c map[string]any) { c["request_limits"] = map[string]any{"max_header_bytes": 7} })
+			conflicting := encodeConfig(t, uint64((resent+1)*step), func(c map[string]any) { c["request_limits"] = map[string]any{"max_header_bytes": 7} })
 			if _, err := c.Apply(put(uint64(resent*step), conflicting)); err == nil {
 				t.Fatalf("seed %d: another change with the revision of change %d was accepted", seed, resent)
 			}
 		}
-		if forgotten == 0 {
+		if evicted == 0 {
 			t.Errorf("seed %d: no resent change was evicted: too few cases", seed)
 		}
 	}
@@ -61,7 +61,7 @@
 	const batch = maxTombstones / 3
 	fullStates := 0
 	for seed := range uint64(4) {
-		clear(lines)
+		clear(lineCache)
 		rng := rand.New(rand.NewPCG(seed, 0xf1))
 		source := New()
 		children := []*View{NewView(), NewView(), NewView()}
@@ -127,8 +127,8 @@
 	accepted, rejected := 0, 0
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0xde17a))
-		drawBody := func(revision uint64) []byte {
-			return config(t, revision, func(c map[string]any) {
+		randomBody := func(revision uint64) []byte {
+			return encodeConfig(t, revision, func(c map[string]any) {
 				var services []map[string]any
 				for i := range 1 + rng.IntN(8) {
 					services = append(services, map[string]any{"name": fmt.Sprint("s", i), "health_path": fmt.Sprint("/health", rng.IntN(3)), "protocol": "h1"})
@@ -139,7 +139,7 @@
 		forks := []*Catalog{New(), New()}
 		for revision := uint64(1); revision < 60; revision++ {
 			for _, c := range forks {
-				body := drawBody(revision)
+				body := randomBody(revision)
 				origin := forks[rng.IntN(2)].Current()
 				parsed, err := origin.Parse(body)
 				if err != nil {
--- a/internal/controlplane/catalog/view.go
+++ b/internal/controlplane/catalog/view.go
@@ -23,7 +23,7 @@
 	tombstones int
 	servers    int
 
-	config      *meshconfig.Config // at configIndex
+	config      *meshconfig.Config // result of Config at configIndex
 	configIndex uint64
 }
 
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -15,48 +15,48 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// operatorState generates random commands of operators and nodes.
-type operatorState struct {
+// commandGenerator generates random commands of operators and nodes.
+type commandGenerator struct {
 	rng    *rand.Rand
 	config meshconfig.Config
 }
 
-func newOperatorState(seed uint64) *operatorState {
-	return &operatorState{rng: rand.New(rand.NewPCG(seed, 7)), config: meshconfig.Config{Backends: []meshconfig.Backend{{Name: "s0"}}}}
+func newCommandGenerator(seed uint64) *commandGenerator {
+	return &commandGenerator{rng: rand.New(rand.NewPCG(seed, 7)), config: meshconfig.Config{Backends: []meshconfig.Backend{{Name: "s0"}}}}
 }
 
-func (o *operatorState) route(i int) *meshconfig.Route {
+func (g *commandGenerator) route(i int) *meshconfig.Route {
 	return &meshconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprint("H", i%3), Prefix: fmt.Sprintf("/%d/", i), Kind: meshconfig.NonIdempotent,
-		TimeoutMs: 1 + o.rng.Float64(), Priority: o.rng.IntN(3), Backends: []meshconfig.Weighted{{Backend: "s0", Weight: 1 + o.rng.Float64()}}}
+		TimeoutMs: 1 + g.rng.Float64(), Priority: g.rng.IntN(3), Backends: []meshconfig.Weighted{{Backend: "s0", Weight: 1 + g.rng.Float64()}}}
 }
 
 // change returns a command and the maximum number of resources that it changes.
-func (o *operatorState) change(t *testing.T) (*wire.Command, int) {
-	switch o.rng.IntN(5) {
+func (g *commandGenerator) change(t *testing.T) (*wire.Command, int) {
+	switch g.rng.IntN(5) {
 	case 0, 1:
-		s := &wire.Server{Member: fmt.Sprint("i", o.rng.IntN(40)), Service: "s0", Node: fmt.Sprint("n", o.rng.IntN(9)), Slots: uint32(o.rng.IntN(9))}
+		s := &wire.Server{Member: fmt.Sprint("i", g.rng.IntN(40)), Service: "s0", Node: fmt.Sprint("n", g.rng.IntN(9)), Slots: uint32(g.rng.IntN(9))}
 		return &wire.Command{Change: &wire.Command_Server{Server: s}}, 1
 	case 2:
-		removed := []string{fmt.Sprint("i", o.rng.IntN(40)), fmt.Sprint("i", o.rng.IntN(40))}
+		removed := []string{fmt.Sprint("i", g.rng.IntN(40)), fmt.Sprint("i", g.rng.IntN(40))}
 		return &wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: removed}}}, 2
 	}
-	base, touched := o.config.Revision, 1
-	o.config.Revision += 1 + uint64(o.rng.IntN(3))
-	routes := slices.Clone(o.config.Routes)
-	for range 1 + o.rng.IntN(3) {
+	base, touched := g.config.Revision, 1
+	g.config.Revision += 1 + uint64(g.rng.IntN(3))
+	routes := slices.Clone(g.config.Routes)
+	for range 1 + g.rng.IntN(3) {
 		touched += 2
 		at := 0
 		if len(routes) > 0 {
-			at = o.rng.IntN(len(routes))
+			at = g.rng.IntN(len(routes))
 		}
 		switch {
-		case o.rng.IntN(4) == 0 && len(routes) > 1:
+		case g.rng.IntN(4) == 0 && len(routes) > 1:
 			routes = slices.Delete(routes, at, at+1)
-		case o.rng.IntN(3) == 0 && len(routes) > 1:
-			i, j := o.rng.IntN(len(routes)), o.rng.IntN(len(routes)) // the order has no meaning
+		case g.rng.IntN(3) == 0 && len(routes) > 1:
+			i, j := g.rng.IntN(len(routes)), g.rng.IntN(len(routes)) // the order has no meaning
 			routes[i], routes[j] = routes[j], routes[i]
 		default:
-			r := o.route(o.rng.IntN(50))
+			r := g.route(g.rng.IntN(50))
 			if i := slices.IndexFunc(routes, func(x *meshconfig.Route) bool { return x.Key() == r.Key() }); i >= 0 {
 				routes[i] = r
 			} else {
@@ -64,16 +64,16 @@
 			}
 		}
 	}
-	if o.rng.IntN(4) == 0 {
+	if g.rng.IntN(4) == 0 {
 		touched += 2
-		if n := len(o.config.Backends); n > 3 {
-			o.config.Backends = o.config.Backends[:n-1]
+		if n := len(g.config.Backends); n > 3 {
+			g.config.Backends = g.config.Backends[:n-1]
 		} else {
-			o.config.Backends = append(slices.Clone(o.config.Backends), meshconfig.Backend{Name: fmt.Sprint("s", n), MaxConns: o.rng.IntN(5)})
+			g.config.Backends = append(slices.Clone(g.config.Backends), meshconfig.Backend{Name: fmt.Sprint("s", n), MaxConns: g.rng.IntN(5)})
 		}
 	}
-	o.config.Routes, o.config.Limits.HeaderBytes = routes, 1000+o.rng.IntN(3)
-	body, err := msgpack.Marshal(&o.config)
+	g.config.Routes, g.config.Limits.HeaderBytes = routes, 1000+g.rng.IntN(3)
+	body, err := msgpack.Marshal(&g.config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,15 +92,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// lines caches the results of lineOf.
-var lines = map[*wire.Resource]string{}
+// lineCache caches the results of lineOf.
+var lineCache = map[*wire.Resource]string{}
 
 func lineOf(r *wire.Resource) string {
-	if lines[r] == "" {
+	if lineCache[r] == "" {
 		text, _ := proto.MarshalOptions{Deterministic: true}.Marshal(r)
-		lines[r] = fmt.Sprintf("%x", text)
+		lineCache[r] = fmt.Sprintf("%x", text)
 	}
-	return lines[r]
+	return lineCache[r]
 }
 
 // sameConfig reports whether two configurations are equal except for the order of routes and backends.
@@ -126,8 +126,8 @@
 // equals the state that the source had at the child's index, and receives no more resources than have changed.
 func TestDifferencesMatchSource(t *testing.T) {
 	for seed := range uint64(12) {
-		clear(lines)
-		o := newOperatorState(seed)
+		clear(lineCache)
+		g := newCommandGenerator(seed)
 		source := New()
 		history := map[uint64]string{0: ""}
 		configs := map[uint64]*meshconfig.Config{}
@@ -137,7 +137,7 @@
 			views[i] = NewView()
 		}
 		for range 250 {
-			cmd, maxResources := o.change(t)
+			cmd, maxResources := g.change(t)
 			changes, err := source.Apply(cmd)
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
@@ -149,20 +149,20 @@
 				touched = append(touched, len(changes.Resources))
 				history[source.Index()], configs[source.Index()] = content(source.view), source.config
 			}
-			if o.rng.IntN(60) == 0 { // a member that was restored from a snapshot behaves alike
+			if g.rng.IntN(60) == 0 { // a member that was restored from a snapshot behaves alike
 				data, err := source.Snapshot()
 				source = New()
 				if err = restoreSnapshot(source, data, err); err != nil {
 					t.Fatal(err)
 				}
 			}
-			for range o.rng.IntN(6) {
-				i := o.rng.IntN(len(views))
+			for range g.rng.IntN(6) {
+				i := g.rng.IntN(len(views))
 				parent, child := source.view, views[i]
-				if i > 0 && o.rng.IntN(4) > 0 {
-					parent = views[o.rng.IntN(i)]
+				if i > 0 && g.rng.IntN(4) > 0 {
+					parent = views[g.rng.IntN(i)]
 				}
-				if o.rng.IntN(50) == 0 {
+				if g.rng.IntN(50) == 0 {
 					*child = *NewView() // restart without state
 				}
 				before := child.Index()
@@ -183,7 +183,7 @@
 				if content(child) != history[child.Index()] {
 					t.Fatalf("seed %d: at index %d a child has\n%s\nthe source had\n%s", seed, child.Index(), content(child), history[child.Index()])
 				}
-				if want := lastConfig(configs, child.Index()); o.rng.IntN(2) == 0 && !sameConfig(child.Config(), want) {
+				if want := lastConfig(configs, child.Index()); g.rng.IntN(2) == 0 && !sameConfig(child.Config(), want) {
 					t.Fatalf("seed %d: at index %d a child has the configuration %+v, want %+v", seed, child.Index(), child.Config(), want)
 				}
 			}
@@ -216,7 +216,7 @@
 		return &wire.Changes{From: from, To: to, Resources: []*wire.Resource{serverResource(to, &wire.Server{Member: "i", Slots: slots})}}
 	}
 	if !v.Apply(server(0, 3, 3)) || v.Apply(server(4, 5, 5)) || v.Apply(server(2, 4, 4)) || !v.Apply(server(0, 2, 2)) || v.Index() != 3 || v.Server("i").Slots != 3 {
-		t.Errorf("at index %d: %v", v.Index(), v.Server("i"))
+		t.Errorf("index %d and server %v after gaps and old changes, want index 3 and 3 slots", v.Index(), v.Server("i"))
 	}
 	old := server(0, 2, 2)
 	old.Full = true
@@ -265,7 +265,7 @@
 func TestSnapshotKeepsFloor(t *testing.T) {
 	c := New()
 	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: "i"}}})
-	c.Apply(put(0, config(t, 3, nil)))
+	c.Apply(put(0, encodeConfig(t, 3, nil)))
 	c.Apply(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: []string{"i"}}}})
 	c.Advance(10)
 	c.Apply(&wire.Command{Change: &wire.Command_Server{Server: &wire.Server{Member: "j"}}})
@@ -286,14 +286,14 @@
 
 // TestRestorePreviousVersion restores a snapshot without indexes of resources.
 func TestRestorePreviousVersion(t *testing.T) {
-	body := config(t, 3, nil)
+	body := encodeConfig(t, 3, nil)
 	data, err := proto.Marshal(&wire.Snapshot{State: &wire.State{Index: 40, Config: body, Servers: []*wire.Server{{Member: "i"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := New()
 	if err := c.Restore(data); err != nil || c.Index() != 40 || c.Revision() != 3 || len(c.Servers()) != 1 || !bytes.Equal(c.Body(), body) {
-		t.Fatalf("at index %d: %v", c.Index(), err)
+		t.Fatalf("restored state has index %d, error %v; want index 40, revision 3, one server and the same body", c.Index(), err)
 	}
 	if sent := c.view.Changes(39); !sent.Full {
 		t.Error("changes below the snapshot's index are not the full state")
--- a/internal/controlplane/raft/partition_sim_test.go
+++ b/internal/controlplane/raft/partition_sim_test.go
@@ -21,7 +21,7 @@
 	partitionDuration     = 20 * time.Second
 	longPartitionDuration = 40 * time.Second // of a quarter of the partitions
 	maxRecoveryTime       = 5 * time.Second  // time until all members are current after a partition
-	maxCurrentAge         = relay.Stale      // maximum contact age of a current member
+	maxCurrentAge         = relay.StaleAfter // maximum contact age of a current member
 	maxUnprovenAge        = 21 * time.Second // maximum age of an unconfirmed state with which a relay becomes ready, plus a second
 	partitionTail         = 64               // entries kept before a snapshot; few, so that partitioned members need one
 	clockDriftDivisor     = 4000             // relay clocks deviate by at most 1/clockDriftDivisor of the time
--- a/internal/controlplane/server/ack_gate.go
+++ b/internal/controlplane/server/ack_gate.go
@@ -6,7 +6,7 @@
 )
 
 // ackGate determines the minimum number of voters for an acknowledgement. When a system is bootstrapped, the quorum
-// first has to reach the wanted size: after an earlier loss, the remaining members with an acknowledged change might be
+// must first reach the wanted size: if a voter were lost before, the others could hold an acknowledged change and be
 // unable to elect a leader. Later one voter may be missing, between the removal of a replaced voter and the promotion
 // of its replacement.
 type ackGate struct {
--- a/internal/controlplane/server/http_config.go
+++ b/internal/controlplane/server/http_config.go
@@ -69,7 +69,7 @@
 	srv.writeAnswer(w, replacePath, answer)
 }
 
-// serveRead returns the body of the current configuration as it was sent.
+// serveRead returns the body of the current configuration as the operator sent it.
 func (srv *Server) serveRead(w http.ResponseWriter, r *http.Request) {
 	answer := srv.awaitAnswer(r.Context(), func(deadline time.Duration, done func(OperatorAnswer)) { srv.operator.read(srv.now(), deadline, done) })
 	w.Header().Set("Content-Type", "application/msgpack")
@@ -85,8 +85,8 @@
 	srv.writeAnswer(w, backupPath, answer)
 }
 
-// awaitAnswer calls submit in the loop and waits up to operatorTimeout for the answer, as a blocked disk blocks the
-// loop.
+// awaitAnswer calls submit in the loop and waits for the answer. It answers Unavailable after operatorTimeout, for
+// example while the disk blocks the loop.
 func (srv *Server) awaitAnswer(ctx context.Context, submit func(deadline time.Duration, done func(OperatorAnswer))) OperatorAnswer {
 	answers := make(chan OperatorAnswer, 1)
 	deadline := srv.now() + operatorTimeout
@@ -119,8 +119,8 @@
 	NotFound:        http.StatusNotFound,
 }
 
-// writeAnswer writes an answer as an HTTP response. path is the path of the request, to which a redirect points at the
-// leader.
+// writeAnswer writes an answer as an HTTP response. path is the path of the request; a redirect points to the same path
+// on the leader.
 func (srv *Server) writeAnswer(w http.ResponseWriter, path string, answer OperatorAnswer) {
 	switch answer.Result {
 	case Found:
--- a/internal/controlplane/server/http_nodes.go
+++ b/internal/controlplane/server/http_nodes.go
@@ -48,7 +48,7 @@
 	Running      uint32   `json:"running"`
 	Queued       uint32   `json:"waiting"`
 	Slots        uint32   `json:"slots"`
-	EjectedZones []string `json:"out"` // zones for whose callers it is ejected; "*" for all zones
+	EjectedZones []string `json:"out"` // zones whose callers avoid it; "*" for all zones
 	Draining     bool     `json:"draining"`
 }
 
@@ -85,7 +85,7 @@
 type NodeTrace struct {
 	Attempt  string `json:"attempt"`
 	Node     string `json:"node"`
-	Entry    bool   `json:"entry"` // entered the mesh at this node; otherwise passed to the server beside it
+	Entry    bool   `json:"entry"` // the request entered the mesh here; otherwise the node passed it to its server
 	Route    string `json:"route,omitempty"`
 	Service  string `json:"service"`
 	Server   string `json:"server,omitempty"`
--- a/internal/controlplane/server/http_status.go
+++ b/internal/controlplane/server/http_status.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// Status is a quorum member's view of itself and the quorum. Followers may lag behind the leader's members and servers.
+// Status is a quorum member's view of itself and the quorum. The members and servers of a follower may be outdated.
 // The JSON names must not change, because operators' programs read them.
 type Status struct {
 	Node     string             `json:"node"`
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -141,7 +141,7 @@
 }
 
 // currentLeader returns the loop's view of the leader to another goroutine. It returns a zero leaderView once ctx is
-// done or after operatorTimeout, as a blocked disk blocks the loop.
+// done or after operatorTimeout, for example while the disk blocks the loop.
 func (srv *Server) currentLeader(ctx context.Context) leaderView {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
--- a/internal/controlplane/server/node_queries.go
+++ b/internal/controlplane/server/node_queries.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	nodeQueryTimeout = 2 * time.Second // for the queries of all nodes together
-	maxNodeQueries   = 32              // in flight
+	nodeQueryTimeout = 2 * time.Second // timeout of the queries to all nodes together
+	maxNodeQueries   = 32              // maximum number of queries in flight
 )
 
 // queryNodes calls a method on each node that gossip reports as alive, except quorum members, with at most
--- a/internal/controlplane/server/operator_requests.go
+++ b/internal/controlplane/server/operator_requests.go
@@ -83,8 +83,9 @@
 	return replacement{current.Command(base, config, body), catalog.ChangeOf(config, body), config.Revision}, nil
 }
 
-// replace proposes a configuration, unless this member's state contains it as an accepted change. An accepted change
-// stays accepted, so that answer is correct even if this member is behind or doesn't lead.
+// replace proposes a configuration. If this member's state already contains it as an accepted change, replace answers
+// AlreadyAccepted instead. An accepted change stays accepted, so this is correct even if the member is behind or doesn't
+// lead.
 func (a *operatorRequests) replace(now, deadline time.Duration, r replacement, done func(OperatorAnswer)) {
 	if a.state().State.Accepted(r.change) {
 		done(OperatorAnswer{Result: AlreadyAccepted})
@@ -98,7 +99,7 @@
 	a.requests.submit(now, &request{command: data, deadline: deadline, retryable: true, done: func(o outcome) { done(replaceAnswer(o)) }})
 }
 
-// replaceAnswer returns the answer to a change with an outcome.
+// replaceAnswer converts the outcome of a change to the operator's answer.
 func replaceAnswer(o outcome) OperatorAnswer {
 	switch {
 	case o.err == nil && o.unchanged:
--- a/internal/controlplane/server/operator_requests_test.go
+++ b/internal/controlplane/server/operator_requests_test.go
@@ -42,11 +42,11 @@
 		{"earlier change", 0, 1, "a", true},
 		{"different change with the same revision", 0, 1, "b", false},
 		{"new change", 2, 3, "a", false},
-		{"stale change by this member's state", 1, 3, "a", false},
+		{"change that is stale in this member's state", 1, 3, "a", false},
 	} {
 		answers := replace(c.base, c.revision, c.service)
 		if accepted := len(answers) == 1 && answers[0].Result == AlreadyAccepted; accepted != c.accepted || !accepted && len(answers) > 0 {
-			t.Errorf("%s: %v", c.name, answers)
+			t.Errorf("%s: wrong answers %v", c.name, answers)
 		}
 	}
 }
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -70,7 +70,7 @@
 	identity       string // unique name of the configuration, as two can have the same revision
 	acceptedBefore bool   // resends a change that was already acknowledged
 	calledAt       time.Duration
-	finishedAt     time.Duration // -1 without a conclusive answer
+	finishedAt     time.Duration // -1 until a conclusive answer arrives
 	result         OperatorResult
 	readIdentity   string // identity of the configuration that a read returned
 
--- a/internal/controlplane/server/quorum_contact.go
+++ b/internal/controlplane/server/quorum_contact.go
@@ -13,7 +13,7 @@
 func (srv *Server) observeContact(now time.Duration) {
 	age := srv.consensus.QuorumContactAge(now)
 	srv.contactAt.Store(int64(now - age))
-	lostContact := age > relay.Stale
+	lostContact := age > relay.StaleAfter
 	if lostContact == srv.lostContact {
 		return
 	}
--- a/internal/controlplane/server/recovery_sim_test.go
+++ b/internal/controlplane/server/recovery_sim_test.go
@@ -47,9 +47,8 @@
 	return 0
 }
 
-// TestRecoveryAfterLeaderLoss bounds the time from the loss of a leader to the next acknowledged change, with the call
-// timeout and the pauses that the specification gives for operators. To run more seeds:
-// go test ./internal/controlplane/server -run Recovery -v -seeds 1000
+// TestRecoveryAfterLeaderLoss guards against a long time from the loss of a leader to the next acknowledged change.
+// To run more seeds: go test ./internal/controlplane/server -run Recovery -v -seeds 1000
 func TestRecoveryAfterLeaderLoss(t *testing.T) {
 	for _, members := range []int{3, 5} {
 		for name, powerLoss := range map[string]bool{"killed": false, "powered off": true} {
--- a/internal/controlplane/server/replica.go
+++ b/internal/controlplane/server/replica.go
@@ -26,7 +26,7 @@
 
 	// Raft messages.
 	senders           map[uint64]*sender
-	observedAddresses map[uint64]string // addresses from received messages, by member; at most maxObservedAddresses
+	observedAddresses map[uint64]string // addresses in received messages, by sender; at most maxObservedAddresses
 
 	// Snapshots.
 	snapshotPool *rpc.Pool            // separate connections, so that snapshot data does not delay heartbeats
@@ -35,7 +35,7 @@
 	installing   *receivedSnapshot    // the snapshot being installed, or nil
 
 	// Last observed leadership and quorum contact, to detect changes.
-	lastManagedAt time.Duration // time of the last manageLeadership
+	lastManagedAt time.Duration // time of the last call of manageLeadership
 	wasLeader     bool
 	leaderSince   time.Duration
 	lostContact   bool
--- a/internal/controlplane/server/request_queue.go
+++ b/internal/controlplane/server/request_queue.go
@@ -43,7 +43,7 @@
 // request is a command to be proposed, or a linearizable read.
 type request struct {
 	command  []byte        // nil for a read
-	deadline time.Duration // in consensus time
+	deadline time.Duration // in consensus time: see Server.now
 	// retryable allows queueing the request while no leader is known and proposing its command more than once. Set it
 	// only for reads, and for commands whose second application the state recognises.
 	retryable bool
@@ -116,7 +116,8 @@
 	}
 }
 
-// propose passes a request to the consensus. It returns an error if this member doesn't lead.
+// propose passes a request to the consensus. It returns an error if this member doesn't lead, the quorum has too few
+// voters, or the consensus rejects the command.
 func (q *requestQueue) propose(now time.Duration, req *request) error {
 	if !q.consensus.IsLeader() {
 		if leader := q.leaderContactedSince(req.submittedAt); leader != nil {
@@ -142,8 +143,8 @@
 }
 
 // leaderContactedSince returns the leader if a message from it was received at that time or later, otherwise nil. A
-// request is redirected only after a message that is newer than the request: a leader contacted earlier may have
-// crashed since, and after a loss of power a redirected operator would wait a second for its call to time out.
+// request is redirected only if the leader's last message is newer than the request. Otherwise the leader may have
+// crashed; if its machine lost power, the redirected operator would wait a second for its call to time out.
 func (q *requestQueue) leaderContactedSince(at time.Duration) *wire.Peer {
 	id := q.consensus.LeaderContactedSince(at)
 	i := slices.IndexFunc(q.consensus.Peers(), func(p *wire.Peer) bool { return p.Id == id })
@@ -153,7 +154,7 @@
 	return q.consensus.Peers()[i]
 }
 
-// observeLeader updates leaderObservedAt if there was contact with a leader since.
+// observeLeader updates leaderObservedAt after a newer contact with a leader.
 func (q *requestQueue) observeLeader(now time.Duration) {
 	if q.consensus.LeaderContactedSince(q.leaderObservedAt+1) != 0 {
 		q.leaderObservedAt = now
@@ -226,8 +227,8 @@
 	}
 }
 
-// completeCommand completes the request whose entry was applied with the error applyErr. If an entry of another term
-// has replaced it, the request is queued again or fails.
+// completeCommand completes the request that proposed an applied entry. applyErr is the error of applying it. If the
+// entry has another term, it has replaced the proposed one, and the request is queued again or fails.
 func (q *requestQueue) completeCommand(entry *wire.Entry, changed bool, applyErr error) {
 	req := q.proposed[entry.Index]
 	if req == nil {
@@ -242,7 +243,7 @@
 	}
 }
 
-// completeRead completes the read with a ReadState's token. A leader rejects reads until the first entry of its term is
+// completeRead completes the read that has the token of a ReadState. A leader rejects reads until the first entry of its term is
 // committed, so a rejected retryable read is queued again.
 func (q *requestQueue) completeRead(read raft.ReadState) {
 	req := q.reads[read.Token]
--- a/internal/controlplane/server/request_queue_test.go
+++ b/internal/controlplane/server/request_queue_test.go
@@ -56,6 +56,8 @@
 	return r
 }
 
+// TestEntryOfAnotherTermEndsNoRequest checks that a command is not reported as applied if an entry of another term has
+// replaced its own: a retryable request is queued again, any other fails.
 func TestEntryOfAnotherTermEndsNoRequest(t *testing.T) {
 	node := newFollower(0)
 	electLeader(t, node, time.Second)
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -132,32 +132,32 @@
 	return srv, nil
 }
 
-// listeners holds the server's open ports.
-type listeners struct {
+// listenerSet holds the server's open ports.
+type listenerSet struct {
 	internal net.Listener // RPC from nodes and other quorum members
 	operator net.Listener // HTTP from operators
 }
 
 // listen opens both ports. If one fails, it leaves none open.
-func (srv *Server) listen() (listeners, error) {
+func (srv *Server) listen() (listenerSet, error) {
 	settings := srv.settings.Load()
 	internal, err := net.Listen("tcp", settings.Internal())
 	if err != nil {
-		return listeners{}, fmt.Errorf("listen on the internal port: %w", err)
+		return listenerSet{}, fmt.Errorf("listen on the internal port: %w", err)
 	}
 	operator, err := net.Listen("tcp", settings.Control)
 	if err != nil {
 		internal.Close()
-		return listeners{}, fmt.Errorf("listen on the operators' port: %w", err)
+		return listenerSet{}, fmt.Errorf("listen on the operators' port: %w", err)
 	}
 	if settings.SecureOperator {
 		operator = tls.NewListener(operator, srv.pool.Identity().Server())
 	}
-	return listeners{internal, operator}, nil
+	return listenerSet{internal, operator}, nil
 }
 
 // serve starts the RPC, HTTP, metrics and gossip goroutines, and returns the operators' HTTP server.
-func (srv *Server) serve(listeners listeners) *http.Server {
+func (srv *Server) serve(listeners listenerSet) *http.Server {
 	settings := srv.settings.Load()
 	rpcServer := srv.newRPCServer()
 	operatorServer := srv.newOperatorServer()
--- a/internal/controlplane/server/snapshot_receive.go
+++ b/internal/controlplane/server/snapshot_receive.go
@@ -113,7 +113,7 @@
 	return received, nil
 }
 
-// install passes a snapshot to the consensus and processes the resulting Ready, in which save installs the snapshot.
+// install passes a snapshot to the consensus and calls flush, which saves it and replaces the state.
 func (srv *Server) install(received *receivedSnapshot) error {
 	srv.installing = received
 	srv.consensus.InstallSnapshot(srv.now(), received.snapshot)
--- a/internal/controlplane/server/snapshot_send.go
+++ b/internal/controlplane/server/snapshot_send.go
@@ -17,8 +17,8 @@
 	maxTransfers      = 2                      // concurrent outgoing transfers
 	chunkBytes        = 64 << 10               // size of a chunk message
 	maxUnacknowledged = 256 << 10              // bytes in flight to a receiver
-	progressInterval  = 200 * time.Millisecond // between two progress reports to the consensus
-	transferTimeout   = 5 * time.Minute        // for a whole transfer
+	progressInterval  = 200 * time.Millisecond // minimum time between two progress reports to the consensus
+	transferTimeout   = 5 * time.Minute        // timeout of a whole transfer
 )
 
 var (
--- a/internal/controlplane/server/storage.go
+++ b/internal/controlplane/server/storage.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	diskRetryPause = 200 * time.Millisecond // after a failed write
+	diskRetryPause = 200 * time.Millisecond // pause after a failed write
 	slowSync       = 300 * time.Millisecond // longer writes are logged
 )
 
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -9,8 +9,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestOpenEarlierVersion loads a folder of the version before the messages and packages were renamed, appends to it and
-// loads it again. It has a snapshot file at index 6, a tail of entries 5 and 6, and the entries 7 to 11.
+// TestOpenEarlierVersion loads a folder that an earlier version has written, appends to it and loads it again. The folder has
+// a snapshot file at index 6, a tail of entries 5 and 6, and the entries 7 to 11.
 func TestOpenEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/earlier-version")); err != nil {
--- a/internal/controlplane/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -50,7 +50,7 @@
 	id, err := s.db.Get(keyID, nil)
 	switch {
 	case errors.Is(err, leveldb.ErrNotFound):
-		return s.drawIdentity(rng)
+		return s.generateIdentity(rng)
 	case err != nil:
 		return fmt.Errorf("reading the identity: %w", err)
 	}
@@ -64,8 +64,9 @@
 	return nil
 }
 
-// drawIdentity generates a random nonzero identity and stores it. A folder with entries is corrupted, not empty.
-func (s *Store) drawIdentity(rng *rand.Rand) error {
+// generateIdentity generates a random nonzero identity and stores it. It returns an error if the folder has entries, since
+// the identity was then lost.
+func (s *Store) generateIdentity(rng *rand.Rand) error {
 	it := s.db.NewIterator(util.BytesPrefix([]byte{entryPrefix}), nil)
 	defer it.Release()
 	if it.Next() {
--- a/internal/controlplane/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -24,7 +24,7 @@
 type content struct {
 	hardState *wire.HardState
 	snapshot  *wire.RaftSnapshot
-	entries   []*wire.Entry // after the snapshot
+	entries   []*wire.Entry // entries after the snapshot
 }
 
 func (c content) last() uint64 { return c.snapshot.GetIndex() + uint64(len(c.entries)) }
@@ -123,8 +123,8 @@
 // diskState is the expected content of a member's disk.
 type diskState struct {
 	id     uint64  // 0 before the store is created
-	saved  content // after the last Save that has returned
-	saving content // after the Save that is in progress, if any
+	saved  content // content after the last Save that has returned
+	saving content // content after the Save in progress; equal to saved if there is none
 }
 
 // openAndCheck opens the store in a folder and checks that it holds the saved content or the content being saved. It returns
--- a/internal/controlplane/store/record.go
+++ b/internal/controlplane/store/record.go
@@ -31,7 +31,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// addChecksum returns a record: the CRC-32C of the key and the value, and the value.
+// addChecksum returns a record: the CRC-32C of the key and the value, followed by the value.
 func addChecksum(key, value []byte) []byte {
 	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(value)), sum), value...)
--- a/internal/controlplane/store/snapshot.go
+++ b/internal/controlplane/store/snapshot.go
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// IncomingSnapshot receives a leader's snapshot in chunks. They stay in the folder, so that a transfer can be resumed after
-// a broken stream or a restart. It is not safe for concurrent use.
+// IncomingSnapshot receives a leader's snapshot in chunks. The chunks stay in the folder, so that a transfer can be resumed
+// after a broken stream or a restart. An IncomingSnapshot is not safe for concurrent use.
 type IncomingSnapshot struct {
 	folder   Folder
 	expected *wire.SnapshotFile
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -1,8 +1,9 @@
 // Package store persists the Raft state of a quorum member: the hard state and the log entries in goleveldb, and large
-// snapshots in files in the same folder. Package server is its only writer.
+// snapshots in files in the same folder. Package server writes it while a member runs, and package backup when it restores
+// a member.
 //
-// Once Save has returned without an error, its data is synced, with the directory entries of all files that hold it. A store
-// that is corrupted beyond a torn last write does not open, so that wrong data is never served.
+// Once Save has returned without an error, its data and the directory entries of all files that hold it are synced. Loading
+// discards a torn last write and fails on any other corruption, so that wrong data is never served.
 //
 // Each record has a checksum of its key and value in addition to the library's checksums, so that a record under the wrong
 // key is detected as well. The folder stores its format: older formats are upgraded at the first open, and folders of a
@@ -41,11 +42,11 @@
 	// snapshotFile is the name of the current snapshot's file. It is empty if the data is in the record.
 	snapshotFile string
 	noChecksums  bool   // the folder's records have no checksums
-	format       uint32 // of the folder; 0 if it stores none
+	format       uint32 // the folder's format; 0 if it stores none
 
 	ID        uint64 // the member's identity, a random number
 	Fresh     bool   // the folder was empty, and ID is new
-	Damaged   error  // corruption for which the previous folder was replaced; nil if it was not
+	Damaged   error  // corruption that made Open replace the folder; nil if it did not
 	HardState *wire.HardState
 	Snapshot  *wire.RaftSnapshot
 	Tail      []*wire.Entry // kept entries up to the snapshot's index, as loaded
@@ -142,8 +143,8 @@
 	return errors.Is(err, errCorrupted) || errors.As(err, &corrupted) || lerrors.IsCorrupted(err)
 }
 
-// Reopen closes and reopens the database after a failed write, which has then either taken effect or not. Closing waits for
-// the library's goroutines, so the folder never has two writers.
+// Reopen closes and reopens the database after a failed write, which is then either stored completely or missing. Closing
+// waits for the library's goroutines, so the folder never has two writers.
 //
 // After a failed write, the library's compaction returns an unused file number with a read that is not synchronized with
 // other allocations, which the race detector reports. It does not affect stored data: the number is set by compare-and-swap,
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -22,7 +22,7 @@
 type Options struct {
 	Settings func() *nodefile.Settings // returns the current settings
 	Pool     *rpc.Pool                 // for calls to other processes
-	Seed     uint64                    // of the random number generator
+	Seed     uint64                    // seed of the random number generator
 	Log      *slog.Logger
 
 	Servers        func() []localserver.Heartbeat // returns the servers of this machine, as they should be registered
--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	callTimeout      = time.Second            // of a single call
-	hedgeDelay       = 120 * time.Millisecond // without a response for this long, the next quorum member is called as well
-	leaderRetryPause = 100 * time.Millisecond // after a round of calls that found no leader
-	maxLeaderCalls   = 6                      // per round
+	callTimeout      = time.Second            // timeout of a single call
+	hedgeDelay       = 120 * time.Millisecond // time without a response after which the next quorum member is called as well
+	leaderRetryPause = 100 * time.Millisecond // pause after a round of calls that found no leader
+	maxLeaderCalls   = 6                      // maximum number of calls in a round
 )
 
 // quorumAddresses returns the addresses of the quorum members and the seeds, the last known leader first, and those without
--- a/internal/distribution/agent/readiness.go
+++ b/internal/distribution/agent/readiness.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	readinessInterval = 50 * time.Millisecond // between checks of the state's age
-	slowQueryAfter    = 6 * time.Second       // without a response for this long after the start, slowQueryPause applies
-	slowQueryPause    = time.Second           // between queries of the leader
+	readinessInterval = 50 * time.Millisecond // longest time between two checks of the state's age
+	slowQueryAfter    = 6 * time.Second       // time since the start after which slowQueryPause applies
+	slowQueryPause    = time.Second           // pause between two queries of the leader
 )
 
 // awaitReadiness waits until the node may serve, then makes Ready report true. See relay.Readiness.
--- a/internal/distribution/agent/register.go
+++ b/internal/distribution/agent/register.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	updateWait        = 300 * time.Millisecond // for a committed command to arrive as an update
-	compareInterval   = time.Second            // between comparisons while nothing changes
-	proposeRetryPause = 100 * time.Millisecond // after a command that was not committed
+	updateWait        = 300 * time.Millisecond // time for a committed command to arrive as an update
+	compareInterval   = time.Second            // time between comparisons while nothing changes
+	proposeRetryPause = 100 * time.Millisecond // pause after a command that was not committed
 )
 
 // register keeps the registry consistent with the servers on this machine: it compares the registered servers with the
--- a/internal/distribution/relay/age.go
+++ b/internal/distribution/relay/age.go
@@ -9,9 +9,9 @@
 const (
 	maxClockDriftDivisor = 2000                      // the clocks of two machines drift apart by at most 1/2000 of the elapsed time
 	renewAfter           = 2 * time.Minute           // a longer subscription is renewed, to bound the drift
-	maxTransit           = 250 * time.Millisecond    // of a request and a feed together; if it may have been longer, the subscription is renewed
+	maxTransit           = 250 * time.Millisecond    // transit time of a request and a feed; if it may have been longer, the subscription is renewed
 	renewPause           = time.Second               // minimum age of a subscription that is renewed for its transit time
-	ageUnknown           = 50 * 365 * 24 * time.Hour // of a state that was never confirmed
+	ageUnknown           = 50 * 365 * 24 * time.Hour // age of a state that no quorum has confirmed
 	maxReportedAge       = time.Hour                 // upper limit of Feed.age_ms
 )
 
@@ -19,7 +19,7 @@
 // so an event at a given offset from the receipt happens no earlier than RequestedAt plus that offset. Times are durations
 // on the child's clock since a start chosen by the driver.
 type Subscription struct {
-	RequestedAt time.Duration // before the request was sent
+	RequestedAt time.Duration // a time before the request was sent
 }
 
 // ContactAt returns a time at which a quorum had confirmed the state up to a feed's latest index: the state contains all
--- a/internal/distribution/relay/age_test.go
+++ b/internal/distribution/relay/age_test.go
@@ -11,7 +11,7 @@
 // transit, or earlier by more than the request's transit and the clock drift.
 func TestTransitDoesNotHideAge(t *testing.T) {
 	const (
-		parentOffset = 5 * time.Hour // of the parent's clock from true time
+		parentOffset = 5 * time.Hour // offset of the parent's clock from true time
 		childOffset  = 2 * time.Hour
 	)
 	for _, c := range []struct{ requested, received, contact, sent, delivered time.Duration }{
@@ -72,12 +72,12 @@
 
 // TestDriftDoesNotHideAge guards against a contact that looks later than it was because of drift between the two clocks.
 func TestDriftDoesNotHideAge(t *testing.T) {
-	for _, contact := range []time.Duration{-20 * time.Second, time.Second, renewAfter} { // since the subscription
+	for _, contact := range []time.Duration{-20 * time.Second, time.Second, renewAfter} { // time since the subscription
 		for _, driftSign := range []time.Duration{-1, 1} {
-			measured := contact + driftSign*contact/(2*maxClockDriftDivisor) // by the parent
+			measured := contact + driftSign*contact/(2*maxClockDriftDivisor) // on the parent's clock
 			feed := &wire.Feed{}
 			SetAge(feed, measured, measured, 0)
-			want := contact - driftSign*contact/(2*maxClockDriftDivisor) // by the child
+			want := contact - driftSign*contact/(2*maxClockDriftDivisor) // on the child's clock
 			if got := (Subscription{}).ContactAt(contact, feed); got > want+time.Microsecond {
 				t.Errorf("contact at %v computed as %v", want, got)
 			}
--- a/internal/distribution/relay/failure_search_test.go
+++ b/internal/distribution/relay/failure_search_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// TestSearchOfStarts generates changes acknowledged by a quorum, contacts that update a node's state, and the node's start
-// time. It guards against a node that serves without the changes acknowledged before its start or, with an unconfirmed
-// state, without those acknowledged more than 20 s ago.
+// TestSearchOfStarts guards against a node that serves without the changes acknowledged before its start or, if its state is
+// Unconfirmed, without those acknowledged more than 20 s ago.
 func TestSearchOfStarts(t *testing.T) {
 	const (
 		end  = 2 * time.Minute
@@ -17,12 +16,12 @@
 	proofs := map[Proof]int{}
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0x57a7))
-		changeInterval := time.Duration(100+rng.IntN(5000)) * time.Millisecond // between acknowledged changes
+		changeInterval := time.Duration(100+rng.IntN(5000)) * time.Millisecond // time between two acknowledged changes
 		acknowledged := func(at time.Duration) uint64 { return uint64(max(0, at) / changeInterval) }
 		start := time.Duration(rng.Int64N(int64(time.Minute)))
 		contactChance := []int{0, 1, 100, 1000}[rng.IntN(4)]                           // per 1,000 polls
 		respondedAt := start + time.Duration(rng.IntN(60_000)-20_000)*time.Millisecond // never if before the start
-		contact := time.Duration(rng.Int64N(int64(start + 1)))                         // of the parent, when the node subscribed
+		contact := time.Duration(rng.Int64N(int64(start + 1)))                         // the parent's last contact when the node subscribed
 		readiness := Readiness{}
 		for now := start; now < end; now += poll {
 			if rng.IntN(1000) < contactChance {
@@ -101,33 +100,33 @@
 			parents[name] = p
 		}
 		var selector Selector
-		silentSince, orphanedSince := time.Duration(-1), time.Duration(-1)
+		unresponsiveSince, disconnectedSince := time.Duration(-1), time.Duration(-1)
 		parent := ""
 		for now := time.Duration(0); now < end; now += step {
 			if parent == "" {
 				parent, _ = selector.Next(now, names)
-				silentSince = -1
+				unresponsiveSince = -1
 			}
 			if parent != "" && parents[parent].up(now) {
-				silentSince = -1
-			} else if parent != "" && silentSince < 0 {
-				silentSince = now
+				unresponsiveSince = -1
+			} else if parent != "" && unresponsiveSince < 0 {
+				unresponsiveSince = now
 			}
 			switch {
-			case parent == "" || silentSince >= 0:
-				if orphanedSince < 0 {
-					orphanedSince = now
+			case parent == "" || unresponsiveSince >= 0:
+				if disconnectedSince < 0 {
+					disconnectedSince = now
 				}
-			case orphanedSince >= 0:
+			case disconnectedSince >= 0:
 				outages++
-				checkOutage(t, seed, parents, orphanedSince, now)
-				orphanedSince = -1
+				checkOutage(t, seed, parents, disconnectedSince, now)
+				disconnectedSince = -1
 			}
 			switch {
-			case silentSince >= 0 && now-silentSince >= FeedTimeout:
+			case unresponsiveSince >= 0 && now-unresponsiveSince >= FeedTimeout:
 				selector.Ended(now, Failed)
 				parent = ""
-			case parent != "" && silentSince < 0 && selector.ShouldMove(now, names):
+			case parent != "" && unresponsiveSince < 0 && selector.ShouldMove(now, names):
 				selector.Ended(now, Renew)
 				parent = ""
 			}
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxCached      = 16      // number of deltas
-	maxCachedBytes = 1 << 20 // in bytes; a delta that is larger when encoded is not cached
+	maxCached      = 16      // maximum number of cached deltas
+	maxCachedBytes = 1 << 20 // maximum encoded size of a cached delta
 )
 
 // Hub holds a node's copy of the replicated state, and sends changes to the node's children. Its methods are safe for
@@ -28,7 +28,7 @@
 	view      *catalog.View
 	changed   chan struct{}     // closed and replaced at each change
 	confirmed chan struct{}     // closed and replaced when a feed without changes confirms the state
-	cached    map[uint64]*delta // to the latest index, by their start index
+	cached    map[uint64]*delta // deltas to the latest index, by their start index
 	depth     uint32            // see Depth
 	children  int               // number of subscriptions to this node
 }
--- a/internal/distribution/relay/pacing.go
+++ b/internal/distribution/relay/pacing.go
@@ -13,7 +13,7 @@
 
 // Pacing decides when a child receives its next feed: after a change or a newer contact with the quorum as soon as
 // minFeedInterval allows, otherwise as a periodic heartbeat. A forwarded heartbeat ages the state only by its transit time.
-// If each level sent heartbeats by its own timer, every level would add up to one interval.
+// If each level sent heartbeats by its own timer, every level would add up to one interval to the age.
 //
 // Pacing is a pure state machine. Times are durations since a start chosen by the driver.
 type Pacing struct {
--- a/internal/distribution/relay/pacing_test.go
+++ b/internal/distribution/relay/pacing_test.go
@@ -12,7 +12,7 @@
 type pathLevel struct {
 	hub          *Hub
 	pacing       Pacing
-	contact      time.Duration // last contact with the quorum
+	contact      time.Duration // time of the last contact with the quorum
 	subscription Subscription
 	transit      []pathFeed // feeds not yet received
 	feeds        int        // number of feeds sent to this node
@@ -25,7 +25,7 @@
 }
 
 // TestAgeAlongLongPaths simulates paths of nine levels below a quorum member. It guards against feeds that become older than
-// Stale along the path, and against relays that send many more feeds than the quorum member sends heartbeats and changes.
+// StaleAfter, and against relays that send many more feeds than the quorum member sends heartbeats and changes.
 func TestAgeAlongLongPaths(t *testing.T) {
 	const (
 		levels  = 9
@@ -77,7 +77,7 @@
 		feed := p.transit[0].feed
 		p.transit = p.transit[1:]
 		contactAt := p.subscription.ContactAt(now, feed)
-		if settled && now-contactAt > Stale {
+		if settled && now-contactAt > StaleAfter {
 			t.Fatalf("seed %d: a feed at level %d is %v old", seed, level, now-contactAt)
 		}
 		before := p.hub.Index()
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -25,8 +25,8 @@
 const (
 	Fanout      = 6                       // maximum number of children of a node in its zone's tree
 	Heartbeat   = 400 * time.Millisecond  // heartbeat interval of a quorum member; see relayHeartbeat
-	Stale       = 1500 * time.Millisecond // age of a parent's state above which the child selects another parent
-	FeedTimeout = 1200 * time.Millisecond // without a frame from the parent for this long, the subscription fails
+	StaleAfter  = 1500 * time.Millisecond // age above which a state is stale; a child whose parent's state is stale selects another parent
+	FeedTimeout = 1200 * time.Millisecond // a subscription fails if no frame arrives for this long
 
 	// MaxChildren bounds the subscriptions to a node. Until the tree is complete, nodes subscribe to quorum members. If a few
 	// hundred nodes start at once, the quorum members serve all of them; if thousands do, they serve the first ones, which
--- a/internal/distribution/relay/selector.go
+++ b/internal/distribution/relay/selector.go
@@ -5,7 +5,7 @@
 const (
 	stableAfter = 5 * time.Second        // a subscription that lasts longer counts as successful
 	fallbackFor = 3 * time.Second        // time with a parent that is not the preferred one, before the preferred one is tried again
-	retryPause  = 100 * time.Millisecond // after all candidates have failed, or while there are none
+	retryPause  = 100 * time.Millisecond // pause after all candidates have failed, or while there are none
 )
 
 // EndReason is the reason for the end of a subscription.
@@ -15,7 +15,7 @@
 const (
 	Continue    EndReason = ""             // the subscription has not ended
 	Renew       EndReason = "renew"        // the subscription should be renewed, or another parent is preferred
-	ParentStale EndReason = "stale parent" // the age of the parent's state exceeds Stale
+	ParentStale EndReason = "stale parent" // the age of the parent's state exceeds StaleAfter
 	Failed      EndReason = "failed"       // no connection, FeedTimeout, a rejection, or a feed that cannot be decoded
 )
 
@@ -45,17 +45,17 @@
 	return s.parent, 0
 }
 
-// Check returns ParentStale if the age of the parent's state exceeds Stale. It allows any age for one Heartbeat after the
-// subscription.
+// Check returns ParentStale if the age of the parent's state exceeds StaleAfter. It allows any age for one Heartbeat after
+// the subscription.
 func (s *Selector) Check(now, age time.Duration) EndReason {
-	if age > Stale && now-s.subscribedAt > Heartbeat {
+	if age > StaleAfter && now-s.subscribedAt > Heartbeat {
 		return ParentStale
 	}
 	return Continue
 }
 
-// ShouldMove reports whether the node should subscribe again: if its parent is the preferred one, after that has changed,
-// otherwise after fallbackFor.
+// ShouldMove reports whether the node should subscribe again. A node leaves its preferred parent once another one is
+// preferred, and any other parent after fallbackFor.
 func (s *Selector) ShouldMove(now time.Duration, parents []string) bool {
 	if !s.preferred {
 		return now-s.subscribedAt > fallbackFor
