--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -34,7 +34,7 @@
 	pushPullTimeout      = 2 * time.Second        // the response may contain a full view
 	suspicionTimeout     = 1800 * time.Millisecond
 	deadRetention        = 30 * time.Second // dead members are kept this long, so that late updates do not revive them
-	indirectProbes       = 2                // members through which an unresponsive member is probed
+	indirectProbeCount   = 2                // members through which an unresponsive member is probed
 	maxPiggyback         = 8                // maximum number of updates in a message, besides the sender's own entry
 	transmitLimitReached = 255              // value of member.transmits that stops the broadcast
 	maxMembers           = 65_536           // over twice the design limit of 28,000 nodes
@@ -45,8 +45,8 @@
 	joinInterval              = 300 * time.Millisecond // time between push/pulls with seeds while the list has no other member
 	minPushPullInterval       = 2 * time.Second        // shortest time between push/pulls, after a change or a difference
 	maxPushPullBytesPerSecond = 512                    // limit of the digest traffic; lengthens minPushPullInterval in a large cluster
-	pushPullInterval          = 5 * time.Second        // longest interval per pushPullScale members
-	pushPullScale             = 100                    // number of members; see pushPullInterval
+	pushPullBaseInterval      = 5 * time.Second        // longest interval per pushPullScale members
+	pushPullScale             = 100                    // number of members; see pushPullBaseInterval
 	maxPushPullInterval       = time.Minute            // longest interval in a cluster of any size
 	pushPullsPerSeedPushPull  = 8                      // above pushPullScale members, one push/pull in this many is with seeds
 )
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -155,7 +155,7 @@
 	c.checkAlive(8, "after the return of n7 with an earlier clock")
 }
 
-// TestTargetSizeFits guards against a limit below the design size of 28,000 nodes.
+// TestTargetSizeFits guards against a member limit below the design size of 28,000 nodes.
 func TestTargetSizeFits(t *testing.T) {
 	const nodes = 28_000
 	list := New(&wire.Member{Name: "self", Address: "self", Generation: 1}, 1, 0)
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -107,14 +107,15 @@
 	return probes
 }
 
-// randomAliveMembers returns up to indirectProbes random members that are alive, excluding the one named except.
+// randomAliveMembers returns up to indirectProbeCount random members that are alive, excluding the one named
+// except.
 func (l *Memberlist) randomAliveMembers(except string) []*member {
 	all := l.sorted()
 	var list []*member
-	for range 8 * indirectProbes { // enough draws unless most members are unreachable
+	for range 8 * indirectProbeCount { // enough draws unless most members are unreachable
 		m := all[l.rng.IntN(len(all))]
 		if m.Name != except && m.State == wire.Member_ALIVE && !slices.Contains(list, m) {
-			if list = append(list, m); len(list) == indirectProbes {
+			if list = append(list, m); len(list) == indirectProbeCount {
 				break
 			}
 		}
--- a/internal/cluster/membership/push_pull.go
+++ b/internal/cluster/membership/push_pull.go
@@ -100,7 +100,7 @@
 
 // longestPushPullInterval returns the longest interval between push/pulls, which bounds how long a difference goes undetected.
 func (l *Memberlist) longestPushPullInterval() time.Duration {
-	scaled := pushPullInterval * time.Duration(1+len(l.members)/pushPullScale)
+	scaled := pushPullBaseInterval * time.Duration(1+len(l.members)/pushPullScale)
 	return max(min(maxPushPullInterval, scaled), l.shortestPushPullInterval())
 }
 
--- a/internal/controlplane/backup/backup.go
+++ b/internal/controlplane/backup/backup.go
@@ -181,7 +181,7 @@
 
 // Restore writes the store of a new quorum's first member, which all others join, to an empty or missing folder. address is
 // the member's address for nodes, and controlAddress its address for operators. Servers that have stopped since the backup
-// stay registered until they are deregistered as usual.
+// stay registered until their nodes or the leader deregister them.
 func (b *Backup) Restore(dir, address, controlAddress string, rng *rand.Rand) error {
 	if address == "" || controlAddress == "" {
 		return errors.New("backup: the member's addresses for nodes and for operators are required")
--- a/internal/controlplane/backup/backup_test.go
+++ b/internal/controlplane/backup/backup_test.go
@@ -55,7 +55,7 @@
 	dir := newStoreDir(t, 4)
 	b, afterSnapshot, err := OfStore(dir)
 	if err != nil || afterSnapshot != 5 || b.State.Revision() != 4 || b.Index != 5 {
-		t.Fatalf("%+v, %d commands after the snapshot, %v", b, afterSnapshot, err)
+		t.Fatalf("OfStore returned %+v, %d commands after the snapshot, error %v; want revision 4, index 5, 5 commands", b, afterSnapshot, err)
 	}
 	file := filepath.Join(t.TempDir(), "b")
 	if err := b.Save(file); err != nil {
@@ -78,11 +78,11 @@
 	}
 	peers := inspected.Snapshot.GetPeers().GetPeers()
 	if len(peers) != 1 || peers[0].Id != inspected.ID || !peers[0].Voter || peers[0].Address != "1.2.3.4:5" || inspected.HardState.GetTerm() <= b.Term || inspected.Snapshot.Index <= b.Index {
-		t.Errorf("members %v, term %d, index %d", peers, inspected.HardState.GetTerm(), inspected.Snapshot.Index)
+		t.Errorf("restored store has members %v, term %d, index %d; want only itself as a voter at 1.2.3.4:5, and a higher term and index than the backup", peers, inspected.HardState.GetTerm(), inspected.Snapshot.Index)
 	}
 	restored, _, err := OfStore(restoredDir)
 	if err != nil || restored.State.Revision() != 4 || len(restored.State.Servers()) != 1 || restored.State.Servers()[0].Member != "i-1" || restored.State.Index() <= b.State.Index() {
-		t.Errorf("backup of the restored folder: %+v, %v", restored, err)
+		t.Errorf("backup of the restored folder: %+v, error %v; want revision 4, server i-1 and a higher index than the original", restored, err)
 	}
 	if err := loaded.Restore(restoredDir, "a", "b", rng()); err == nil || !strings.Contains(err.Error(), "not empty") {
 		t.Errorf("Restore into a folder that is not empty: %v", err)
--- a/internal/controlplane/catalog/accept_test.go
+++ b/internal/controlplane/catalog/accept_test.go
@@ -67,21 +67,21 @@
 		t.Fatalf("second change: error %v, revision %d, want revision 5", err, c.Revision())
 	}
 	if accepted, err := apply(cmd); accepted || err != nil {
-		t.Errorf("resent delta: accepted %v, %v", accepted, err)
+		t.Errorf("resent delta: accepted %v, error %v; want neither", accepted, err)
 	}
 	if accepted, err := apply(command(t, c.Current(), 3, second)); accepted || err != nil {
-		t.Errorf("resent as a whole body: accepted %v, %v", accepted, err)
+		t.Errorf("resent as a whole body: accepted %v, error %v; want neither", accepted, err)
 	}
 	if accepted, err := apply(command(t, before, 3, manyRoutes(t, 6, 3000))); accepted || !errors.Is(err, ErrStale) {
-		t.Errorf("another change on a stale base: accepted %v, %v", accepted, err)
+		t.Errorf("another change on a stale base: accepted %v, error %v; want ErrStale", accepted, err)
 	}
 	if accepted, err := apply(command(t, c.Current(), 5, manyRoutes(t, 4, 3000))); accepted || !errors.Is(err, ErrInvalid) {
-		t.Errorf("old revision: accepted %v, %v", accepted, err)
+		t.Errorf("old revision: accepted %v, error %v; want ErrInvalid", accepted, err)
 	}
 	wrong := command(t, c.Current(), 5, manyRoutes(t, 8, 3000))
 	wrong.GetConfig().Hash[0]++
 	if accepted, err := apply(wrong); accepted || !errors.Is(err, ErrStale) || !bytes.Equal(c.Body(), second) {
-		t.Errorf("delta for another body: accepted %v, %v", accepted, err)
+		t.Errorf("delta for another body: accepted %v, error %v; want ErrStale and an unchanged body", accepted, err)
 	}
 	if accepted, err := apply(command(t, c.Current(), 5, manyRoutes(t, 8, 3000))); !accepted || err != nil {
 		t.Errorf("valid change after rejected ones: accepted %v, %v", accepted, err)
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -105,7 +105,7 @@
 		t.Errorf("state before the snapshot is %v, and %v after the restore", c.FullChanges(), restored.FullChanges())
 	}
 	if changes, err := restored.Apply(put(0, body)); changes != nil || err != nil {
-		t.Errorf("resend after a restore: %v, %v", changes, err)
+		t.Errorf("resend after a restore: changes %v, error %v; want neither", changes, err)
 	}
 	if err := New().Restore(data[:len(data)-3]); err == nil {
 		t.Error("truncated snapshot was restored")
--- a/internal/controlplane/server/operator_requests_test.go
+++ b/internal/controlplane/server/operator_requests_test.go
@@ -46,7 +46,7 @@
 	} {
 		answers := replace(c.base, c.revision, c.service)
 		if accepted := len(answers) == 1 && answers[0].Result == AlreadyAccepted; accepted != c.accepted || !accepted && len(answers) > 0 {
-			t.Errorf("%s: wrong answers %v", c.name, answers)
+			t.Errorf("%s: answers are %v, want AlreadyAccepted if the change was applied, otherwise none", c.name, answers)
 		}
 	}
 }
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -25,27 +25,27 @@
 	s = open(t, dir)
 	defer s.Close()
 	if s.HardState.GetTerm() != 4 || len(s.Entries) != 6 || s.Entries[5].Term != 4 {
-		t.Errorf("after a write: %v, %d entries", s.HardState, len(s.Entries))
+		t.Errorf("after a write: hard state %v, %d entries; want term 4 and 6 entries, the last one of term 4", s.HardState, len(s.Entries))
 	}
 }
 
 func checkEarlierVersion(t *testing.T, s *Store) {
 	t.Helper()
 	if s.Fresh || s.Damaged != nil || s.ID != 0xc4f5a58656eef510 {
-		t.Fatalf("fresh %v, damaged %v, identity %016x", s.Fresh, s.Damaged, s.ID)
+		t.Fatalf("fresh %v, damaged %v, identity %016x; want false, nil, c4f5a58656eef510", s.Fresh, s.Damaged, s.ID)
 	}
 	if s.HardState.GetTerm() != 3 || s.HardState.GetVote() != 42 {
-		t.Errorf("hard state is %v", s.HardState)
+		t.Errorf("hard state is %v, want term 3 and vote 42", s.HardState)
 	}
 	if s.Snapshot.GetTerm() != 2 || s.Snapshot.GetIndex() != 6 || len(s.Snapshot.GetData()) != 90888 {
-		t.Errorf("snapshot of term %d at index %d with %d bytes", s.Snapshot.GetTerm(), s.Snapshot.GetIndex(), len(s.Snapshot.GetData()))
+		t.Errorf("snapshot of term %d at index %d with %d bytes, want term 2, index 6, 90888 bytes", s.Snapshot.GetTerm(), s.Snapshot.GetIndex(), len(s.Snapshot.GetData()))
 	}
 	peers := s.Snapshot.GetPeers().GetPeers()
 	if len(peers) != 3 || peers[1].Id != 42 || peers[1].Address != "10.0.1.2:7380" || peers[1].ControlAddress != "10.0.1.2:8144" || peers[2].Voter {
 		t.Errorf("snapshot members are %v", peers)
 	}
 	if len(s.Tail) != 2 || s.Tail[0].Index != 5 || s.Tail[0].Kind != wire.Entry_NO_OP {
-		t.Errorf("tail is %v", s.Tail)
+		t.Errorf("tail is %v, want entries 5 and 6, the first one a no-op", s.Tail)
 	}
 	if len(s.Entries) != 5 {
 		t.Fatalf("%d entries, want 5", len(s.Entries))
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -43,7 +43,7 @@
 	s := open(t, dir)
 	id := s.ID
 	if !s.Fresh || id == 0 {
-		t.Fatalf("fresh %v, identity %d", s.Fresh, id)
+		t.Fatalf("new store: fresh %v, identity %d; want true and not zero", s.Fresh, id)
 	}
 	save(t, s, Batch{HardState: &wire.HardState{Term: 2, Vote: 9}, Entries: entries(1, 1, 9)})
 	save(t, s, Batch{Entries: entries(2, 5, 6)}) // replaces 5 to 9
@@ -54,7 +54,7 @@
 		t.Fatalf("loaded store: %+v", s)
 	}
 	if len(s.Entries) != 3 || s.Entries[0].Index != 4 || s.Entries[2].Index != 6 || s.Entries[2].Term != 2 {
-		t.Fatalf("loaded entries: %v", s.Entries)
+		t.Fatalf("loaded entries are %v, want 4 to 6, the last one of term 2", s.Entries)
 	}
 	s.Close()
 	if inspected, err := Inspect(dir); err != nil || inspected.ID != id || len(inspected.Entries) != 3 {
@@ -70,7 +70,7 @@
 	s = open(t, dir)
 	defer s.Close()
 	if s.Snapshot.Index != 5 || len(s.Entries) != 0 {
-		t.Fatalf("entries after a leader's snapshot replaced the log: %v", s.Entries)
+		t.Fatalf("entries after a leader's snapshot at index 5 replaced the log: %v, want none", s.Entries)
 	}
 }
 
@@ -260,7 +260,7 @@
 	s := open(t, dir)
 	defer s.Close()
 	if s.Damaged == nil || !s.Fresh {
-		t.Errorf("damaged: %v, fresh: %v", s.Damaged, s.Fresh)
+		t.Errorf("damaged: %v, fresh: %v; want an error and true", s.Damaged, s.Fresh)
 	}
 }
 
--- a/internal/distribution/relay/hub.go
+++ b/internal/distribution/relay/hub.go
@@ -15,7 +15,7 @@
 
 const (
 	maxCached      = 16      // maximum number of cached deltas
-	maxCachedBytes = 1 << 20 // maximum encoded size of a cached delta
+	maxCachedBytes = 1 << 20 // maximum encoded size of a cached delta, in bytes
 )
 
 // Hub holds a node's copy of the replicated state, and sends changes to the node's children. Its methods are safe for
