--- a/internal/controlplane/raft/compaction_test.go
+++ b/internal/controlplane/raft/compaction_test.go
@@ -282,7 +282,7 @@
 		}
 		maxHeartbeats := 2*delay*(termPairs+3) + 4
 		if leader := replicateToDiverged(leaderLog, followerLog, term, delay, maxHeartbeats); leader.progress[3].match != leader.last() {
-			t.Fatalf("seed %d: %d alternations of terms, %d and %d entries, messages delayed by %d heartbeat intervals: after %d intervals the logs match up to entry %d", seed, termPairs,
+			t.Fatalf("seed %d: %d pairs of terms, %d and %d entries, messages delayed by %d heartbeat intervals: after %d intervals the logs match up to entry %d", seed, termPairs,
 				len(leaderLog), len(followerLog), delay, maxHeartbeats, leader.progress[3].match)
 		}
 	}
