--- a/cmd/meshlab/scale.go
+++ b/cmd/meshlab/scale.go
@@ -109,13 +109,13 @@
 		}
 		reports = append(reports, r)
 	}
-	target := scale.UsersTarget
+	target := scale.DefaultTarget
 	target.Nodes = c.Nodes
 	series := scale.SeriesOf(reports, target)
 	series = slices.DeleteFunc(series, func(s *scale.Series) bool {
 		return len(c.Event) > 0 && !slices.Contains(c.Event, s.Event) || len(c.Role) > 0 && !slices.Contains(c.Role, s.Role) ||
 			len(c.Measure) > 0 && !slices.ContainsFunc(c.Measure, func(text string) bool { return strings.Contains(s.Measure, text) }) ||
-			c.Budget && s.Budget == 0 || s.Method && !c.Methods || slices.Max(s.Values) == 0
+			c.Budget && s.Budget == 0 || s.PerMethod && !c.Methods || slices.Max(s.Values) == 0
 	})
 	scale.WriteTable(os.Stdout, series, target)
 	return nil
--- a/internal/simulation/demo/demo.go
+++ b/internal/simulation/demo/demo.go
@@ -34,7 +34,7 @@
 	host            = "demo.example"
 	startWait       = 20 * time.Second
 	stopWait        = 8 * time.Second
-	maxInFlight     = 512 // requests without a response
+	maxInFlight     = 512 // maximum number of requests without a response
 )
 
 // Indexes in mesh.ports.
@@ -48,8 +48,8 @@
 
 // Options configures a run.
 type Options struct {
-	Programs string        // directory of ivydeck-data and ivydeck-control
-	Duration time.Duration // of the traffic
+	Programs string        // folder of ivydeck-data and ivydeck-control
+	Duration time.Duration // duration of the traffic
 	Rate     float64       // requests per second
 	Output   io.Writer
 }
@@ -59,7 +59,7 @@
 	Options
 	dir    string
 	subnet string // first three bytes of all addresses, such as 127.30.7
-	ports  [5]int // the same for all machines; see the constants
+	ports  [5]int // the same on all machines; indexed by internalPort to serverPort
 
 	mu        sync.Mutex
 	processes map[string]*process
@@ -82,7 +82,7 @@
 func Run(ctx context.Context, o Options) error {
 	for _, name := range []string{"ivydeck-data", "ivydeck-control"} {
 		if _, err := os.Stat(filepath.Join(o.Programs, name)); err != nil {
-			return fmt.Errorf("demo: %s is missing in the programs' folder; go build -o bin/ ./cmd/... puts all in one folder", name)
+			return fmt.Errorf("demo: %s is missing from the folder of programs; go build -o bin/ ./cmd/... builds all into one folder", name)
 		}
 	}
 	dir, err := os.MkdirTemp("", "ivydeck-demo-")
@@ -186,7 +186,7 @@
 	}
 }
 
-// checkProcesses returns an error with the end of the log if a process has ended
+// checkProcesses returns an error with the last part of the log if a process has ended
 // unexpectedly.
 func (m *mesh) checkProcesses() error {
 	m.mu.Lock()
@@ -195,7 +195,7 @@
 		select {
 		case <-p.done:
 			text, _ := os.ReadFile(filepath.Join(m.dir, name+".log"))
-			return fmt.Errorf("demo: process %s has ended unexpectedly; end of its log: %s", name, bytes.TrimSpace(text[max(0, len(text)-400):]))
+			return fmt.Errorf("demo: process %s has ended unexpectedly; last part of its log: %s", name, bytes.TrimSpace(text[max(0, len(text)-400):]))
 		default:
 		}
 	}
--- a/internal/simulation/demo/server.go
+++ b/internal/simulation/demo/server.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	slots             = 16 // of each server
-	workMs            = 10 // mean of an exponential distribution
+	slots             = 16 // concurrent requests of each server
+	workMs            = 10 // mean response time in milliseconds, exponentially distributed
 	heartbeatInterval = 500 * time.Millisecond
 )
 
--- a/internal/simulation/lab/forwarding.go
+++ b/internal/simulation/lab/forwarding.go
@@ -42,7 +42,7 @@
 // exchange is a request at the node that received it from a client or a local server.
 type exchange struct {
 	node        *node
-	incarnation uint64 // of the node's process that received the request
+	incarnation uint64 // incarnation of the node that received the request
 	attempt     *attempt
 	routed      *router.Request
 	inner       bool // a call made by a local server
@@ -148,12 +148,12 @@
 // node's response and the result of the attempt.
 func (n *node) sendAttempt(t *attempt, routed *router.Request, action router.Action, done func(*wire.ForwardResponse, decide.Result)) {
 	s := n.sim
-	server, _ := n.table.ClusterState().Servers.Get(action.Server)
-	if server == nil {
+	registered, _ := n.table.ClusterState().Servers.Get(action.Server)
+	if registered == nil {
 		done(&wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Terminated: true}, decide.NotSent)
 		return
 	}
-	to := s.nodes[s.nodeIndexes[server.Node]]
+	to := s.nodes[s.nodeIndexes[registered.Node]]
 	request := localserver.Request{
 		Member: action.Server, Service: routed.Service, Attempt: t.id, Priority: routed.Priority, Retry: action.Retry, MayQueue: action.MayQueue,
 		Call: health.Call{Zone: n.zone, TypicalLatency: action.TypicalLatency, NonIdempotent: routed.NonIdempotent(), IgnoreEjection: action.IgnoreEjection},
@@ -183,12 +183,12 @@
 // forwardedRequest is a request at the node of the chosen server.
 type forwardedRequest struct {
 	node        *node
-	incarnation uint64 // of the node's process that received the request
+	incarnation uint64 // incarnation of the node that received the request
 	attempt     *attempt
 	request     localserver.Request
 	deadline    time.Duration
 	retries     int  // attempts before this one
-	decided     bool // it has left the queue
+	decided     bool // the request has left the queue
 	done        func(*wire.ForwardResponse)
 }
 
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -168,8 +168,7 @@
 }
 
 // TestGreyServers checks that health checks limit the effect of grey servers. A sixth of the servers fails half of its
-// runs quickly, so that its load looks low. Without health checks, 1/17 of all requests fail; the application's own errors
-// are 2 in 1,000.
+// runs quickly, which makes its load look low.
 func TestGreyServers(t *testing.T) {
 	scenario, err := Load("../../../lab/ill.toml")
 	if err != nil {
@@ -185,7 +184,7 @@
 		requests, failed, late := 0, 0, 0
 		for i, s := range result.Seconds[10:34] { // servers are grey until second 22, then some flap
 			requests, failed, late = requests+s.Requests, failed+s.Failed, late+s.Late
-			if s.Busy["desk"] < 40 { // 14 servers have 168 slots, of which about 70 are in use
+			if s.Busy["desk"] < 40 { // the 14 servers have 168 slots
 				t.Errorf("%s: in second %d only %.0f slots are in use, want at least 40", mode, 10+i, s.Busy["desk"])
 			}
 		}
--- a/internal/simulation/lab/measurements.go
+++ b/internal/simulation/lab/measurements.go
@@ -13,11 +13,11 @@
 type measurements struct {
 	scenario        *Scenario
 	seconds         []Second
-	perSecond       []*hdrhistogram.Histogram // latencies of requests by the second in which they start
+	perSecond       []*hdrhistogram.Histogram // request latencies, by the second in which the request starts
 	total           Counts
 	routes          map[string]*Counts
 	latency         map[string]*hdrhistogram.Histogram // by route
-	lag             *hdrhistogram.Histogram            // from the commit of an update to its receipt by a node
+	lag             *hdrhistogram.Histogram            // time from the commit of an update to its receipt by a node
 	committedAt     map[uint64]time.Duration           // by update index
 	newestUpdate    uint64
 	ackLatencies    []time.Duration
@@ -76,8 +76,8 @@
 
 // requestEnded counts the outcome of a request in the second in which the request started.
 func (m *measurements) requestEnded(now time.Duration, req *request, response router.Response) {
-	sec := m.second(req.startedAt)
-	all := []*Counts{&sec.Counts, m.route(req.route.Name), &m.total}
+	second := m.second(req.startedAt)
+	all := []*Counts{&second.Counts, m.route(req.route.Name), &m.total}
 	took := now - req.startedAt
 	count := func(f func(c *Counts)) {
 		for _, c := range all {
@@ -96,10 +96,10 @@
 		}
 	case response.RetryAfter > 0:
 		count(func(c *Counts) { c.Refused++ })
-		for len(sec.ByPriority) <= req.route.Priority {
-			sec.ByPriority = append(sec.ByPriority, 0)
+		for len(second.ByPriority) <= req.route.Priority {
+			second.ByPriority = append(second.ByPriority, 0)
 		}
-		sec.ByPriority[req.route.Priority]++
+		second.ByPriority[req.route.Priority]++
 	default:
 		count(func(c *Counts) { c.Failed++ })
 	}
@@ -113,8 +113,8 @@
 
 func (s *slidingCounter) add(now time.Duration) { s.times = append(s.times, now) }
 
-// count returns the number of events after since. Later calls must not pass an earlier
-// time, as events outside the window are dropped.
+// count returns the number of events after since, and drops older events. Later calls must
+// not pass an earlier time.
 func (s *slidingCounter) count(since time.Duration) int {
 	for s.first < len(s.times) && s.times[s.first] <= since {
 		s.first++
@@ -168,19 +168,19 @@
 	for index := before + 1; index <= after; index++ {
 		if committed, ok := m.committedAt[index]; ok {
 			m.lag.RecordValue(max(1, (now - committed).Microseconds()))
-			sec := m.second(now)
-			sec.LagMs = max(sec.LagMs, float64((now-committed).Microseconds())/1000)
+			second := m.second(now)
+			second.LagMs = max(second.LagMs, float64((now-committed).Microseconds())/1000)
 		}
 	}
 }
 
 // slotHeld adds the time for which a run held a slot.
 func (m *measurements) slotHeld(now time.Duration, service string, took time.Duration) {
-	sec := m.second(now)
-	if sec.Busy == nil {
-		sec.Busy = map[string]float64{}
+	second := m.second(now)
+	if second.Busy == nil {
+		second.Busy = map[string]float64{}
 	}
-	sec.Busy[service] += took.Seconds()
+	second.Busy[service] += took.Seconds()
 }
 
 // leaderElected counts an election and ends the time without a leader.
--- a/internal/simulation/lab/network.go
+++ b/internal/simulation/lab/network.go
@@ -9,7 +9,7 @@
 type machine struct {
 	name, zone     string
 	isQuorumMember bool
-	incarnation    uint64 // of the process; increases with each start
+	incarnation    uint64 // incarnation of the process; increases with each start
 	up             bool   // the process is running
 	powered        bool
 	partitioned    bool           // all its messages are dropped
@@ -59,8 +59,8 @@
 	n.stream(from, to, size, new(time.Duration), f)
 }
 
-// stream is send for messages of one connection, which arrive in order. last holds the
-// arrival time of the connection's previous message.
+// stream is like send for the messages of one connection, which arrive in order. last holds
+// the arrival time of the connection's previous message.
 func (n *network) stream(from, to *machine, size int, last *time.Duration, f func()) {
 	if !from.up || !n.reaches(from, to) || !to.up {
 		return
@@ -88,10 +88,10 @@
 }
 
 const (
-	unreachableTimeout = 300 * time.Millisecond  // of calls to a partitioned machine or one without power
-	powerLossTimeout   = 1800 * time.Millisecond // until callers notice that a machine lost power
-	maxKeptCalls       = 64                      // length of machine.pendingCalls from which ended calls are removed
-	rpcBytes           = 40                      // framing overhead of a message
+	unreachableTimeout = 300 * time.Millisecond  // timeout of calls to a partitioned machine or one without power
+	powerLossTimeout   = 1800 * time.Millisecond // time until callers notice that a machine lost power
+	maxKeptCalls       = 64                      // length of machine.pendingCalls above which ended calls are removed
+	rpcBytes           = 40                      // framing overhead of a message, in bytes
 )
 
 // call sends a request to another machine. serve handles the request there; it may call
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -24,7 +24,7 @@
 	readinessRetryPause = 100 * time.Millisecond
 	readinessCheck      = 20 * time.Millisecond
 	deadlineMargin      = 15 * time.Millisecond // subtracted from the deadline of a request at the node
-	headerBytes         = 300                   // size of a request or response without its body
+	headerBytes         = 300                   // size of a request or response without its body, in bytes
 )
 
 // node is a simulated sidecar machine. It drives membership, relay, router and local
@@ -48,7 +48,7 @@
 	registered       catalog.NodeServers
 	membersVersion   uint64 // version of the membership list in the routing table
 	registering      bool   // a registration is in flight
-	ready            bool   // it has passed its readiness check
+	ready            bool   // the node has passed its readiness check
 	requiredRevision uint64 // last revision acknowledged before the start, which a ready node must have
 }
 
--- a/internal/simulation/lab/operator.go
+++ b/internal/simulation/lab/operator.go
@@ -7,8 +7,8 @@
 	"ivydeck/internal/controlplane/catalog"
 )
 
-// sendConfigs sends the next configuration. Reads that start after its acknowledgement must
-// not return an older one.
+// sendConfigs sends the next configuration, and schedules the following one if the scenario
+// sets an interval. Reads that start after an acknowledgement must not return an older one.
 func (s *sim) sendConfigs() {
 	every := sec(s.scenario.Operator.EveryS)
 	retry := func(d time.Duration) { s.after(d, s.sendConfigs) }
@@ -16,11 +16,11 @@
 	s.check(err)
 	base := s.baseRevision
 	sentAt := s.now
-	s.callLeader(nil, len(body), func(c *quorumMember, answer func(error)) {
-		current := c.catalog.Current()
+	s.callLeader(nil, len(body), func(leader *quorumMember, answer func(error)) {
+		current := leader.catalog.Current()
 		config, err := current.Parse(body)
 		s.check(err)
-		c.propose(current.Command(base, config, body), answer)
+		leader.propose(current.Command(base, config, body), answer)
 	}, func(err error) {
 		switch {
 		case err == nil:
--- a/internal/simulation/lab/peerview.go
+++ b/internal/simulation/lab/peerview.go
@@ -26,11 +26,11 @@
 	node         *node
 	incarnation  uint64
 	sentIndex    uint64        // last update that the node has or that was sent to it
-	lastDelivery time.Duration // arrival time of the last message sent to the node
+	lastDelivery time.Duration // arrival time of the last message to the node
 	ended        bool
 
-	subscription relay.Subscription // the node's record of it
-	subscribedAt time.Duration      // when the parent received it
+	subscription relay.Subscription // the node's state of the subscription
+	subscribedAt time.Duration      // when the parent received the subscription
 }
 
 func (v *peerView) start(s *sim, m *machine) {
--- a/internal/simulation/lab/quorum_member.go
+++ b/internal/simulation/lab/quorum_member.go
@@ -45,9 +45,9 @@
 	contactAt time.Duration // last contact with a quorum, updated when raft has no Ready to handle
 }
 
-// proposal is a log entry whose result its proposer waits for.
+// proposal is a pending log entry and the function that receives its result.
 type proposal struct {
-	term uint64 // in which it was proposed
+	term uint64 // term in which the entry was proposed
 	done func(error)
 }
 
--- a/internal/simulation/lab/result.go
+++ b/internal/simulation/lab/result.go
@@ -63,11 +63,11 @@
 	AckMaxMs        float64                `json:"ack_max_ms"`
 	Acks            int                    `json:"acks"`
 	Entries         uint64                 `json:"entries"`         // highest commit index
-	ProbesS         float64                `json:"probes_s"`        // by node and second
-	ProbeBytesS     float64                `json:"probe_bytes_s"`   // by node and second
-	FeedBytesS      float64                `json:"feed_bytes_s"`    // by node and second
-	BusiestBps      float64                `json:"busiest_bytes_s"` // bytes a second sent by the machine that sends most
-	CrossZoneBps    float64                `json:"crossed_bytes_s"` // bytes a second between zones, in total
+	ProbesS         float64                `json:"probes_s"`        // per node and second
+	ProbeBytesS     float64                `json:"probe_bytes_s"`   // per node and second
+	FeedBytesS      float64                `json:"feed_bytes_s"`    // per node and second
+	BusiestBps      float64                `json:"busiest_bytes_s"` // bytes per second sent by the machine that sends most
+	CrossZoneBps    float64                `json:"crossed_bytes_s"` // total bytes per second between zones
 	DiskBytes       int                    `json:"disk_bytes"`      // maximum size of a quorum member's disk
 	Violations      []string               `json:"faults"`
 	FirstViolationS float64                `json:"fault_at_s"`
@@ -97,9 +97,9 @@
 	}
 	res.Total.Value /= float64(max(1, res.Total.Requests))
 	for i := range res.Seconds {
-		sec := &res.Seconds[i]
-		sec.Value /= float64(max(1, sec.Requests))
-		sec.P99Ms = float64(m.perSecond[i].ValueAtQuantile(99)) / 1000
+		second := &res.Seconds[i]
+		second.Value /= float64(max(1, second.Requests))
+		second.P99Ms = float64(m.perSecond[i].ValueAtQuantile(99)) / 1000
 	}
 	for name, c := range m.routes {
 		h := m.latency[name]
--- a/internal/simulation/lab/scenario.go
+++ b/internal/simulation/lab/scenario.go
@@ -27,7 +27,7 @@
 // in their unit.
 type Scenario struct {
 	Name          string  `toml:"name"`
-	Seconds       float64 `toml:"seconds"` // of simulated time
+	Seconds       float64 `toml:"seconds"` // duration in simulated time
 	Zones         int     `toml:"zones"`
 	QuorumMembers int     `toml:"cores"`        // spread over the zones in turn
 	Nodes         int     `toml:"nodes"`        // sidecar machines, spread over the zones in turn; the first ones run an application server each
@@ -56,9 +56,9 @@
 
 // Net is the network between machines.
 type Net struct {
-	LinkMs   float64 `toml:"link_ms"`   // one way, within a zone
-	ZoneMs   float64 `toml:"zone_ms"`   // added between zones
-	JitterMs float64 `toml:"jitter_ms"` // maximum added to each message
+	LinkMs   float64 `toml:"link_ms"`   // one-way latency within a zone
+	ZoneMs   float64 `toml:"zone_ms"`   // latency added between zones
+	JitterMs float64 `toml:"jitter_ms"` // maximum of the random latency added to each message
 	Loss     float64 `toml:"loss"`      // share of segments lost; each costs a retransmission timeout of 200 ms
 	MBps     float64 `toml:"mbps"`      // megabytes a second that a machine can send; 0 is unlimited
 }
@@ -182,8 +182,8 @@
 // config returns the operator's configuration with a revision, encoded as msgpack.
 func (s *Scenario) config(revision uint64) ([]byte, error) {
 	config := meshconfig.Config{Revision: revision}
-	for _, s := range s.Services {
-		config.Backends = append(config.Backends, meshconfig.Backend{Name: s.Name})
+	for _, service := range s.Services {
+		config.Backends = append(config.Backends, meshconfig.Backend{Name: service.Name})
 	}
 	add := func(r Route) {
 		kind := meshconfig.Idempotent
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -16,7 +16,7 @@
 	sim          *sim
 	service      *Service
 	node         *node
-	id           string // of the current process
+	id           string // ID of the current process
 	up           bool
 	draining     bool
 	drainAcked   bool
@@ -26,8 +26,8 @@
 	warmUntil    time.Duration // end of the slow start
 	grey         Fault         // Kind is empty if there is none
 	stalledUntil time.Duration
-	heartbeatSeq uint64 // of the last heartbeat
-	runs         []*run // in progress; those that ended are removed when a run starts
+	heartbeatSeq uint64 // sequence number of the last heartbeat
+	runs         []*run // runs in progress; ended runs are removed when a run starts
 }
 
 // run is the execution of a request by a server.
--- a/internal/simulation/lab/sim.go
+++ b/internal/simulation/lab/sim.go
@@ -20,7 +20,7 @@
 	nodes           []*node
 	servers         []*server
 	peerViews       map[string]*peerView
-	nodeIndexes     map[string]int // index in nodes, by name
+	nodeIndexes     map[string]int // index in nodes, by node name
 	seeds           []string
 	initialMembers  []*wire.Member // membership list of each machine at the start of a steady scenario
 	operatorMachine machine        // sends configurations
@@ -28,7 +28,7 @@
 	attempts        uint64
 	bootstrapped    bool
 	rateFactors     []float64 // factor on the request rate of each route
-	lossShares      []float64 // of the MessageLoss faults in force
+	lossShares      []float64 // shares of the active MessageLoss faults
 
 	baseRevision, ackedRevision uint64                              // base of the operator's next configuration, and its last acknowledged revision
 	lastDeliveries              map[[2]*quorumMember]*time.Duration // see lastDelivery
--- a/internal/simulation/lab/statistics.go
+++ b/internal/simulation/lab/statistics.go
@@ -44,7 +44,7 @@
 	{"busiest bytes/s", func(r *Result) float64 { return r.BusiestBps }},
 }
 
-func fraction(n, of int) float64 { return float64(n) / float64(max(1, of)) }
+func fraction(n, total int) float64 { return float64(n) / float64(max(1, total)) }
 
 // Compare returns a table with the means of a and b for each metric, and the mean of the
 // differences, paired by seed. The seeds of a and b must be the same, in the same order.
--- a/internal/simulation/modelcheck/bounds.go
+++ b/internal/simulation/modelcheck/bounds.go
@@ -30,7 +30,7 @@
 	Bounds
 }
 
-// Searches are the standard searches. Each takes less than a minute.
+// Searches are the standard searches.
 var Searches = append([]SearchConfig{
 	{"elections", "", Bounds{Members: 3, Terms: 4, Link: 1}},
 	{"log", "", Bounds{Members: 3, Terms: 3, Link: 1, Proposals: 1}},
--- a/internal/simulation/modelcheck/modelcheck_test.go
+++ b/internal/simulation/modelcheck/modelcheck_test.go
@@ -66,20 +66,20 @@
 	}
 }
 
-// TestScenarios checks that the scenarios of all standard searches can be played, that the error for an impossible event lists the
-// possible ones, and that a trace can be played as a scenario.
+// TestScenarios checks that the scenarios of all standard searches and a trace can be replayed, and that the error for an
+// impossible event lists the possible ones.
 func TestScenarios(t *testing.T) {
 	for _, config := range Searches {
-		if _, err := play(config); err != nil {
+		if _, err := replayScenario(config); err != nil {
 			t.Error(err)
 		}
 	}
 	b := Bounds{Members: 3, Terms: 2, Link: 1, Crashes: 1, LoseVotes: true}
-	if _, err := play(SearchConfig{Name: "x", Bounds: b, Scenario: "campaign 0\npropose 0"}); err == nil || !strings.Contains(err.Error(), "deliver 0 1 REQUEST_VOTE@2") {
+	if _, err := replayScenario(SearchConfig{Name: "x", Bounds: b, Scenario: "campaign 0\npropose 0"}); err == nil || !strings.Contains(err.Error(), "deliver 0 1 REQUEST_VOTE@2") {
 		t.Errorf("scenario with an impossible event: error %v, want one that lists the possible events", err)
 	}
 	trace := strings.Join(search(t, b).Trace, "\n")
-	if _, err := play(SearchConfig{Name: "x", Bounds: b, Scenario: trace}); err == nil || !strings.Contains(err.Error(), "leads in term 2") {
+	if _, err := replayScenario(SearchConfig{Name: "x", Bounds: b, Scenario: trace}); err == nil || !strings.Contains(err.Error(), "leads in term 2") {
 		t.Errorf("scenario made from the trace of a violation: error %v, want the violation", err)
 	}
 }
--- a/internal/simulation/modelcheck/scenario.go
+++ b/internal/simulation/modelcheck/scenario.go
@@ -9,13 +9,14 @@
 // unlimited is the bound for events of a scenario and of a random walk.
 const unlimited = 1 << 20
 
-// play returns the state in which a search starts: the state after its scenario, or the initial state if it has none.
+// replayScenario returns the state in which a search starts. It is the state after the scenario, or the initial state if the
+// search has none.
 //
 // A scenario contains one event per line in the format of a trace, such as "deliver 0 1 REQUEST_VOTE@2". A line may omit the
 // end of an event ("deliver 0 1"); it then selects the first possible event that matches. "deliver all" delivers messages
 // until none is in flight, and "deliver all 0 1" does so for messages among the named members. "lose all" drops all messages
 // in flight, and "lose 0 1" drops those from member 0 to member 1.
-func play(config SearchConfig) (*state, error) {
+func replayScenario(config SearchConfig) (*state, error) {
 	bounds := config.Bounds
 	bounds.Terms = unlimited
 	for _, remaining := range []*int{
--- a/internal/simulation/modelcheck/search.go
+++ b/internal/simulation/modelcheck/search.go
@@ -10,7 +10,7 @@
 // Search explores all states within the bounds of a search, or stops at the first state that violates a property. It
 // returns an error if the scenario contains an event that is not possible or violates a property.
 func Search(config SearchConfig) (*Result, error) {
-	initial, err := play(config)
+	initial, err := replayScenario(config)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/modelcheck/state.go
+++ b/internal/simulation/modelcheck/state.go
@@ -30,7 +30,7 @@
 // history holds the past events that the properties refer to.
 type history struct {
 	leaders   map[uint64]uint64 // identity of the leader, by term
-	committed []appliedEntry    // starts at index 2
+	committed []appliedEntry    // by index, from index 2 on
 	acked     uint64            // highest index acknowledged to a client
 }
 
@@ -54,7 +54,7 @@
 const (
 	maxMembers = 8
 
-	// startClock is so large that a zero time is not recent.
+	// startClock is the time at which members start. It is so large that a zero time is not recent.
 	startClock = time.Minute
 
 	// leaderTimeout is the time without contact after which a voter no longer rejects other candidates.
--- a/internal/simulation/scale/changes.go
+++ b/internal/simulation/scale/changes.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// applyChanges makes a number of changes at an interval, and measures when each hollow node receives each.
+// applyChanges makes a number of changes at an interval, and measures when each hollow node receives each of them.
 func (r *run) applyChanges(ctx context.Context, e *EventReport, count int, interval time.Duration) error {
 	propagation := &Propagation{}
 	e.Propagation = propagation
@@ -61,8 +61,8 @@
 			}
 			propagation.Refused++
 			r.logf("  change not acknowledged: %v", err)
-			if e := r.readConfig(ctx); e != nil {
-				return e
+			if readErr := r.readConfig(ctx); readErr != nil {
+				return readErr
 			}
 			continue
 		}
@@ -84,7 +84,8 @@
 	return err
 }
 
-// collectArrivals waits until all hollow nodes have the last change, and collects the times at which they received each.
+// collectArrivals waits until all hollow nodes have the last change, and collects the times at which they received each
+// change.
 func (r *run) collectArrivals(ctx context.Context, propagation *Propagation, changes []appliedChange) {
 	hollow := 0
 	for m := range r.running {
@@ -123,16 +124,16 @@
 	return r.applyChanges(ctx, e, 1, time.Second)
 }
 
-// stream makes changes at a rate per second for the Stream duration, but at least two.
+// stream makes at least two changes, at a rate per second, for the Stream duration.
 func (r *run) stream(ctx context.Context, e *EventReport, rate float64) error {
 	count := max(2, int(rate*r.Stream.Seconds()))
 	return r.applyChanges(ctx, e, count, time.Duration(float64(time.Second)/rate))
 }
 
 func (r *run) dayStream(ctx context.Context, e *EventReport) error {
-	return r.stream(ctx, e, dayChanges)
+	return r.stream(ctx, e, dayChangeRate)
 }
 
 func (r *run) fastStream(ctx context.Context, e *EventReport) error {
-	return r.stream(ctx, e, fastChanges)
+	return r.stream(ctx, e, fastChangeRate)
 }
--- a/internal/simulation/scale/events.go
+++ b/internal/simulation/scale/events.go
@@ -11,15 +11,15 @@
 const (
 	startEvent = "start"
 
-	dayChanges      = 49_000.0 / 86_400 // per second
-	fastChanges     = 10.0              // per second
-	changeTimeout   = 15 * time.Second  // until all nodes have a change
-	leaderTimeout   = 5 * time.Second   // until a quorum member returns the index of a change
+	dayChangeRate   = 49_000.0 / 86_400 // changes per second, 49,000 a day
+	fastChangeRate  = 10.0              // changes per second
+	changeTimeout   = 15 * time.Second  // maximum time until all nodes have a change
+	leaderTimeout   = 5 * time.Second   // maximum time until a quorum member returns the index of a change
 	arrivalPoll     = 20 * time.Millisecond
 	restartPause    = 500 * time.Millisecond
 	rollSteps       = 10
 	rollPause       = time.Second
-	tenthStep       = 10 // selects a tenth of the hollow nodes
+	tenthStep       = 10 // step of everyNth that selects a tenth of the hollow nodes
 	callsPerPath    = 5
 	maxSamplingTime = 2 * time.Second // maximum duration of sampling all processes
 )
@@ -31,7 +31,7 @@
 	run         func(r *run, ctx context.Context, e *EventReport) error
 }
 
-// events lists all events in the order in which a run plays them.
+// events lists all events in the order in which a run executes them.
 var events = []event{
 	{startEvent, "all nodes start at once; the quorum already has a configuration", (*run).start},
 	{"quiet", "no changes and no failures", (*run).quiet},
@@ -47,7 +47,7 @@
 	{"cold", "all processes are killed and start again at once", (*run).coldStart},
 }
 
-// EventNames lists the events in their order.
+// EventNames returns the names of all events, in the order in which a run executes them.
 func EventNames() (names []string) {
 	for _, e := range events {
 		names = append(names, e.name)
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// addUsage computes the usage of each role. A process that started during the event is counted from the estimated start of
-// the event.
+// addUsage computes the usage of each role. The usage of a process that started during the event counts from the estimated
+// start of the event.
 func (r *run) addUsage(ctx context.Context, report *EventReport, before, after map[*child]sample) {
 	leader := r.leader(ctx)
 	roles := map[string]*NodeUsage{}
--- a/internal/simulation/scale/failures.go
+++ b/internal/simulation/scale/failures.go
@@ -97,11 +97,11 @@
 		}
 	}
 	timerpool.Sleep(ctx, r.Cut/2)
-	healed := time.Now()
+	partitionEnd := time.Now()
 	if err := r.partitionRegion(-1); err != nil {
 		return err
 	}
-	r.awaitConvergence(ctx, e, healed)
+	r.awaitConvergence(ctx, e, partitionEnd)
 	return nil
 }
 
--- a/internal/simulation/scale/fit.go
+++ b/internal/simulation/scale/fit.go
@@ -12,19 +12,19 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-const confidence = 0.95 // of all intervals
+const confidence = 0.95 // confidence level of all intervals
 
 // Target is the mesh size to which fits are extrapolated, and the budget per node at this size.
 type Target struct {
 	Nodes          int
-	BytesPerSecond float64 // in each direction
-	Processor      float64 // in percent of a core
+	BytesPerSecond float64 // traffic in each direction
+	Processor      float64 // processor time, in percent of a core
 	ResidentMB     float64
-	ChangeMs       float64 // until all nodes have a change
+	ChangeMs       float64 // maximum time until all nodes have a change, in milliseconds
 }
 
-// UsersTarget is the target of docs/CAPACITY.md.
-var UsersTarget = Target{Nodes: 28_000, BytesPerSecond: 13_000, Processor: 2.9, ResidentMB: 32, ChangeMs: 4000}
+// DefaultTarget is the target of docs/CAPACITY.md.
+var DefaultTarget = Target{Nodes: 28_000, BytesPerSecond: 13_000, Processor: 2.9, ResidentMB: 32, ChangeMs: 4000}
 
 // Line is a least-squares fit of a line, with the sums that its intervals need.
 type Line struct {
@@ -81,7 +81,7 @@
 	Event, Role, Measure string
 	Nodes, Values        []float64
 	Budget               float64 // zero if there is none
-	Method               bool    // the measure covers a single RPC method
+	PerMethod            bool    // the measure covers a single RPC method
 }
 
 // power fits y = c * n^slope; ok is false if a value is not positive or linearFit fails.
@@ -181,8 +181,8 @@
 					add(e.Name, role, m.name, r.Nodes, m.value(u), budget)
 				}
 				for method, rate := range u.Methods {
-					add(e.Name, role, method+" bytes out/s", r.Nodes, rate.BytesOut, 0).Method = true
-					add(e.Name, role, method+" messages out/s", r.Nodes, rate.MessagesOut, 0).Method = true
+					add(e.Name, role, method+" bytes out/s", r.Nodes, rate.BytesOut, 0).PerMethod = true
+					add(e.Name, role, method+" messages out/s", r.Nodes, rate.MessagesOut, 0).PerMethod = true
 				}
 			}
 			if e.ConvergedS != nil {
--- a/internal/simulation/scale/hollow.go
+++ b/internal/simulation/scale/hollow.go
@@ -24,12 +24,12 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	maxArrivals       = 1024 // arrivals that a node keeps
+	maxArrivals       = 1024 // maximum number of arrivals that a node keeps
 	serverSlots       = 16   // concurrent requests that a server accepts
 
-	deregisterTimeout = 2 * time.Second // until the registry has dropped the server of a leaving node
+	deregisterTimeout = 2 * time.Second // maximum time until the registry has dropped the server of a leaving node
 	deregisterPoll    = 50 * time.Millisecond
-	leaveTimeout      = 300 * time.Millisecond // for the leave message to other members
+	leaveTimeout      = 300 * time.Millisecond // timeout of the leave message to other members
 )
 
 // hollowNode is the control-plane part of a node. It carries no requests.
@@ -59,10 +59,10 @@
 	nodes   map[int]*hollowNode
 }
 
-// RunHollow reads a job and then commands from in as JSON, and writes a response to each command to w. When in ends, it
-// stops all nodes and returns.
-func RunHollow(in io.Reader, w io.Writer) error {
-	decoder, encoder := json.NewDecoder(in), json.NewEncoder(w)
+// RunHollow reads a job and then commands from input as JSON, and writes a response to each command to output. At the end
+// of the input, it stops all nodes and returns.
+func RunHollow(input io.Reader, output io.Writer) error {
+	decoder, encoder := json.NewDecoder(input), json.NewEncoder(output)
 	p := &hollowProcess{nodes: map[int]*hollowNode{}}
 	defer func() {
 		for machine := range p.nodes {
@@ -84,7 +84,7 @@
 	}
 }
 
-// handle executes a command. It returns at the first node that can't be started.
+// handle executes a command. It returns at the first node that fails to start.
 func (p *hollowProcess) handle(c *command) (resp response) {
 	for _, machine := range c.Stop {
 		p.stop(machine)
--- a/internal/simulation/scale/hops.go
+++ b/internal/simulation/scale/hops.go
@@ -29,7 +29,7 @@
 	maxWorkers     = 256
 	hopSlots       = 512
 	hopTimeout     = 5 * time.Second
-	warmupRequests = 200 // unmeasured pairs at each depth
+	warmupRequests = 200 // pairs at each depth before the measurement
 	readyTimeout   = 20 * time.Second
 )
 
@@ -40,7 +40,7 @@
 	Requests int           // pairs of chains at each depth
 	Workers  int           // concurrent callers under load
 	Load     time.Duration // duration of the load; zero skips it
-	Bound    time.Duration // of the whole benchmark
+	Bound    time.Duration // time limit of the benchmark
 	Report   string        // file of the JSON report; empty for none
 	Command  string        // command line, for the report
 	Progress io.Writer
@@ -64,7 +64,7 @@
 	MeshP99Ms   float64 `json:"mesh_p99_ms"`
 	DirectP50Ms float64 `json:"direct_p50_ms"`
 	DirectP99Ms float64 `json:"direct_p99_ms"`
-	PairP50Ms   float64 `json:"pair_p50_ms"` // of the differences within pairs
+	PairP50Ms   float64 `json:"pair_p50_ms"` // quantile of the differences within pairs
 	PairP99Ms   float64 `json:"pair_p99_ms"`
 	AddedP99Ms  float64 `json:"added_p99_ms"` // MeshP99Ms - DirectP99Ms
 }
@@ -76,7 +76,7 @@
 	Calls             int     `json:"calls"`
 	Failed            int     `json:"failed"`
 	CallsPerSecond    float64 `json:"calls_s"`
-	NodeMicrosPerCall float64 `json:"node_us_a_call"` // of the caller's and the server's node, without the idle share
+	NodeMicrosPerCall float64 `json:"node_us_a_call"` // processor time in the caller's and the server's node, without the idle share
 	IdlePercent       float64 `json:"quiet_pct"`      // idle processor use of all nodes together, in percent of a core
 }
 
--- a/internal/simulation/scale/machines.go
+++ b/internal/simulation/scale/machines.go
@@ -71,7 +71,7 @@
 	return file, os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o644)
 }
 
-// startReal starts a program of its own for a machine.
+// startReal starts the program of a machine in a separate process.
 func (r *run) startReal(machine int, class, program string, processRole role) error {
 	file, err := r.writeSettings(machine, class)
 	if err != nil {
--- a/internal/simulation/scale/network.go
+++ b/internal/simulation/scale/network.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const dialTimeout = 250 * time.Millisecond // of a connection attempt
+const dialTimeout = 250 * time.Millisecond // timeout of a connection attempt
 
 // network simulates partitions between the regions of hollow nodes. Bytes between partitioned regions are dropped without
 // an error.
--- a/internal/simulation/scale/plan.go
+++ b/internal/simulation/scale/plan.go
@@ -1,7 +1,7 @@
 // Package scale measures the resource usage and convergence times of a mesh by its size. It starts real quorum members,
 // some real nodes and many hollow nodes, which share processes. A hollow node runs the control-plane code of a node
-// (package agent) over its own loopback sockets and carries no requests. A run plays a list of events, samples the usage
-// of the processes around each, and writes a report.
+// (package agent) over its own loopback sockets and carries no requests. A run executes a list of events, samples the
+// usage of the processes before and after each, and writes a report.
 package scale
 
 import (
@@ -24,7 +24,7 @@
 	maxReal               = 100
 	maxProcesses          = 300
 	maxMemory             = 16 << 30 // bytes
-	maxNodes              = 60_000   // bounded by the host numbers, see address
+	maxNodes              = 60_000   // limited by the host numbers that address assigns
 	maxBound              = 10 * time.Minute
 	maxPerProcess         = 60
 	reservedFiles         = 300 // descriptors of a process besides its nodes' connections
@@ -36,7 +36,7 @@
 const (
 	bytesPerProcess = 24 << 20
 	bytesPerNode    = 8 << 20
-	bytesPerPair    = 2000 // per member in a node's view, including garbage
+	bytesPerPair    = 2000 // of each member in a node's view, including garbage
 )
 
 // Options are the options of a run.
@@ -99,12 +99,12 @@
 
 // zoneOf returns a machine's zone. Quorum members are spread over all regions but the last, and real nodes over their
 // zones. The last region has only hollow nodes, which can be partitioned.
-func zoneOf(machine, real, zones, regions int) int {
+func zoneOf(machine, realNodes, zones, regions int) int {
 	perRegion := zones / regions
 	switch {
 	case machine < quorumSize:
 		return machine % max(1, regions-1) * perRegion
-	case machine < quorumSize+real:
+	case machine < quorumSize+realNodes:
 		return machine % max(1, zones-perRegion)
 	}
 	return machine % zones
--- a/internal/simulation/scale/process.go
+++ b/internal/simulation/scale/process.go
@@ -30,7 +30,7 @@
 
 const metricsTimeout = 8 * time.Second
 
-const clockTicks = 100 // per second of processor time in /proc (USER_HZ)
+const clockTicks = 100 // clock ticks per second in /proc (USER_HZ)
 
 var errExited = errors.New("the process has exited")
 
@@ -38,12 +38,12 @@
 type child struct {
 	name       string
 	role       role
-	machines   []int  // machines that it runs
+	machines   []int  // machines that the process runs
 	logPath    string // path of its log file
 	cmd        *exec.Cmd
 	startedAt  time.Time
 	done       chan struct{} // closed after the process has exited
-	metricsURL string        // URL; empty for a hollow process
+	metricsURL string        // empty for a hollow process
 	// Resident bytes and descriptors of a hollow process before its first node.
 	baseResident int64
 	baseFiles    int
@@ -271,8 +271,8 @@
 		s.traffic.FramesSent = uint64(value)
 	}
 	var direction, method string
-	bytes := strings.HasPrefix(name, "ivydeck_rpc_method_bytes")
-	if !bytes && !strings.HasPrefix(name, "ivydeck_rpc_method_messages") {
+	countsBytes := strings.HasPrefix(name, "ivydeck_rpc_method_bytes")
+	if !countsBytes && !strings.HasPrefix(name, "ivydeck_rpc_method_messages") {
 		return
 	}
 	if parts := strings.Split(name, `"`); len(parts) == 5 { // {direction="in",method="probe"}
@@ -280,9 +280,9 @@
 	}
 	m := s.traffic.Methods[method]
 	switch {
-	case bytes && direction == "in":
+	case countsBytes && direction == "in":
 		m.BytesReceived = uint64(value)
-	case bytes:
+	case countsBytes:
 		m.BytesSent = uint64(value)
 	case direction == "in":
 		m.MessagesReceived = uint64(value)
--- a/internal/simulation/scale/report.go
+++ b/internal/simulation/scale/report.go
@@ -14,7 +14,7 @@
 type Report struct {
 	Command     string        `json:"command"`
 	StartedAt   time.Time     `json:"began"`
-	Cores       int           `json:"cores"` // of the machine on which all processes ran
+	Cores       int           `json:"cores"` // processor cores of the machine that ran all processes
 	Nodes       int           `json:"nodes"`
 	Real        int           `json:"real"`
 	Processes   int           `json:"hollow_processes"`
@@ -36,9 +36,9 @@
 	About      string   `json:"about,omitempty"`
 	NotRun     string   `json:"not_run,omitempty"` // reason why the event did not run or complete
 	Seconds    float64  `json:"seconds"`
-	Nodes      int      `json:"nodes"`             // running at the end
+	Nodes      int      `json:"nodes"`             // nodes running at the end
 	BusyCores  float64  `json:"machine_cores"`     // cores that all processes of the run kept busy
-	Load       float64  `json:"load_average"`      // of the machine over a minute, with other programs
+	Load       float64  `json:"load_average"`      // load average of the machine over a minute, including other programs
 	ConvergedS *float64 `json:"agree_s,omitempty"` // seconds until all nodes had the same state; nil if they did not
 	// Seconds until all nodes had the latest update and all servers were registered, which convergence includes.
 	UpdatesS    *float64             `json:"updates_s,omitempty"`
@@ -53,12 +53,12 @@
 	Changes   int       `json:"changes"`
 	Refused   int       `json:"refused"`    // changes without an acknowledgement
 	Missing   int       `json:"missing"`    // pairs of a change and a node that had not received it at the end
-	AckP50Ms  float64   `json:"ack_p50_ms"` // until the acknowledgement
+	AckP50Ms  float64   `json:"ack_p50_ms"` // time until the acknowledgement
 	AckMaxMs  float64   `json:"ack_max_ms"`
-	P50Ms     float64   `json:"p50_ms"` // over all nodes and changes
+	P50Ms     float64   `json:"p50_ms"` // time until the receipt, over all nodes and changes
 	P99Ms     float64   `json:"p99_ms"`
 	MaxMs     float64   `json:"max_ms"`
-	durations []float64 // milliseconds, over all nodes and changes
+	durations []float64 // times until the receipt in milliseconds, over all nodes and changes
 }
 
 // Call is a call of the operator API.
@@ -75,7 +75,7 @@
 	BytesIn     float64               `json:"bytes_in_s"`
 	MessagesOut float64               `json:"messages_out_s"` // frames, including pings and credit
 	MessagesIn  float64               `json:"messages_in_s"`
-	Processor   float64               `json:"processor_pct"`   // of a core
+	Processor   float64               `json:"processor_pct"`   // processor time, in percent of a core
 	ResidentMB  float64               `json:"resident_mb"`     // at the end of the event
 	MaxMB       float64               `json:"resident_max_mb"` // maximum over the processes, per node
 	Sockets     float64               `json:"sockets"`
--- a/internal/simulation/scale/run.go
+++ b/internal/simulation/scale/run.go
@@ -52,7 +52,7 @@
 	running map[int]bool // machines whose real or hollow nodes run
 }
 
-// Run plays the events, stops all processes and servers that it started, and writes the report and the plot.
+// Run executes the events, stops all processes and servers that it started, and writes the report and the plot.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	l, err := plan(o)
 	if err != nil {
--- a/internal/simulation/scale/scale_test.go
+++ b/internal/simulation/scale/scale_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestSmallestRun plays some events with real and hollow nodes and checks the report and the plot.
+// TestSmallestRun executes some events with real and hollow nodes and checks the report and the plot.
 func TestSmallestRun(t *testing.T) {
 	o := smallestOptions(t)
 	o.Events = []string{"change", "restart"}
@@ -85,7 +85,7 @@
 	}
 	text, err := os.ReadFile(o.Report)
 	if err != nil || strings.Contains(string(text), o.Programs) {
-		t.Errorf("the report contains a folder of this machine, or can't be read: %v", err)
+		t.Errorf("the report contains a folder of this machine, or cannot be read: %v", err)
 	}
 }
 
@@ -165,7 +165,7 @@
 	if _, err := n.dialer(inside)(t.Context(), to); !os.IsTimeout(err) {
 		t.Errorf("a dial out of a partitioned region returned %v, want a timeout", err)
 	}
-	own := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(j.Network, inside))}} // of a process without a simulated partition
+	own := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(j.Network, inside))}} // dials like a process without a simulated partition
 	foreign, err := own.DialContext(t.Context(), "tcp", to)
 	if err != nil {
 		t.Fatal(err)
@@ -181,14 +181,14 @@
 
 // TestLayout checks that machineAt inverts address, and that the last region has neither quorum members nor real nodes.
 func TestLayout(t *testing.T) {
-	const real, zones, regions = 40, 12, 4
+	const realNodes, zones, regions = 40, 12, 4
 	seen := map[int]bool{}
 	for machine := range 3000 {
 		if back, ok := machineAt(77, address(77, machine)); !ok || back != machine {
 			t.Fatalf("machineAt(77, %s) = %d, want %d", address(77, machine), back, machine)
 		}
-		region := zoneOf(machine, real, zones, regions) / (zones / regions)
-		if machine < quorumSize+real && region == regions-1 {
+		region := zoneOf(machine, realNodes, zones, regions) / (zones / regions)
+		if machine < quorumSize+realNodes && region == regions-1 {
 			t.Errorf("machine %d is in the last region", machine)
 		}
 		if machine < quorumSize {
@@ -203,7 +203,7 @@
 	}
 }
 
-// TestFits checks the fits of known series, their intervals, and the comparison with a budget.
+// TestFits checks fits of series with known results, their confidence intervals, and the comparison with a budget.
 func TestFits(t *testing.T) {
 	s := &Series{Measure: "x", Budget: 10}
 	for _, n := range []float64{100, 300, 1000, 3000} {
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -38,7 +38,8 @@
 	Progress         io.Writer
 }
 
-// StateReport holds the memory and processing time of the state of a mesh at one node, without connections and runtime.
+// StateReport holds the memory and processing time that the state of a mesh needs at one node, without connections and the
+// Go runtime.
 type StateReport struct {
 	Command  string      `json:"command"`
 	Routes   int         `json:"routes"`
--- a/internal/simulation/simdisk/folder.go
+++ b/internal/simulation/simdisk/folder.go
@@ -215,7 +215,7 @@
 type file struct {
 	folder *Folder
 	node   *inode
-	offset int64 // of the next read
+	offset int64 // position of the next read
 }
 
 // Read implements io.Reader.
--- a/internal/simulation/simdisk/simdisk.go
+++ b/internal/simulation/simdisk/simdisk.go
@@ -26,7 +26,7 @@
 	entries []*wire.Entry
 }
 
-// Write queues the persistent part of a raft.Output until the next Sync or Crash. A nil snapshot or hard state is unchanged.
+// Write queues the persistent part of a raft.Ready until the next Sync or Crash. A nil snapshot or hard state is unchanged.
 func (d *Disk) Write(snap *wire.RaftSnapshot, hard *wire.HardState, entries []*wire.Entry) {
 	d.unsynced = append(d.unsynced, write{hard, snap, entries})
 }
