--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -59,7 +59,7 @@
 	return server.Status{}, errors.Join(append(errs, errors.New("none of the queried quorum members is the leader"))...)
 }
 
-// table prints a header and rows, which rows writes as tab-separated cells, or value as indented JSON.
+// table prints value as indented JSON, or a table of the header and the lines of tab-separated cells that rows writes.
 func table(output string, value any, header string, rows func(w io.Writer)) error {
 	if output == "json" {
 		enc := json.NewEncoder(os.Stdout)
--- a/internal/config/meshconfig/fuzz_test.go
+++ b/internal/config/meshconfig/fuzz_test.go
@@ -7,7 +7,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func body(t testing.TB, change func(m, route map[string]any)) []byte {
+// validBody returns an encoded valid configuration, after change has modified it and its route.
+func validBody(t testing.TB, change func(m, route map[string]any)) []byte {
 	route := map[string]any{"name": "r", "hostname": "h", "path_prefix": "/a/", "route_type": "idempotent", "timeout_ms": 1000,
 		"target_latency_ms": 100, "priority": 1, "backend": "s", "max_attempts": 2}
 	m := map[string]any{"revision": 1, "backend_table": []map[string]any{{"name": "s"}}, "route_table": []map[string]any{route}}
@@ -39,19 +40,19 @@
 		"not readable":             func(m, _ map[string]any) { m["route_table"] = 5 },
 		"request_limits: a negati": func(m, _ map[string]any) { m["request_limits"] = map[string]any{"max_body_bytes": -1} },
 	} {
-		if _, err := Parse(body(t, change)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse(validBody(t, change)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	if _, err := Parse(append(body(t, nil), 0xc0)); err == nil {
+	if _, err := Parse(append(validBody(t, nil), 0xc0)); err == nil {
 		t.Error("trailing bytes were accepted")
 	}
 }
 
 // FuzzConfig checks that a route of any accepted configuration names existing services and is found by its host and prefix.
 func FuzzConfig(f *testing.F) {
-	f.Add(body(f, nil), "h", "/a/b")
-	f.Add(body(f, func(m, r map[string]any) {
+	f.Add(validBody(f, nil), "h", "/a/b")
+	f.Add(validBody(f, func(m, r map[string]any) {
 		r["backend"] = ""
 		r["weighted_backends"] = []map[string]any{{"backend": "s", "weight": 0.5}, {"backend": "s", "weight": 0}}
 	}), "h:80", "/")
--- a/internal/config/meshconfig/parse.go
+++ b/internal/config/meshconfig/parse.go
@@ -52,7 +52,7 @@
 	nextBase int            // index of the base route to compare with the next route
 	byHash   map[uint64]int // indexes of base routes by the hash of their bytes; created on first use
 	seed     maphash.Seed
-	reused   []bool // by index in the base: the route was reused
+	reused   []bool // whether each route of the base was reused, by index
 	decoded  []int  // indexes of routes that were decoded
 }
 
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -50,7 +50,7 @@
 			edited.Routes = slices.Delete(edited.Routes, i, i+1)
 		case i >= 0:
 			edited.Routes[i], edited.Routes[index] = edited.Routes[index], r
-		case rng.IntN(40) == 0 && len(edited.Routes) > 0: // a duplicate key
+		case rng.IntN(40) == 0 && len(edited.Routes) > 0: // duplicate key
 			edited.Routes = append(edited.Routes, edited.Routes[index])
 		default:
 			edited.Routes = slices.Insert(edited.Routes, index, r)
--- a/internal/config/nodefile/nodefile.go
+++ b/internal/config/nodefile/nodefile.go
@@ -96,7 +96,7 @@
 	return nodes
 }
 
-// Load reads and validates the file at a path. If its content is invalid, the error wraps a Faults.
+// Load reads and validates the file at a path. If its content is invalid, the error wraps ParseErrors.
 func Load(path string) (*Settings, error) {
 	if path == "" {
 		return nil, fmt.Errorf("%s names no settings file", Variable)
@@ -119,11 +119,11 @@
 	return s, nil
 }
 
-// Faults lists all errors in a settings file.
-type Faults []string
+// ParseErrors lists all errors in a settings file.
+type ParseErrors []string
 
 // Error returns all errors in one line.
-func (f Faults) Error() string { return strings.Join(f, "; ") }
+func (f ParseErrors) Error() string { return strings.Join(f, "; ") }
 
 // reader parses values and collects their errors.
 type reader struct {
@@ -191,7 +191,7 @@
 	return v == "true"
 }
 
-// Parse parses and validates the text of a settings file. The error is a Faults with all errors of the file.
+// Parse parses and validates the text of a settings file. The error is of type ParseErrors.
 func Parse(text string) (*Settings, error) {
 	r := &reader{values: map[string]string{}}
 	r.readLines(text)
@@ -220,7 +220,7 @@
 	r.readPorts(s)
 	if len(r.errors) > 0 {
 		sort.Strings(r.errors)
-		return nil, Faults(r.errors)
+		return nil, ParseErrors(r.errors)
 	}
 	return s, nil
 }
--- a/internal/config/nodefile/nodefile_test.go
+++ b/internal/config/nodefile/nodefile_test.go
@@ -27,12 +27,12 @@
 		t.Fatal(err)
 	}
 	if s.Internal() != "10.1.0.38:7380" || s.SeedNodes()[1] != "10.2.0.43:7380" || s.Bounds.Drain != 3*time.Second {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected settings: %+v", s)
 	}
 }
 
-// TestErrorsAreNamed checks that the error for an incomplete or invalid file is one line that names the key. A change has the
-// form key=old or key=old=new.
+// TestErrorsAreNamed checks that the error for an incomplete or invalid file is one line that names the key. A change of the
+// form key=old removes the line, and key=old=new replaces its value.
 func TestErrorsAreNamed(t *testing.T) {
 	for change, want := range map[string]string{
 		"zone=z":                                       "zone is missing",
@@ -54,7 +54,7 @@
 		_, err := Parse(text)
 		switch {
 		case want == "" && err != nil, want != "" && err == nil:
-			t.Errorf("%s: %v", change, err)
+			t.Errorf("%s: error %v", change, err)
 		case want != "" && (!strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")):
 			t.Errorf("%s: %v, want one line with %q", change, err, want)
 		}
--- a/internal/dataplane/router/update.go
+++ b/internal/dataplane/router/update.go
@@ -48,14 +48,14 @@
 func (t *Table) updateServers(old, cluster *ClusterState) (changed map[string]bool) {
 	changed = map[string]bool{}
 	cowmap.Compare(old.Servers, cluster.Servers, func(c cowmap.Change[*wire.Server]) {
-		if c.Had && c.Has && (c.Old == c.New || c.Old.Service == c.New.Service && c.Old.Zone == c.New.Zone) {
+		if c.InOld && c.InNew && (c.Old == c.New || c.Old.Service == c.New.Service && c.Old.Zone == c.New.Zone) {
 			return
 		}
-		if c.Had {
+		if c.InOld {
 			t.removeTarget(c.Old)
 			changed[c.Old.Service] = true
 		}
-		if c.Has {
+		if c.InNew {
 			target := decide.Target{ID: c.New.Member, Local: c.New.Zone == t.options.Zone}
 			t.targets[c.New.Service] = append(t.targets[c.New.Service], target)
 			changed[c.New.Service] = true
--- a/internal/distribution/agent/leader.go
+++ b/internal/distribution/agent/leader.go
@@ -32,7 +32,7 @@
 	others = append(others, a.seeds()...)
 	var unconnected []string
 	for _, address := range others {
-		if a.Pool.Up(address) {
+		if a.Pool.IsConnected(address) {
 			list = append(list, address)
 		} else {
 			unconnected = append(unconnected, address)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-const text = `revision = 4
+const configText = `revision = 4
 backend_table = [{ name = "s", health_path = "/health", max_connections = 9 }]
 [[route_table]]
 name = "r"
@@ -34,14 +34,14 @@
 }
 
 func TestLoadAndDiff(t *testing.T) {
-	body, a, err := Load(writeFile(t, "a.toml", text))
+	body, a, err := Load(writeFile(t, "a.toml", configText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, encoded, err := Load(writeFile(t, "a.msgpack", string(body))); err != nil || len(Diff(a, encoded)) != 0 {
 		t.Errorf("loading the encoded configuration: %v", err)
 	}
-	_, b, err := Load(writeFile(t, "b.toml", strings.NewReplacer("= 4", "= 5", "1000", "900", `"/a/"`, `"/b/"`).Replace(text)))
+	_, b, err := Load(writeFile(t, "b.toml", strings.NewReplacer("= 4", "= 5", "1000", "900", `"/a/"`, `"/b/"`).Replace(configText)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 // TestApplyRetriesUntilDefinite checks that Apply tries the next member after a 503 and follows the redirect of a follower to
 // the leader.
 func TestApplyRetriesUntilDefinite(t *testing.T) {
-	body, _, err := Load(writeFile(t, "a.toml", text))
+	body, _, err := Load(writeFile(t, "a.toml", configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	defer follower.Close()
 	c := &Client{Addresses: []string{busy.Listener.Addr().String(), follower.Listener.Addr().String()}}
 	if err := c.Apply(context.Background(), 3, body); err != nil || string(received) != string(body) {
-		t.Errorf("%v, the leader received %d bytes of %d", err, len(received), len(body))
+		t.Errorf("Apply returned %v, and the leader received %d of %d bytes", err, len(received), len(body))
 	}
 	if err := c.Apply(context.Background(), 2, body); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "another version") {
 		t.Errorf("stale base revision: %v", err)
--- a/internal/pkg/cowmap/cowmap.go
+++ b/internal/pkg/cowmap/cowmap.go
@@ -107,11 +107,11 @@
 // Map returns the new version. The editor must not be used afterwards.
 func (e *Editor[V]) Map() Map[V] { return e.m }
 
-// Change holds the values of a key in two versions. Had and Has report whether the old and the new version contain the key.
+// Change holds the values of a key in two versions. InOld and InNew report whether the versions contain the key.
 type Change[V any] struct {
-	Key      string
-	Old, New V
-	Had, Has bool
+	Key          string
+	Old, New     V
+	InOld, InNew bool
 }
 
 // Compare calls visit for every key in the shards that two versions do not share. The key may have the same value in both. The
@@ -133,12 +133,12 @@
 			continue
 		}
 		for key, value := range after[i] {
-			oldValue, had := before[i][key]
-			visit(Change[V]{Key: key, Old: oldValue, New: value, Had: had, Has: true})
+			oldValue, inOld := before[i][key]
+			visit(Change[V]{Key: key, Old: oldValue, New: value, InOld: inOld, InNew: true})
 		}
 		for key, oldValue := range before[i] {
-			if _, has := after[i][key]; !has {
-				visit(Change[V]{Key: key, Old: oldValue, Had: true})
+			if _, inNew := after[i][key]; !inNew {
+				visit(Change[V]{Key: key, Old: oldValue, InOld: true})
 			}
 		}
 	}
--- a/internal/pkg/cowmap/cowmap_test.go
+++ b/internal/pkg/cowmap/cowmap_test.go
@@ -39,10 +39,10 @@
 		compared, visited := maps.Clone(plainBefore), 0
 		Compare(old, current, func(c Change[int]) {
 			visited++
-			if was, had := plainBefore[c.Key]; had != c.Had || had && was != c.Old {
-				t.Errorf("key %s: the old value is %v (present: %v), Compare reported %+v", c.Key, was, had, c)
+			if oldValue, inOld := plainBefore[c.Key]; inOld != c.InOld || inOld && oldValue != c.Old {
+				t.Errorf("key %s: the old value is %v (present: %v), Compare reported %+v", c.Key, oldValue, inOld, c)
 			}
-			if c.Has {
+			if c.InNew {
 				compared[c.Key] = c.New
 			} else {
 				delete(compared, c.Key)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -27,7 +27,7 @@
 	exitFailure = 1 // invalid settings, or the program failed
 )
 
-const pollInterval = time.Second // of the check for a changed settings file
+const pollInterval = time.Second // interval between checks for a changed settings file
 
 // arguments are the command-line flags of ivydeck-control and ivydeck-data.
 type arguments struct {
@@ -56,10 +56,10 @@
 		return fail(name, err)
 	}
 	settings, err := load(args.Settings, class)
-	var faults nodefile.Faults
-	if args.Check && errors.As(err, &faults) {
-		for _, f := range faults {
-			fmt.Fprintf(os.Stderr, "%s: %s: %s\n", name, args.Settings, f)
+	var parseErrors nodefile.ParseErrors
+	if args.Check && errors.As(err, &parseErrors) {
+		for _, text := range parseErrors {
+			fmt.Fprintf(os.Stderr, "%s: %s: %s\n", name, args.Settings, text)
 		}
 		return exitFailure
 	}
@@ -77,7 +77,7 @@
 	var level slog.Level
 	level.UnmarshalText([]byte(args.LogLevel)) // the parser accepts only valid levels
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	// The soft limit of three quarters makes the garbage collector more aggressive before the platform kills the process.
+	// The platform kills the process at MemoryMB. The soft limit makes the garbage collector run more often before that.
 	debug.SetMemoryLimit(int64(settings.MemoryMB) << 20 * 3 / 4)
 
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -134,7 +134,7 @@
 	class     nodefile.Class
 	hup       <-chan os.Signal
 	log       *slog.Logger
-	lastStamp string // of the file when it was last loaded
+	lastStamp string // stamp of the file when it was last loaded
 }
 
 // stamp returns the modification time and size of a file, to detect changes. It is empty if the file does not exist.
--- a/internal/transport/identity/ca.go
+++ b/internal/transport/identity/ca.go
@@ -116,7 +116,7 @@
 func (a *Authority) load() (*x509.Certificate, crypto.Signer, error) {
 	data, err := os.ReadFile(a.path(caCert))
 	if err != nil {
-		return nil, nil, fmt.Errorf("identity: no authority: %w", err)
+		return nil, nil, fmt.Errorf("identity: reading the authority: %w", err)
 	}
 	block, _ := pem.Decode(data)
 	if block == nil || block.Type != certBlock {
@@ -127,7 +127,7 @@
 		return nil, nil, fmt.Errorf("identity: %s: %w", a.path(caCert), err)
 	}
 	if data, err = os.ReadFile(a.path(caKey)); err != nil {
-		return nil, nil, fmt.Errorf("identity: no authority: %w", err)
+		return nil, nil, fmt.Errorf("identity: reading the authority: %w", err)
 	}
 	if block, _ = pem.Decode(data); block == nil || block.Type != keyBlock {
 		return nil, nil, fmt.Errorf("identity: %s holds no key", a.path(caKey))
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -29,8 +29,8 @@
 var roles = []Role{QuorumMember, Node, Operator}
 
 const (
-	scheme        = "ivydeck"   // of the URI in a certificate: ivydeck://ROLE/NAME
-	checkInterval = time.Second // of the check for changed files
+	scheme        = "ivydeck"   // URI scheme of the names in certificates: ivydeck://ROLE/NAME
+	checkInterval = time.Second // interval between checks for changed files
 )
 
 // Name identifies the holder of a certificate.
@@ -58,7 +58,7 @@
 	}
 	switch {
 	case found != 1:
-		return Name{}, fmt.Errorf("identity: the certificate has %d names of the form %s://ROLE/NAME, not one", found, scheme)
+		return Name{}, fmt.Errorf("identity: the certificate has %d names of the form %s://ROLE/NAME, want exactly one", found, scheme)
 	case name.Name == "" || strings.Contains(name.Name, "/"):
 		return Name{}, fmt.Errorf("identity: the certificate's name is %q", name.Name)
 	}
@@ -67,7 +67,7 @@
 			return name, nil
 		}
 	}
-	return Name{}, fmt.Errorf("identity: the certificate's role is %q, none of %v", name.Role, roles)
+	return Name{}, fmt.Errorf("identity: the certificate's role is %q, want one of %v", name.Role, roles)
 }
 
 // Files are the paths of the PEM files of an identity.
@@ -91,7 +91,7 @@
 
 	mu          sync.Mutex
 	current     credentials
-	lastStamp   string    // of the files at the last attempt to read them
+	lastStamp   string    // stamp of the files at the last attempt to read them
 	nextCheckAt time.Time // earliest time of the next check for changed files
 }
 
--- a/internal/transport/identity/identity_test.go
+++ b/internal/transport/identity/identity_test.go
@@ -57,7 +57,7 @@
 	}()
 	if errs[1] = c.Handshake(); errs[1] == nil {
 		peers[1] = PeerName(c.ConnectionState())
-		_, errs[1] = c.Read(make([]byte, 1)) // the client learns of a rejected certificate only after its handshake
+		_, errs[1] = c.Read(make([]byte, 1)) // a TLS 1.3 client receives the rejection of its certificate after its handshake
 	}
 	b.Close()
 	<-done
@@ -70,7 +70,7 @@
 	node := open(t, issue(t, a, Node, "n1", time.Hour/2))
 	peers, errs := handshake(core.Server(), node.Client())
 	if errs[0] != nil || errs[1] != nil || peers[0] != (Name{Node, "n1"}) || peers[1] != (Name{QuorumMember, "c1"}) {
-		t.Fatalf("%v, %v", peers, errs)
+		t.Fatalf("handshake returned peers %v, errors %v", peers, errs)
 	}
 	untrusted := issue(t, other, Node, "n1", time.Hour/2)
 	untrusted.Bundle = a.Bundle()
@@ -113,7 +113,7 @@
 		expireCheck(server)
 		expireCheck(client)
 		if _, errs := handshake(server.Server(), client.Client()); (errs[0] == nil && errs[1] == nil) != want {
-			t.Errorf("%s: %v", name, errs)
+			t.Errorf("%s: handshake errors %v", name, errs)
 		}
 	}
 	if err := os.WriteFile(files.Key, []byte("half"), 0o600); err != nil {
@@ -125,7 +125,7 @@
 	}
 	reissued, err := a.Issue(Name{QuorumMember, "c1"}, time.Hour/2, filepath.Dir(files.Cert))
 	if err != nil || reissued.Cert != files.Cert {
-		t.Fatalf("%v, %v", reissued, err)
+		t.Fatalf("Issue returned files %v, error %v", reissued, err)
 	}
 	check("server certificate from the new authority", true)
 	if err := a.Retire(); err != nil {
@@ -144,7 +144,7 @@
 		}
 	}
 	if _, err := a.Issue(Name{QuorumMember, "x"}, 2*time.Hour, t.TempDir()); err == nil || !strings.Contains(err.Error(), "beyond the authority's") {
-		t.Errorf("a certificate valid for longer than its authority: %v", err)
+		t.Errorf("issuing a certificate that outlives its authority: error %v", err)
 	}
 	if _, err := NewAuthority(filepath.Dir(a.Bundle()), time.Hour); err == nil {
 		t.Error("NewAuthority replaced an existing authority")
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -12,9 +12,9 @@
 //	liveness.go  pings and detection of unresponsive peers
 //	traffic.go   counters
 //
-// Errors: ErrNotSent means that the peer did not receive the complete message, which may be sent to another peer. A
-// PeerError is an error of the peer's handler. After context.DeadlineExceeded it is unknown whether the peer executed the
-// call.
+// Errors: ErrNotSent means that the peer did not receive the complete message, and that it is safe to send the message to
+// another peer. A PeerError is an error of the peer's handler. After context.DeadlineExceeded it is unknown whether the
+// peer executed the call.
 package rpc
 
 import (
@@ -45,12 +45,12 @@
 	maxStreams        = 4096                    // open streams per connection
 	maxPartialBytes   = 128 << 20               // total size of incomplete messages in the process
 	maxRetainedBuffer = 8 << 10                 // in bytes; larger buffers are not reused
-	pingInterval      = 600 * time.Millisecond  // of liveness checks, and of pings to a quiet peer with open streams
-	idlePingInterval  = 9 * time.Second         // without open streams; Pool.Live pings before it returns such a connection
+	pingInterval      = 600 * time.Millisecond  // interval of liveness checks, and of pings to a quiet peer with open streams
+	idlePingInterval  = 9 * time.Second         // interval of pings to a peer without open streams; Pool.Live pings before it returns such a connection
 	minPingWait       = time.Second             // minimum time to answer a ping before the connection is closed
 	peerTimeout       = 1800 * time.Millisecond // a connection that receives no frame for this long is closed
 	livenessWindow    = 250 * time.Millisecond  // a peer is considered live for this long after its last frame
-	pongTimeout       = 250 * time.Millisecond  // for the answer to a ping in Pool.Live
+	pongTimeout       = 250 * time.Millisecond  // maximum wait for the answer to a ping in Pool.Live
 	writeTimeout      = 3 * time.Second
 )
 
@@ -69,12 +69,12 @@
 // conn is a connection, on the client or the server side.
 type conn struct {
 	nc              net.Conn
-	peer            identity.Name // zero without TLS
+	peer            identity.Name // name in the peer's certificate; empty without TLS
 	server          *Server       // nil on the client side
 	ctx             context.Context
 	cancel          context.CancelCauseFunc
 	lastReceived    atomic.Int64 // time of the last received frame, by steadyMs
-	lastPing        atomic.Int64 // time of the first ping since lastReceived, by steadyMs
+	firstPing       atomic.Int64 // time of the first ping after lastReceived, by steadyMs
 	livenessWaiters atomic.Int32 // number of goroutines in awaitLive
 	pinging         atomic.Bool  // checkLiveness is sending a ping
 	writeMu         sync.Mutex
@@ -101,8 +101,8 @@
 	if secure, ok := nc.(*tls.Conn); ok {
 		raw, c.peer = secure.NetConn(), identity.PeerName(secure.ConnectionState())
 		if server == nil {
-			// A TLS 1.3 client completes the handshake before the server verifies its certificate, so that the peer is not
-			// considered live before its first frame.
+			// A TLS 1.3 client completes the handshake before the server verifies its certificate. The peer counts as live
+			// only after its first frame.
 			c.lastReceived.Store(steadyMs() - livenessWindow.Milliseconds())
 		}
 	}
@@ -131,7 +131,7 @@
 	last, fin bool // end of the message; end of the stream
 }
 
-// writeChunk is write for a data frame; it reuses the frame struct.
+// writeChunk sends a data frame, for which it reuses the frame struct.
 func (c *conn) writeChunk(chunk dataChunk) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -142,7 +142,7 @@
 	return err
 }
 
-// writeLocked is write for callers that hold writeMu.
+// writeLocked sends a frame. The caller holds writeMu.
 func (c *conn) writeLocked(f *wire.Frame) error {
 	if c.ctx.Err() != nil {
 		return context.Cause(c.ctx)
@@ -208,7 +208,7 @@
 		}
 		buf = buf[:n]
 		if _, err := io.ReadFull(r, buf); err != nil {
-			return fmt.Errorf("a torn frame: %w", err)
+			return fmt.Errorf("reading a frame: %w", err)
 		}
 		if err := proto.Unmarshal(buf, &f); err != nil {
 			return fmt.Errorf("a frame from %s: %w", c.nc.RemoteAddr(), err)
--- a/internal/transport/rpc/identity_test.go
+++ b/internal/transport/rpc/identity_test.go
@@ -84,10 +84,10 @@
 			err = peer.Call(ctx, deadline, c.method, &wire.ForwardRequest{}, out)
 		}
 		if c.allowed != (err == nil) || c.allowed != (handled.Load() > before) {
-			t.Errorf("%s: %v, handled: %v", c.name, err, handled.Load() > before)
+			t.Errorf("%s: call error %v, handled: %v", c.name, err, handled.Load() > before)
 		}
 		if err != nil && c.identity != nil && !errors.Is(err, ErrNotSent) && !IsPeerError(err) {
-			t.Errorf("%s: %v does not show that the call was not executed", c.name, err)
+			t.Errorf("%s: error %v does not guarantee that the call was not executed", c.name, err)
 		}
 		if c.allowed && out.Reason == "" {
 			t.Errorf("%s: the handler could not identify its caller", c.name)
--- a/internal/transport/rpc/liveness.go
+++ b/internal/transport/rpc/liveness.go
@@ -13,14 +13,14 @@
 // checkLiveness pings a peer that has been quiet, and closes the connection if the peer does not answer.
 func (c *conn) checkLiveness(wallTime time.Time) {
 	busy := c.expireStreams(wallTime)
-	now, received, pingSent := steadyMs(), c.lastReceived.Load(), c.lastPing.Load()
+	now, received, pingSent := steadyMs(), c.lastReceived.Load(), c.firstPing.Load()
 	quiet, pingAge := time.Duration(now-received)*time.Millisecond, time.Duration(0)
 	if pingSent > received {
 		pingAge = time.Duration(now-pingSent) * time.Millisecond
 	}
 	ping, dead := pingDecision(busy, quiet, pingAge)
 	if dead {
-		c.fail(fmt.Errorf("nothing from %s for %v", c.nc.RemoteAddr(), quiet))
+		c.fail(fmt.Errorf("no frame received from %s for %v", c.nc.RemoteAddr(), quiet))
 		return
 	}
 	if ping && c.pinging.CompareAndSwap(false, true) {
@@ -89,7 +89,7 @@
 }
 
 // expireStreams ends the streams whose deadline has passed, and reports whether other streams are open. Callers normally
-// cancel their streams; this handles those that failed to, so a delay is harmless.
+// cancel their streams at the deadline. expireStreams handles streams that were not cancelled, and may run late.
 func (c *conn) expireStreams(now time.Time) (busy bool) {
 	c.mu.Lock()
 	var expired []*Stream
@@ -123,8 +123,8 @@
 
 // ping sends a ping, which the peer answers with a pong.
 func (c *conn) ping() error {
-	if c.lastPing.Load() <= c.lastReceived.Load() {
-		c.lastPing.Store(steadyMs())
+	if c.firstPing.Load() <= c.lastReceived.Load() {
+		c.firstPing.Store(steadyMs())
 	}
 	return c.write(&wire.Frame{Kind: wire.Frame_PING})
 }
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -140,9 +140,9 @@
 // Peer is a connection to a process that was recently live; see Pool.Live.
 type Peer struct{ conn *conn }
 
-// Live returns a connection on which a frame was received within livenessWindow; if necessary, it dials and pings first.
-// Otherwise it returns an ErrNotSent, by the deadline at the latest. This avoids sending a non-idempotent request to a
-// machine that may have failed.
+// Live returns a connection on which a frame was received within livenessWindow. If necessary, it dials and pings first. If
+// the peer does not respond, it returns an ErrNotSent, by the deadline at the latest. Callers use it to avoid sending a
+// non-idempotent request to a machine that may have failed.
 func (p *Pool) Live(ctx context.Context, deadline time.Time, addr string) (Peer, error) {
 	if c := p.openConn(addr); c != nil && c.recentlyLive() {
 		return Peer{c}, nil
@@ -159,8 +159,8 @@
 	return Peer{c}, nil
 }
 
-// Up reports whether the pool has an open connection to an address.
-func (p *Pool) Up(addr string) bool {
+// IsConnected reports whether the pool has an open connection to an address. It does not dial.
+func (p *Pool) IsConnected(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	entry := p.conns[addr]
@@ -215,8 +215,8 @@
 	return nil
 }
 
-// Ready returns a channel that signals once when Recv would not block because of a message or the end of the stream. It does
-// not signal the end of the deadline or the context. It must be called before the first Recv.
+// Ready returns a channel that receives one value when a message or the end of the stream is available to Recv. It does not
+// signal that the deadline has passed or that the context is done. It must be called before the first Recv.
 func (s *Stream) Ready() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,12 +245,12 @@
 }
 
 // open opens a stream and sends req, which is its only message if fin is set. The stream calls cancel, unless it is nil, when
-// it ends. A zero deadline means none.
+// it ends. A zero deadline means no deadline.
 func (c *conn) open(ctx context.Context, cancel context.CancelFunc, deadline time.Time, method string, req proto.Message, fin bool) (*Stream, error) {
 	c.mu.Lock()
 	if c.closed || len(c.streams) >= maxStreams {
 		c.mu.Unlock()
-		return nil, fmt.Errorf("%w: %s accepts no more streams", ErrNotSent, c.nc.RemoteAddr())
+		return nil, fmt.Errorf("%w: the connection to %s is closed or has too many open streams", ErrNotSent, c.nc.RemoteAddr())
 	}
 	s := newStream(c, c.allocateStreamID(), ctx, cancel)
 	s.deadline, s.meter = deadline, meterOf(method)
@@ -267,8 +267,8 @@
 	return s, nil
 }
 
-// allocateStreamID returns an unused stream ID. IDs wrap after 2^32 streams, so it skips those still in use: a response must
-// not reach another stream. The caller holds mu, and fewer than maxStreams streams are open.
+// allocateStreamID returns an unused stream ID. IDs wrap after 2^32 streams. It skips those still in use, so that a response
+// cannot reach another stream. The caller holds mu, and fewer than maxStreams streams are open.
 func (c *conn) allocateStreamID() uint32 {
 	for c.nextStream == 0 || c.streams[c.nextStream] != nil {
 		c.nextStream++
@@ -278,7 +278,7 @@
 	return id
 }
 
-// Call is Peer.Call over the connection to an address, which it dials if necessary, until ctx is done.
+// Call is like Peer.Call for an address, which it dials if necessary. The deadline is that of ctx.
 func (p *Pool) Call(ctx context.Context, addr, method string, req, resp proto.Message) error {
 	c, err := p.get(ctx, addr)
 	if err != nil {
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	dialTimeout        = 800 * time.Millisecond
+	dialTimeout        = 800 * time.Millisecond // no attempt to dial starts after this time; also the timeout of a TLS handshake
 	dialAttemptTimeout = 250 * time.Millisecond // per attempt; the kernel retransmits a lost SYN only after a second
 	dialRetryPause     = 150 * time.Millisecond // minimum time between a failed dial and the next one
 	maxConns           = 1024                   // accepted connections per server
@@ -148,10 +148,10 @@
 				continue
 			}
 			if errors.Is(err, net.ErrClosed) {
-				return fmt.Errorf("accepting nodes: %w", err)
+				return fmt.Errorf("accepting connections: %w", err)
 			}
 			s.options.Log.Warn("rpc.accept_failed", "err", err)
-			select { // most likely out of file descriptors
+			select { // the usual cause is a lack of file descriptors
 			case <-time.After(50 * time.Millisecond):
 			case <-ctx.Done():
 			}
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	if connBytes := after.BytesReceived - before.BytesReceived; connBytes < 6*window || connBytes > 7*window || after.FramesReceived == before.FramesReceived {
-		t.Errorf("%d bytes on the connection", connBytes)
+		t.Errorf("%d bytes received on the connection, or no frame was counted", connBytes)
 	}
 	if after.Methods[unknownMethod].MessagesReceived == before.Methods[unknownMethod].MessagesReceived || dials != 1 {
 		t.Errorf("an unknown method was not counted, or the pool dialed %d times instead of once", dials)
@@ -207,7 +207,7 @@
 			}
 		}
 		if pings == 0 || pings > c.pings {
-			t.Errorf("%+v: %d pings in ten seconds", c, pings)
+			t.Errorf("%+v: %d pings in ten seconds, want at least one and at most the maximum", c, pings)
 		}
 		pingedAt, deadAt := time.Duration(-1), time.Duration(0)
 		for now := pingInterval; deadAt == 0 && now < time.Minute; now += pingInterval {
@@ -223,7 +223,7 @@
 			}
 		}
 		if deadAt < c.minDelay || deadAt > c.maxDelay {
-			t.Errorf("%+v: the peer was considered dead after %v", c, deadAt)
+			t.Errorf("%+v: the peer was considered dead after %v, want a time within the bounds", c, deadAt)
 		}
 	}
 }
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -19,7 +19,7 @@
 type Stream struct {
 	conn   *conn
 	id     uint32
-	ctx    context.Context    // the caller's; on the server side the stream itself
+	ctx    context.Context    // the caller's context; on the server side the stream itself
 	cancel context.CancelFunc // cancels ctx when the stream ends; may be nil
 	meter  *meter             // counts the messages of the method
 
@@ -286,7 +286,7 @@
 	return nil
 }
 
-// cause returns the error of the stream, or else the cause of its context.
+// cause returns the error of the stream. If it has none, it returns the cause of its context.
 func (s *Stream) cause() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,7 +315,7 @@
 	return s.sendData(data, method, timeoutMs, fin)
 }
 
-// SendEncoded is Send for a message that is already encoded, so that several streams can share the bytes.
+// SendEncoded sends a message that is already encoded. Several streams can share the bytes.
 func (s *Stream) SendEncoded(data []byte) error { return s.sendData(data, "", 0, false) }
 
 func (s *Stream) sendData(data []byte, method string, timeoutMs uint32, fin bool) error {
@@ -343,7 +343,7 @@
 	return nil
 }
 
-// waitCredit blocks until the stream has n bytes of credit, and takes them.
+// waitCredit blocks until the stream has n bytes of credit, and deducts them.
 func (s *Stream) waitCredit(n int) error {
 	for {
 		s.mu.Lock()
@@ -382,7 +382,7 @@
 // PeerError is an error returned by the peer's handler.
 type PeerError struct{ Text string }
 
-func (e *PeerError) Error() string { return "the peer says: " + e.Text }
+func (e *PeerError) Error() string { return "error from the peer: " + e.Text }
 
 // IsPeerError reports whether an error came from the peer's handler.
 func IsPeerError(err error) bool {
