--- a/cmd/ivydeckctl/main.go
+++ b/cmd/ivydeckctl/main.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.With(source), nil
+	return client.WithIdentity(source), nil
 }
 
 func main() {
--- a/internal/config/meshconfig/fuzz_test.go
+++ b/internal/config/meshconfig/fuzz_test.go
@@ -41,7 +41,7 @@
 		"request_limits: a negati": func(m, _ map[string]any) { m["request_limits"] = map[string]any{"max_body_bytes": -1} },
 	} {
 		if _, err := Parse(validBody(t, change)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 	if _, err := Parse(append(validBody(t, nil), 0xc0)); err == nil {
--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -12,8 +12,8 @@
 
 // Bounds on a configuration.
 const (
-	MaxBytes  = 8 << 20 // size of the encoded configuration
-	maxRoutes = 100_000 // applies to routes and to services
+	MaxBytes  = 8 << 20 // maximum size of the encoded configuration
+	maxRoutes = 100_000 // maximum number of routes, and of services
 )
 
 // Backend is a service, to which routes send requests.
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -73,20 +73,20 @@
 			got, err := ParseNext(body, base)
 			want, wantErr := Parse(body)
 			if fmt.Sprint(err) != fmt.Sprint(wantErr) {
-				t.Fatalf("seed %d, round %d: %v, want %v", seed, round, err, wantErr)
+				t.Fatalf("seed %d, round %d: ParseNext returned error %v, want %v as from Parse", seed, round, err, wantErr)
 			}
 			if err != nil {
 				continue
 			}
 			if !reflect.DeepEqual(got.Routes, want.Routes) || !reflect.DeepEqual(got.Backends, want.Backends) || got.Limits != want.Limits || got.Revision != want.Revision {
-				t.Fatalf("seed %d, round %d: %+v, want %+v", seed, round, got, want)
+				t.Fatalf("seed %d, round %d: ParseNext returned %+v, want %+v as from Parse", seed, round, got, want)
 			}
 			if got.index.Len() != len(got.Routes) {
 				t.Fatalf("seed %d, round %d: the index has %d keys for %d routes", seed, round, got.index.Len(), len(got.Routes))
 			}
 			for _, r := range got.Routes {
 				if got.Find(r.Host, r.Prefix+"x/y") != r {
-					t.Fatalf("seed %d, round %d: %+v is not found", seed, round, r)
+					t.Fatalf("seed %d, round %d: Find does not return route %+v", seed, round, r)
 				}
 				total++
 				if base != nil && slices.Contains(base.Routes, r) {
@@ -96,7 +96,7 @@
 			current, base = next, got
 		}
 		if shared*4 < total*3 {
-			t.Errorf("seed %d: %d of %d routes are shared", seed, shared, total)
+			t.Errorf("seed %d: %d of %d routes are shared with the base, want at least 3/4", seed, shared, total)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 			for _, r := range current.Routes {
 				got := patched.Find(r.Host, r.Prefix)
 				if got == nil || got.Key() != r.Key() || got.TimeoutMs != r.TimeoutMs || got.Backend != r.Backend || !slices.Contains(patched.Routes, got) {
-					t.Fatalf("seed %d, round %d: %+v, want %+v", seed, round, got, r)
+					t.Fatalf("seed %d, round %d: Find returned %+v, want a route equal to %+v", seed, round, got, r)
 				}
 			}
 		}
--- a/internal/config/nodefile/nodefile.go
+++ b/internal/config/nodefile/nodefile.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
-const Variable = "IVYDECK_NODE_FILE"
+// PathVariable is the environment variable that holds the path of the settings file.
+const PathVariable = "IVYDECK_NODE_FILE"
 
 const (
-	maxBytes         = 1 << 20 // size of the file
-	maxTraceCapacity = 1 << 20 // in requests
+	maxBytes         = 1 << 20 // maximum size of the file
+	maxTraceCapacity = 1 << 20 // maximum number of requests
 )
 
 // Class is a machine class of the deploy file.
@@ -99,7 +99,7 @@
 // Load reads and validates the file at a path. If its content is invalid, the error wraps ParseErrors.
 func Load(path string) (*Settings, error) {
 	if path == "" {
-		return nil, fmt.Errorf("%s names no settings file", Variable)
+		return nil, fmt.Errorf("settings: the path of the settings file is empty; set %s", PathVariable)
 	}
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/dataplane/sidecar/mesh_test.go
+++ b/internal/dataplane/sidecar/mesh_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	return client.With(source)
+	return client.WithIdentity(source)
 }
 
 // start runs a program in the background. stop ends it and waits until it has returned.
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -40,11 +40,11 @@
 type Client struct {
 	Addresses []string // host:port; tried in order
 	HTTP      http.Client
-	Secure    bool // use HTTPS; set by With
+	Secure    bool // use HTTPS; set by WithIdentity
 }
 
-// With makes the client connect by TLS with an identity, and returns the client.
-func (c *Client) With(source *identity.Source) *Client {
+// WithIdentity makes the client connect by TLS with an identity, and returns the client.
+func (c *Client) WithIdentity(source *identity.Source) *Client {
 	c.Secure, c.HTTP.Transport = true, &http.Transport{TLSClientConfig: source.Client()}
 	return c
 }
--- a/internal/operator/member.go
+++ b/internal/operator/member.go
@@ -13,7 +13,7 @@
 func (c *Client) RemoveMember(ctx context.Context, identity string) error {
 	status, response, err := c.call(ctx, http.MethodPost, "/member/remove/"+url.PathEscape(identity), nil, nil)
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("status %d: %s", status, bytes.TrimSpace(response))
+		err = fmt.Errorf("the quorum returned status %d: %s", status, bytes.TrimSpace(response))
 	}
 	return err
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -48,7 +48,7 @@
 	got := strings.Join(Diff(a, b), "\n")
 	for _, want := range []string{"revision: 4, then 5", "route h.example/a/: removed", "route h.example/b/: added"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q lacks %q", got, want)
+			t.Errorf("the differences %q lack %q", got, want)
 		}
 	}
 	for name, broken := range map[string]string{"x.toml": "revision = ", "y.yaml": "revision: [", "z.msgpack": "\xc1", "w.toml": "revision = 1\n[[route_table]]\nname=\"q\"\n"} {
@@ -85,11 +85,11 @@
 		t.Errorf("Apply returned %v, and the leader received %d of %d bytes", err, len(received), len(body))
 	}
 	if err := c.Apply(context.Background(), 2, body); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "another version") {
-		t.Errorf("stale base revision: %v", err)
+		t.Errorf("Apply with a stale base revision: error %v, want ErrStale", err)
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := c.Apply(ended, 3, body); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("cancelled before a response: %v", err)
+		t.Errorf("Apply with a cancelled context: error %v, want ErrOutcomeUnknown", err)
 	}
 }
--- a/internal/pkg/bytedelta/bytedelta.go
+++ b/internal/pkg/bytedelta/bytedelta.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	blockSize   = 32 // size in bytes of the indexed blocks of the base, by which moved ranges are found
+	blockSize   = 32 // size in bytes of the blocks of the base that are indexed to find moved ranges
 	minCopy     = 12 // minimum length of a copy in bytes, as a copy step takes a few bytes itself
-	maxReplaced = 16 // bound on the replaced bytes that matchInPlace skips
+	maxReplaced = 16 // limit of the number of replaced bytes that matchInPlace skips
 
 	hashFactor = 0x9E3779B97F4A7C15 // 2^64 divided by the golden ratio
 )
--- a/internal/pkg/bytedelta/bytedelta_test.go
+++ b/internal/pkg/bytedelta/bytedelta_test.go
@@ -48,7 +48,7 @@
 		delta := Encode(base, target)
 		got, err := Apply(base, delta, maxSize)
 		if err != nil || !bytes.Equal(got, target) {
-			t.Fatalf("round %d: %v", round, err)
+			t.Fatalf("round %d: Apply returned a different target, or error %v", round, err)
 		}
 		if len(delta) > bound+16 {
 			t.Fatalf("round %d: the delta has %d bytes, want at most 16 more than %d", round, len(delta), bound)
@@ -82,7 +82,7 @@
 		} {
 			delta := Encode(base, target)
 			if got, err := Apply(base, delta, maxSize); err != nil || !bytes.Equal(got, target) {
-				t.Fatalf("%s at %d: %v", name, i, err)
+				t.Fatalf("%s at %d: Apply returned a different target, or error %v", name, i, err)
 			}
 			if len(delta) > 300 {
 				t.Errorf("%s at %d: the delta has %d bytes, want at most 300", name, i, len(delta))
--- a/internal/simulation/lab/client.go
+++ b/internal/simulation/lab/client.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// recordResponse records a violation if a response refuses the attempt although it has run,
-// or without a retry delay.
+// recordResponse records a violation if the response refuses an attempt that has run, or if
+// it refuses the attempt without a retry delay.
 func (t *attempt) recordResponse(response router.Response) {
 	if response.Status == 429 || response.Status == 503 || response.Status == 408 || response.Status == 421 {
 		t.refused = true
--- a/internal/simulation/lab/delivery_test.go
+++ b/internal/simulation/lab/delivery_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, routes := range []int{50, 800} {
 		slow, fast := run(routes, 2), run(routes, 0.02)
-		changes := float64(fast.Acks-slow.Acks) / scenario.Seconds // per second
+		changes := float64(fast.Acks-slow.Acks) / scenario.Seconds // changes per second
 		if changes < 10 {
 			t.Fatalf("%d routes: the runs differ by %.1f changes a second, want at least 10", routes, changes)
 		}
--- a/internal/simulation/lab/network.go
+++ b/internal/simulation/lab/network.go
@@ -95,10 +95,10 @@
 )
 
 // call sends a request to another machine. serve handles the request there; it may call
-// answer, which calls take at the caller when the response arrives. fail is called if no
+// answer, which calls receive at the caller when the response arrives. fail is called if no
 // response arrives within wait; sent is false if the request was certainly not delivered.
-// Neither take nor fail is called after the caller's process has stopped.
-func (n *network) call(from, to *machine, size int, wait time.Duration, serve func(answer func(size int, take func())), fail func(sent bool)) {
+// Neither receive nor fail is called after the caller's process has stopped.
+func (n *network) call(from, to *machine, size int, wait time.Duration, serve func(answer func(size int, receive func())), fail func(sent bool)) {
 	incarnation := from.incarnation
 	p := &pendingCall{fail: func(sent bool) {
 		if from.up && from.incarnation == incarnation {
@@ -116,11 +116,11 @@
 	to.pendingCalls = append(to.pendingCalls, p)
 	n.after(wait, func() { p.end(true) })
 	n.send(from, to, size+rpcBytes, func() {
-		serve(func(size int, take func()) {
+		serve(func(size int, receive func()) {
 			n.send(to, from, size+rpcBytes, func() {
 				if !p.ended && from.incarnation == incarnation {
 					p.ended = true
-					take()
+					receive()
 				}
 			})
 		})
--- a/internal/simulation/lab/report.go
+++ b/internal/simulation/lab/report.go
@@ -56,8 +56,8 @@
 	for _, r := range g.Results {
 		longest = max(longest, len(r.Seconds))
 	}
-	pts := make(plotter.XYs, longest)
-	for i := range pts {
+	points := make(plotter.XYs, longest)
+	for i := range points {
 		sum, n := 0.0, 0
 		for _, r := range g.Results {
 			if i < len(r.Seconds) {
@@ -65,9 +65,9 @@
 				n++
 			}
 		}
-		pts[i].X, pts[i].Y = float64(i), sum/float64(max(1, n))
+		points[i].X, points[i].Y = float64(i), sum/float64(max(1, n))
 	}
-	return pts
+	return points
 }
 
 func renderSVG(p *plot.Plot, w, h vg.Length) (template.HTML, error) {
--- a/internal/simulation/modelcheck/key.go
+++ b/internal/simulation/modelcheck/key.go
@@ -13,8 +13,8 @@
 )
 
 // key returns a hash of the state, which is equal for states that differ only in the members' names. It sorts the members by an
-// encoding that does not contain names, and hashes the smallest encoding of the state over all permutations of members for
-// which that encoding is equal.
+// encoding that does not contain names. Members with equal encodings may be sorted in several orders; it hashes the smallest
+// encoding of the state over all of them.
 func (s *state) key() uint64 {
 	n := len(s.members)
 	local := make([][]byte, n)
--- a/internal/simulation/mutation/mutation.go
+++ b/internal/simulation/mutation/mutation.go
@@ -34,8 +34,8 @@
 	Mutants     []Mutant `toml:"bug"`
 }
 
-// Load reads a list of mutants and checks that each applies to the sources under root. If one does not, the error
-// says why, and the list is returned as well.
+// Load reads a list of mutants and checks that each applies to the sources under root. If some do not, it returns both the
+// list and an error that contains the reason for each.
 func Load(path, root string) (*List, error) {
 	list := new(List)
 	meta, err := toml.DecodeFile(path, list)
--- a/internal/simulation/mutation/run.go
+++ b/internal/simulation/mutation/run.go
@@ -16,7 +16,7 @@
 )
 
 // decisionPackages are the packages whose tests run for every mutant outside package raft, in addition to the changed file's
-// package and the packages that the mutant names. They exclude the I/O drivers, whose tests are slow and kill few more mutants.
+// package and the packages that the mutant names. They exclude the I/O drivers, whose tests are slow.
 var decisionPackages = []string{
 	"./decide", "./internal/controlplane/catalog", "./internal/dataplane/router", "./internal/dataplane/localserver", "./internal/distribution/relay",
 	"./internal/cluster/membership", "./internal/dataplane/budget", "./internal/dataplane/health", "./internal/controlplane/store",
--- a/internal/simulation/scale/agree.go
+++ b/internal/simulation/scale/agree.go
@@ -95,7 +95,7 @@
 }
 
 // divergentRealNode describes a real node that lacks an update or a member. It returns "" if there is none. It runs only
-// once the hollow nodes have converged, as serving metrics costs an idle node more than all its other work in a second.
+// after the hollow nodes have converged, because each request for metrics adds load to an idle node.
 func (r *run) divergentRealNode(ctx context.Context, latest uint64, members int) string {
 	samples, err := r.samples(ctx, realRole)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return ""
 }
 
-// awaitConvergence waits up to Settle until all nodes have the same state. It records in e the time that this took since
-// from, or the reason why the nodes still differ.
+// awaitConvergence waits up to Settle until all nodes have the same state. It records in e the time from the given start to
+// convergence, or the difference that remains between the nodes.
 func (r *run) awaitConvergence(ctx context.Context, e *EventReport, from time.Time) {
 	waitCtx, cancel := context.WithTimeout(ctx, r.Settle)
 	defer cancel()
--- a/internal/simulation/scale/events.go
+++ b/internal/simulation/scale/events.go
@@ -154,7 +154,7 @@
 func (r *run) operatorCalls(ctx context.Context, e *EventReport) error {
 	leader := r.leader(ctx)
 	if leader == nil {
-		return fmt.Errorf("no leader")
+		return fmt.Errorf("no quorum member is the leader")
 	}
 	for _, path := range []string{"/status", "/config/read", "/backup"} {
 		var slowest Call
--- a/internal/simulation/scale/plan.go
+++ b/internal/simulation/scale/plan.go
@@ -36,7 +36,7 @@
 const (
 	bytesPerProcess = 24 << 20
 	bytesPerNode    = 8 << 20
-	bytesPerPair    = 2000 // of each member in a node's view, including garbage
+	bytesPerPair    = 2000 // for one member in the view of one node, including garbage
 )
 
 // Options are the options of a run.
--- a/internal/simulation/scale/scale_test.go
+++ b/internal/simulation/scale/scale_test.go
@@ -64,7 +64,7 @@
 	}
 	report, err := ReadReport(o.Report)
 	if err != nil || len(report.Events) != 3 || report.Processes != 2 || report.Fault != "" {
-		t.Fatalf("report %+v, error %v", report, err)
+		t.Fatalf("unexpected report %+v, or error %v", report, err)
 	}
 	for _, e := range report.Events {
 		for _, name := range []string{"leader", "follower", "real", "hollow"} {
--- a/internal/transport/identity/ca.go
+++ b/internal/transport/identity/ca.go
@@ -71,7 +71,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return fmt.Errorf("identity: %w", err)
+		return fmt.Errorf("identity: generating a key: %w", err)
 	}
 	now := time.Now()
 	template := &x509.Certificate{
@@ -81,7 +81,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return fmt.Errorf("identity: %w", err)
+		return fmt.Errorf("identity: creating a certificate: %w", err)
 	}
 	cert := pem.EncodeToMemory(&pem.Block{Type: certBlock, Bytes: der})
 	private, err := encodeKey(key)
@@ -154,7 +154,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Files{}, fmt.Errorf("identity: %w", err)
+		return Files{}, fmt.Errorf("identity: generating a key: %w", err)
 	}
 	now := time.Now()
 	template := &x509.Certificate{
@@ -167,11 +167,11 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, cert, key.Public(), signer)
 	if err != nil {
-		return Files{}, fmt.Errorf("identity: %w", err)
+		return Files{}, fmt.Errorf("identity: creating a certificate: %w", err)
 	}
 	issued, err := x509.ParseCertificate(der)
 	if err != nil {
-		return Files{}, fmt.Errorf("identity: %w", err)
+		return Files{}, fmt.Errorf("identity: parsing the issued certificate: %w", err)
 	}
 	if _, err := nameOf(issued); err != nil { // the check that peers apply
 		return Files{}, err
@@ -192,7 +192,7 @@
 func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return nil, fmt.Errorf("identity: %w", err)
+		return nil, fmt.Errorf("identity: encoding the private key: %w", err)
 	}
 	return pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: der}), nil
 }
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -91,7 +91,7 @@
 		}
 		if time.Since(entry.usedAt) > time.Minute {
 			if entry.conn != nil {
-				go entry.conn.fail(errors.New("unused"))
+				go entry.conn.fail(errors.New("closed after a minute without use"))
 			}
 			delete(p.conns, addr)
 		}
