--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -45,7 +45,7 @@
 
 // With an invalid configuration the program must print one line and exit with a non-zero
 // code.
-func TestBadConfigurationEndsTheStart(t *testing.T) {
+func TestStartWithInvalidConfiguration(t *testing.T) {
 	cmd, log := command(t, `{"listen":"nowhere"}`)
 	err := cmd.Run()
 	if _, failed := err.(*exec.ExitError); !failed {
@@ -113,7 +113,7 @@
 
 // With a small live heap, the next collection must follow after little growth: a heap that
 // grows for a long time looks like a leak.
-func TestHeapLevelsOffEarly(t *testing.T) {
+func TestSmallHeapGrowth(t *testing.T) {
 	limitMemory(64)
 	runtime.GC()
 	var m runtime.MemStats
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+func TestInstanceIsolation(t *testing.T) {
 	alone, err := runHost(firstTurnLine + bootLine + listLines + requestLine + commitLine)
 	if err != nil {
 		t.Fatal(err)
@@ -215,7 +215,7 @@
 }
 
 // The same events must give the same actions, whether instances share a host or not.
-func TestSameEventsSameActions(t *testing.T) {
+func TestDeterminism(t *testing.T) {
 	const instances = 3
 	lines, owner := generateTraffic(t, instances)
 	all := strings.Join(lines, "")
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -209,8 +209,9 @@
 	return b.meanConcurrency / max(1, capacity+math.Sqrt(capacity)/2)
 }
 
-// linearProbability returns (b-r)/(b-a) for r between a and b, 1 below a and 0 above b. (The paper prints
-// (r-a)/(b-a), which would rise with r.)
+// linearProbability returns (b-r)/(b-a) for r between a and b, 1 below a and 0 above b. This is the
+// admission curve of Zhengdao Xu and Gregor v. Bochmann, "A Probabilistic Approach for Admission Control to
+// Web Servers". They print (r-a)/(b-a), which would rise with r.
 func linearProbability(r, a, b float64) float64 {
 	return min(1, max(0, (b-r)/(b-a)))
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -12,7 +12,7 @@
 		{0, 0.55, 1.05, 1},
 		{0.55, 0.55, 1.05, 1},
 		{0.80, 0.55, 1.05, 0.5},
-		{0.95, 0.55, 1.05, 0.2}, // the formula printed in the paper would give 0.8
+		{0.95, 0.55, 1.05, 0.2}, // the formula printed by Xu and Bochmann would give 0.8
 		{1.05, 0.55, 1.05, 0},
 		{9, 0.55, 1.05, 0},
 	} {
@@ -69,7 +69,7 @@
 
 // Added servers must count as capacity only after r has been low for a while, as the tier behind may be the
 // bottleneck.
-func TestAddedServersCountGradually(t *testing.T) {
+func TestCapacityOfAddedServers(t *testing.T) {
 	b := newFrontProxy(4)
 	b.meanConcurrency = 10
 	before := b.concurrencyRatio()
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -81,10 +81,9 @@
 	}
 }
 
-// Retries of attempts that a full server rejected must use the retry budget, as they would otherwise multiply
-// from tier to tier. Retries after failures to connect must not use it, so that a request can find a server that
-// accepts connections.
-func TestRetriesDrawOnTheBudget(t *testing.T) {
+// Retries after a rejection must use the retry budget, as they would otherwise multiply from tier to tier.
+// Retries after a failure to connect must not, so that a request can find a server that accepts connections.
+func TestRetryBudget(t *testing.T) {
 	for result, maxSends := range map[Result]int{Full: 8 + retryBudgetBurst, TimedOut: 8 + retryBudgetBurst, Unconnected: 8 * 3} {
 		if sends := countSends(result); sends > maxSends || result == Unconnected && sends < maxSends {
 			t.Errorf("%d sends of 8 requests whose attempts all end with result %d, limit %d", sends, result, maxSends)
@@ -176,7 +175,7 @@
 }
 
 // Pending attempts must be cancelled when the client disconnects, if the settings permit it.
-func TestAttemptsOfALeftClientAreCancelled(t *testing.T) {
+func TestCancelAfterClientDisconnect(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		b := newFrontProxy(4)
 		b.settings.MayCancel = mayCancel
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -57,15 +57,15 @@
 			sim.openRequests[1].Class = 5 // Keyed, GroupCell
 			sim.apply([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
 			sim.openRequests[1].attempts[0].pending, sim.openRequests[1].attempts[0].mayHaveRun = false, true
-			sim.apply([]Action{{Kind: Send, Request: 1, Server: "cold", Wait: wait}})
+			sim.apply([]Action{{Kind: Send, Request: 1, Server: "slow-start", Wait: wait}})
 		}},
 		{"send to a draining server", "draining or removed", func(sim *policySim) {
 			sim.apply([]Action{{Kind: Send, Request: 1, Server: "draining", Wait: wait}})
 		}},
-		{"overload of a starting server", "sends to starting server cold", func(sim *policySim) {
+		{"overload of a starting server", "sends to starting server slow-start", func(sim *policySim) {
 			for id := uint64(2); id < 200; id++ {
 				sim.openRequests[id] = &openRequest{Request: Request{ID: id}, deadline: sim.now + time.Second}
-				sim.apply([]Action{{Kind: Send, Request: id, Server: "cold", Wait: wait}})
+				sim.apply([]Action{{Kind: Send, Request: id, Server: "slow-start", Wait: wait}})
 			}
 		}},
 	} {
@@ -74,7 +74,7 @@
 			sim.expectViolation, sim.settings.MaxAttempts = true, 9
 			sim.servers = map[string]*simServer{
 				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"}, unavailable: true},
-				"cold": {Server: Server{ID: "cold", Cell: 1, Started: sim.now}},
+				"slow-start": {Server: Server{ID: "slow-start", Cell: 1, Started: sim.now}},
 			}
 			sim.openRequests = map[uint64]*openRequest{1: {Request: Request{ID: 1, Class: 8}, deadline: sim.now + time.Second}}
 			defer func() {
@@ -139,7 +139,7 @@
 
 // All nodes together must not overload a starting server, although each node observes only its own sends. They
 // must still send it some requests.
-func TestColdBudgetOverManyNodes(t *testing.T) {
+func TestSlowStartBudgetOverManyNodes(t *testing.T) {
 	const restartAt = 5 * time.Second
 	for _, nodes := range []int{4, 24} {
 		set := Settings{
@@ -177,7 +177,7 @@
 
 // A node that starts with a stale stored list must request and apply updates: it must send nothing to a draining
 // or removed server, and with an empty list it must still answer every call.
-func TestStaleListIsFollowed(t *testing.T) {
+func TestStaleStoredList(t *testing.T) {
 	set := Settings{
 		Nodes: 1, ListOnRequest: true, ListRequestInterval: 4 * time.Second, MaxAttempts: 3, AnswerGrace: 10 * ms,
 		Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Value: 1}},
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -9,7 +9,7 @@
 
 // A server that hangs must receive one call at a time after its ejection ends. While it is ejected, it must not
 // count as capacity, so that its calls do not overload the others.
-func TestHungServerIsTriedOneCallAtATime(t *testing.T) {
+func TestHungServerAfterEjection(t *testing.T) {
 	b := newFrontProxy(4)
 	now := time.Second
 	offer(b, now, 1, 20)
@@ -37,7 +37,7 @@
 
 // A zone that is partitioned from this node must be ejected as a whole: ejecting its servers one by one costs many
 // calls, each of which loses time on a failure to connect.
-func TestZoneCutOffIsEjected(t *testing.T) {
+func TestZoneEjection(t *testing.T) {
 	b := New(Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x",
 		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}},
--- a/internal/balancer/node/attempt.go
+++ b/internal/balancer/node/attempt.go
@@ -106,9 +106,9 @@
 	return decide.Broken
 }
 
-// turnedAwayHeader is "1" in the response of a server that rejects a request without
+// rejectedHeader is "1" in the response of a server that rejects a request without
 // executing it because it is at capacity.
-const turnedAwayHeader = "X-Turned-Away"
+const rejectedHeader = "X-Turned-Away"
 
 // resultOf maps a complete response to the result of its attempt.
 func resultOf(resp *http.Response) decide.Result {
@@ -116,7 +116,7 @@
 	case resp.StatusCode == http.StatusOK:
 		return decide.Served
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get(turnedAwayHeader) == "1":
+		resp.Header.Get(rejectedHeader) == "1":
 		return decide.Full
 	}
 	return decide.Errored
--- a/internal/balancer/node/discovery.go
+++ b/internal/balancer/node/discovery.go
@@ -139,15 +139,15 @@
 func (d *discovery) watchCall(ctx context.Context, since *uint64) (bool, *uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var turnedOff, addressChanged bool // read only after the goroutine has ended
+	var watchOff, addressChanged bool // read only after the goroutine has ended
 	ended := make(chan struct{})
 	go func() { // ends before watchCall returns
 		defer close(ended)
 		defer cancel()
-		for !turnedOff && !addressChanged {
+		for !watchOff && !addressChanged {
 			select {
 			case on := <-d.watch:
-				turnedOff = !on
+				watchOff = !on
 			case <-d.addressChanged:
 				addressChanged = true
 			case <-ctx.Done():
@@ -164,7 +164,7 @@
 	cancel()
 	<-ended
 	switch {
-	case turnedOff:
+	case watchOff:
 		return false, since
 	case addressChanged:
 		return true, nil
--- a/internal/balancer/node/discovery_test.go
+++ b/internal/balancer/node/discovery_test.go
@@ -13,7 +13,7 @@
 
 // Each watch call must request changes since the last received generation, so that none
 // is missed, and must follow the previous call at once.
-func TestWatchGoesOn(t *testing.T) {
+func TestConsecutiveWatchCalls(t *testing.T) {
 	s, moved := newFakeServer(t, respond("first")), newFakeServer(t, respond("second"))
 	d := newFakeDiscovery(t)
 	n := startNode(t, testConfig(t, d.Listener.Addr().String(), listOf(41, true, s.addr()), 1024))
@@ -40,7 +40,7 @@
 
 // A malformed list must count as a failed call. It must not be used as an empty or
 // partial list.
-func TestMalformedListIsAFailedCall(t *testing.T) {
+func TestMalformedList(t *testing.T) {
 	s := newFakeServer(t, respond("fine"))
 	for i, list := range []string{
 		"", "{", "{}", "[]", "null", `{"generation":2,"reset":true}`, `{"reset":true,"instances":[]}`,
@@ -86,7 +86,7 @@
 
 // After a change of discovery's address the watch must restart at once at the new address
 // with the full list, whether the last call at the old address was pending or had failed.
-func TestDiscoveryMoves(t *testing.T) {
+func TestDiscoveryAddressChange(t *testing.T) {
 	s, moved := newFakeServer(t, respond("first")), newFakeServer(t, respond("second"))
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprintf("down %v", down), func(t *testing.T) {
@@ -121,7 +121,7 @@
 }
 
 // No request may be sent to a server after a list that reports it as draining or deleted.
-func TestNothingToADrainingServer(t *testing.T) {
+func TestDrainingAndDeletedServers(t *testing.T) {
 	for _, state := range []string{"DRAINING", "DELETED"} {
 		t.Run(state, func(t *testing.T) {
 			s, other := newFakeServer(t, respond("drains")), newFakeServer(t, respond("fine"))
--- a/internal/balancer/node/fakes_test.go
+++ b/internal/balancer/node/fakes_test.go
@@ -87,7 +87,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
 }
 
-// resetConnection is a handler that resets the connection.
+// resetConnection is a handler that sends a TCP reset instead of a response.
 func resetConnection(w http.ResponseWriter, _ *http.Request) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
--- a/internal/balancer/node/limits_test.go
+++ b/internal/balancer/node/limits_test.go
@@ -31,7 +31,7 @@
 
 // A client may send any X-Remaining-Ms. The request's deadline must not exceed that of
 // its class.
-func TestNoLongerThanTheClass(t *testing.T) {
+func TestClassDeadline(t *testing.T) {
 	clock := newClock()
 	f := newFrontend(testConfig(t, deadAddress(t), "null", 1024), clock, nil, nil, discardLogger())
 	for claimed, want := range map[string]time.Duration{
@@ -150,7 +150,7 @@
 }
 
 // An invalid configuration must be rejected with an error of one line.
-func TestBadConfiguration(t *testing.T) {
+func TestInvalidConfiguration(t *testing.T) {
 	good := configText("127.0.0.1:1", "null", 1024)
 	if _, err := parseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
--- a/internal/balancer/node/loop.go
+++ b/internal/balancer/node/loop.go
@@ -130,7 +130,7 @@
 		l.handleRequest(e.pending)
 	case clientGone:
 		if p := e.pending; !p.answered {
-			l.markAnswered(p)
+			l.markDone(p)
 			l.abandon(p)
 		}
 	case attemptEnded:
--- a/internal/balancer/node/node_test.go
+++ b/internal/balancer/node/node_test.go
@@ -13,7 +13,7 @@
 
 // The node must pass on method, path, query and body byte for byte, and the headers that
 // the protocol names: servers reject modified requests with status 400.
-func TestPassesOnUnchanged(t *testing.T) {
+func TestRequestForwarding(t *testing.T) {
 	s := newFakeServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/x-unit")
 		io.WriteString(w, "state\x00\xff")
@@ -43,9 +43,8 @@
 	}
 }
 
-// A request that may have been executed must not be retried if its class forbids it. This
-// includes requests on reused connections, where HTTP client libraries retry after a
-// reset because the server may have closed an idle connection.
+// A request that may have been executed must not be retried if its class forbids it. HTTP
+// client libraries retry after a reset of a reused connection.
 func TestNoSecondExecution(t *testing.T) {
 	for _, class := range []string{"act", "note"} {
 		t.Run(class, func(t *testing.T) {
@@ -156,7 +155,7 @@
 
 // A request without a response from its server must be failed before the client's
 // deadline, and its attempt must be cancelled.
-func TestAnswersInTime(t *testing.T) {
+func TestResponseBeforeClientDeadline(t *testing.T) {
 	s := newFakeServer(t, neverRespond)
 	n := startNodeWithServers(t, s)
 	start := time.Now()
@@ -190,7 +189,7 @@
 
 // A client that closes only its sending side counts as disconnected and must not receive
 // a successful response.
-func TestClientEndsItsSending(t *testing.T) {
+func TestClientHalfClose(t *testing.T) {
 	s := newFakeServer(t, neverRespond)
 	n := startNodeWithServers(t, s)
 	c := dialRaw(t, n)
@@ -219,7 +218,7 @@
 
 // The deadline of an attempt must be cleared afterwards: once it has passed, the check of
 // an idle connection would fail, and a usable connection would be closed.
-func TestDeadlineEndsWithItsAttempt(t *testing.T) {
+func TestDeadlineClearedAfterAttempt(t *testing.T) {
 	s := newFakeServer(t, respond("fine"))
 	n := startNodeWithServers(t, s)
 	exchange(t, request(t, n.url, "/look/1", "", "X-Remaining-Ms", "1000"))
--- a/internal/balancer/node/parsing_test.go
+++ b/internal/balancer/node/parsing_test.go
@@ -62,7 +62,7 @@
 
 // A request with both Content-Length and chunked encoding is ambiguous. Bytes of its body
 // must not be interpreted as another request.
-func TestNoRequestFromInsideBody(t *testing.T) {
+func TestRequestSmuggling(t *testing.T) {
 	s := newFakeServer(t, respond("fine"))
 	n := startNodeWithServers(t, s)
 	const head = " HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 1\r\nX-Remaining-Ms: 15000\r\n"
--- a/internal/balancer/node/requests.go
+++ b/internal/balancer/node/requests.go
@@ -39,7 +39,7 @@
 	request  decide.Request
 	deadline time.Duration // the client's deadline
 	answer   chan answer   // has capacity 1 for the final answer
-	answered bool
+	answered bool          // the request is answered or its client has disconnected
 	attempts []*attempt
 	inFlight int // number of attempts without an outcome
 }
@@ -89,14 +89,14 @@
 	if p == nil || p.answered {
 		return
 	}
-	l.markAnswered(p)
+	l.markDone(p)
 	p.answer <- a
 	l.release(p)
 }
 
-// markAnswered marks a request as answered. Attempts whose request is not yet written are
-// not sent.
-func (l *loop) markAnswered(p *pending) {
+// markDone records that a request is answered or that its client has disconnected.
+// Attempts whose request is not yet written are not sent.
+func (l *loop) markDone(p *pending) {
 	p.answered = true
 	p.call.done.Store(true)
 }
--- a/internal/balancer/node/upstream_test.go
+++ b/internal/balancer/node/upstream_test.go
@@ -8,7 +8,7 @@
 
 // A response over the size limits must fail the attempt at once, not at its timeout, even
 // if the server keeps sending.
-func TestEndlessAnswers(t *testing.T) {
+func TestResponseOverSizeLimit(t *testing.T) {
 	const maxBytes = 256 << 10 // upper bound on the bytes read before the failure
 	for name, c := range map[string]struct{ start, more string }{
 		"head":          {"HTTP/1.1 200 OK\r\n", "X-Pad: pppppppppppppppppppppppp\r\n"},
@@ -41,7 +41,7 @@
 }
 
 // Responses of the maximum size must be read completely, and so must the next one.
-func TestLargestAnswers(t *testing.T) {
+func TestResponseOfMaximumSize(t *testing.T) {
 	node, server := pipeConn(t)
 	pad := "X-Pad: " + strings.Repeat("p", maxHeaderBytes-200) + "\r\n"
 	body := strings.Repeat("b", maxBodyBytes)
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -85,8 +85,8 @@
 	pushPulls        int // number of push/pulls started
 
 	needsSort     bool
-	listedMembers []*wire.Member // result of Members at listedVersion
-	listedVersion uint64
+	cachedMembers []*wire.Member // last result of Members, for cachedVersion
+	cachedVersion uint64
 }
 
 // New returns a Memberlist that contains only self. Its generation should be higher than that of every earlier process of
@@ -108,8 +108,8 @@
 // Members returns the reachable nodes, including this one, sorted by name. The caller must not modify the list or its
 // elements.
 func (l *Memberlist) Members() []*wire.Member {
-	if l.listedVersion == l.version {
-		return l.listedMembers
+	if l.cachedVersion == l.version {
+		return l.cachedMembers
 	}
 	list := make([]*wire.Member, 0, len(l.members)+1)
 	self := l.self
@@ -124,7 +124,7 @@
 	if self != nil {
 		list = append(list, self)
 	}
-	l.listedMembers, l.listedVersion = list, l.version
+	l.cachedMembers, l.cachedVersion = list, l.version
 	return list
 }
 
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestDeathReachesAll guards against nodes that miss the failure, the return or the departure of another node.
-func TestDeathReachesAll(t *testing.T) {
+// TestFailureDissemination guards against nodes that miss the failure, the return or the departure of another node.
+func TestFailureDissemination(t *testing.T) {
 	c := newSimulatedCluster(t, 20)
 	c.run(11 * time.Second)
 	c.checkAlive(20, "initially")
@@ -120,9 +120,9 @@
 	c.checkAlive(19, "after n3 left")
 }
 
-// TestMessageLossAndPartitionsAreNotDeath guards against false failure detection: indirect probes succeed where direct ones
+// TestFalseFailureDetection guards against false failure detection: indirect probes succeed where direct ones
 // are lost, and a suspected node refutes.
-func TestMessageLossAndPartitionsAreNotDeath(t *testing.T) {
+func TestFalseFailureDetection(t *testing.T) {
 	c := newSimulatedCluster(t, 12)
 	c.loss = 0.05
 	c.partitioned = func(from, to string) bool { return from == "n1" && to == "n2" || from == "n2" && to == "n1" }
--- a/internal/cluster/membership/push_pull_test.go
+++ b/internal/cluster/membership/push_pull_test.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestPushPullCostsOnlyDifferences guards against push/pulls whose cost depends on the size of the cluster: one between views
+// TestPushPullCost guards against push/pulls whose cost depends on the size of the cluster: one between views
 // of 28,000 members that differ in one takes a few kilobytes, and one between equal views a single round trip.
-func TestPushPullCostsOnlyDifferences(t *testing.T) {
+func TestPushPullCost(t *testing.T) {
 	var members []*wire.Member
 	for i := range 28_000 {
 		name := fmt.Sprint("node-of-some-zone-", i)
--- a/internal/config/meshconfig/reuse_test.go
+++ b/internal/config/meshconfig/reuse_test.go
@@ -59,9 +59,9 @@
 	return edited
 }
 
-// TestReuseChangesNothing checks that ParseNext returns the same configuration or error as Parse, and shares routes with the
+// TestParseNext checks that ParseNext returns the same configuration or error as Parse, and shares routes with the
 // same bytes.
-func TestReuseChangesNothing(t *testing.T) {
+func TestParseNext(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		current := &Config{}
--- a/internal/config/nodefile/nodefile.go
+++ b/internal/config/nodefile/nodefile.go
@@ -131,7 +131,6 @@
 	errors []string
 }
 
-// addError adds a formatted error.
 func (r *reader) addError(format string, args ...any) {
 	r.errors = append(r.errors, fmt.Sprintf(format, args...))
 }
--- a/internal/config/nodefile/nodefile_test.go
+++ b/internal/config/nodefile/nodefile_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestErrorsAreNamed checks that the error for an incomplete or invalid file is one line that names the key. A change of the
+// TestParseErrors checks that the error for an incomplete or invalid file is one line that names the key. A change of the
 // form key=old removes the line, and key=old=new replaces its value.
-func TestErrorsAreNamed(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for change, want := range map[string]string{
 		"zone=z":                                       "zone is missing",
 		"backend=s":                                    "backend is missing",
--- a/internal/controlplane/raft/compaction_test.go
+++ b/internal/controlplane/raft/compaction_test.go
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestFollowerKeepsNoTransferTail checks that a former leader that was transferring a snapshot keeps only the normal tail.
-func TestFollowerKeepsNoTransferTail(t *testing.T) {
+// TestTailOfFormerLeader checks that a former leader that was transferring a snapshot keeps only the normal tail.
+func TestTailOfFormerLeader(t *testing.T) {
 	node := newLeaderOfLaggingMember(t)
 	if node.SnapshotInTransfer(3) == 0 {
 		t.Fatal("no snapshot is in transfer")
--- a/internal/controlplane/raft/election_test.go
+++ b/internal/controlplane/raft/election_test.go
@@ -6,9 +6,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestLeaderIsForgottenWithoutContact checks that a member without contact with its leader for an election timeout reports
+// TestLeaderContactTimeout checks that a member without contact with its leader for an election timeout reports
 // no leader. This includes learners, which never campaign.
-func TestLeaderIsForgottenWithoutContact(t *testing.T) {
+func TestLeaderContactTimeout(t *testing.T) {
 	peers := newPeers(3)
 	peers.Peers = append(peers.Peers, &wire.Peer{Id: 4})
 	for _, id := range []uint64{1, 4} {
--- a/internal/controlplane/raft/membership_manager.go
+++ b/internal/controlplane/raft/membership_manager.go
@@ -38,7 +38,7 @@
 	JoinAt  []string         // addresses to send this process's join request to
 }
 
-// NewMembershipManager returns the manager for node.
+// NewMembershipManager returns the manager for node. Its first join requests do not wait for joinInterval.
 func NewMembershipManager(node *Node) *MembershipManager {
 	return &MembershipManager{node: node, lastJoinAt: -joinInterval}
 }
--- a/internal/controlplane/raft/membership_test.go
+++ b/internal/controlplane/raft/membership_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestRemovalKeepsSpareVoters checks that mayRemove does not reduce the number of tolerated failures.
-func TestRemovalKeepsSpareVoters(t *testing.T) {
+// TestToleratedFailuresAfterRemoval checks that mayRemove does not reduce the number of tolerated failures.
+func TestToleratedFailuresAfterRemoval(t *testing.T) {
 	for _, test := range []struct {
 		voters         int
 		inContact      []uint64
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestLostDiskIsRemovedAtOnce checks the removal of a voter after another identity has joined from its address. It is
+// TestRemovalAfterDiskLoss checks the removal of a voter after another identity has joined from its address. It is
 // removed without a timeout if there are more voters than wanted, and otherwise once the new member has caught up.
-func TestLostDiskIsRemovedAtOnce(t *testing.T) {
+func TestRemovalAfterDiskLoss(t *testing.T) {
 	for _, voterCount := range []int{3, 4} {
 		leader := newLeaderWithContacts(t, voterCount, otherIDs(voterCount)...)
 		for i, p := range leader.Peers() {
--- a/internal/controlplane/raft/raft.go
+++ b/internal/controlplane/raft/raft.go
@@ -177,7 +177,7 @@
 // IsLeader reports whether this member is the leader.
 func (n *Node) IsLeader() bool { return n.state == stateLeader }
 
-// Term returns the current term.
+// Term returns the current term, which may not be persisted yet.
 func (n *Node) Term() uint64 { return n.hardState.Term }
 
 // send adds a message to the next Ready.
--- a/internal/controlplane/raft/raft_test.go
+++ b/internal/controlplane/raft/raft_test.go
@@ -7,9 +7,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestOlderTermsAreNotCommittedByCounting checks that a leader does not commit an entry of an earlier term by counting
+// TestCommitOfEarlierTerms checks that a leader does not commit an entry of an earlier term by counting
 // replicas. Until an entry of its own term is on a majority, another leader may overwrite that entry (thesis, 3.6.2).
-func TestOlderTermsAreNotCommittedByCounting(t *testing.T) {
+func TestCommitOfEarlierTerms(t *testing.T) {
 	peers := &wire.Peers{Peers: []*wire.Peer{{Id: 1, Voter: true}, {Id: 2, Voter: true}, {Id: 3, Voter: true}}}
 	node := New(1, &wire.HardState{Term: 3}, &wire.RaftSnapshot{Term: 1, Index: 1, Peers: peers},
 		[]*wire.Entry{{Term: 2, Index: 2, Kind: wire.Entry_NO_OP}}, 1, 0)
--- a/internal/controlplane/raft/sim_run_test.go
+++ b/internal/controlplane/raft/sim_run_test.go
@@ -62,7 +62,7 @@
 	slowDisks             bool // members' disks become slow at random
 }
 
-// randomProfile returns a random profile.
+// randomProfile draws a profile. Frequent leader crashes and membership churn exclude each other.
 func randomProfile(rng *rand.Rand) simProfile {
 	profile := simProfile{maxBatchEntries: []int{maxMessageEntries, 1, 2}[rng.IntN(3)], membershipChurn: rng.IntN(3) == 0, memberCount: 3 + rng.IntN(2)}
 	if profile.frequentLeaderCrashes = !profile.membershipChurn && rng.IntN(2) == 0; profile.frequentLeaderCrashes {
--- a/internal/controlplane/server/http_config_test.go
+++ b/internal/controlplane/server/http_config_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSlowBodyIsNotInvalid checks that a body that arrives too slowly returns 408, which operators retry, and not 400,
+// TestSlowBody checks that a body that arrives too slowly returns 408, which operators retry, and not 400,
 // which they don't.
-func TestSlowBodyIsNotInvalid(t *testing.T) {
+func TestSlowBody(t *testing.T) {
 	server := httptest.NewUnstartedServer(newSingleMember(t).routes())
 	server.Config.ReadTimeout = 50 * time.Millisecond
 	server.Start()
--- a/internal/controlplane/server/operator_history_test.go
+++ b/internal/controlplane/server/operator_history_test.go
@@ -101,9 +101,9 @@
 	return history
 }
 
-// TestOperatorsSeeOneHistory checks that the operations of simulated operators are linearizable despite lost answers,
+// TestOperatorLinearizability checks that the operations of simulated operators are linearizable despite lost answers,
 // reordered retries, leader changes, network partitions, frozen and restarted members, snapshots and a restored backup.
-func TestOperatorsSeeOneHistory(t *testing.T) {
+func TestOperatorLinearizability(t *testing.T) {
 	counts, resends, restores, unknown, reconfirmed := map[OperatorResult]int{}, 0, 0, 0, 0
 	for i := range *simSeeds {
 		seed := *simFirstSeed + uint64(i)
@@ -120,7 +120,7 @@
 		}
 		switch porcupine.CheckOperationsTimeout(configModel, sim.history(t), 20*time.Second) {
 		case porcupine.Illegal:
-			t.Errorf("seed %d: the history is not linearizable (go test ./internal/controlplane/server -run TestOperatorsSeeOneHistory -seed %d -seeds 1)", seed, seed)
+			t.Errorf("seed %d: the history is not linearizable (go test ./internal/controlplane/server -run TestOperatorLinearizability -seed %d -seeds 1)", seed, seed)
 		case porcupine.Unknown:
 			unknown++
 		}
--- a/internal/controlplane/server/request_queue_test.go
+++ b/internal/controlplane/server/request_queue_test.go
@@ -56,9 +56,9 @@
 	return r
 }
 
-// TestEntryOfAnotherTermEndsNoRequest checks that a command is not reported as applied if an entry of another term has
+// TestEntryReplacedByAnotherTerm checks that a command is not reported as applied if an entry of another term has
 // replaced its own: a retryable request is queued again, any other fails.
-func TestEntryOfAnotherTermEndsNoRequest(t *testing.T) {
+func TestEntryReplacedByAnotherTerm(t *testing.T) {
 	node := newFollower(0)
 	electLeader(t, node, time.Second)
 	q := newRequestQueue(node, threeVoters, 0)
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestLeadershipLossAnswersAtOnce checks that proposed commands get an outcome when leadership is lost, before their
+// TestRequestsAfterLeadershipLoss checks that proposed commands get an outcome when leadership is lost, before their
 // deadline.
-func TestLeadershipLossAnswersAtOnce(t *testing.T) {
+func TestRequestsAfterLeadershipLoss(t *testing.T) {
 	const now = 10 * time.Second
 	node := newFollower(0)
 	electLeader(t, node, now)
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestTornFiles truncates each file of a store. The store then opens with a prefix of the synced entries, or it opens empty
+// TestTruncatedFiles truncates each file of a store. The store then opens with a prefix of the synced entries, or it opens empty
 // with a new identity and Damaged or Fresh set.
-func TestTornFiles(t *testing.T) {
+func TestTruncatedFiles(t *testing.T) {
 	origin := t.TempDir()
 	s := open(t, origin)
 	id := s.ID
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestSecondFolderIsAFile(t *testing.T) {
+func TestOpenBelowRegularFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x")
 	os.WriteFile(file, nil, 0o644)
 	if _, err := Open(file, rand.New(rand.NewPCG(1, 1))); err == nil || strings.Contains(err.Error(), "\n") {
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestTailIsKept checks that the requested entries before a snapshot survive a restart. Older entries, and entries that a
+// TestRetainedTail checks that the requested entries before a snapshot survive a restart. Older entries, and entries that a
 // leader's snapshot has replaced, are not loaded, even if they are still on disk.
-func TestTailIsKept(t *testing.T) {
+func TestRetainedTail(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	const total = 3 * maxObsoleteDeletes
@@ -249,9 +249,9 @@
 	s.Close()
 }
 
-// TestDamagedFolderIsRemembered simulates a power loss between the renaming of a corrupted folder and the sync of its
+// TestPowerLossDuringReplacement simulates a power loss between the renaming of a corrupted folder and the sync of its
 // replacement. The empty folder must not pass for one of a new member.
-func TestDamagedFolderIsRemembered(t *testing.T) {
+func TestPowerLossDuringReplacement(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir).Close()
 	if err := os.Rename(filepath.Join(dir, "log"), filepath.Join(dir, "log.damaged")); err != nil {
@@ -264,9 +264,9 @@
 	}
 }
 
-// TestManifestsAreNotGuessed checks that a folder is corrupted if CURRENT is missing, incomplete or refers to a missing
+// TestInvalidCurrentFile checks that a folder is corrupted if CURRENT is missing, incomplete or refers to a missing
 // manifest, even if older manifests or a backup of CURRENT exist.
-func TestManifestsAreNotGuessed(t *testing.T) {
+func TestInvalidCurrentFile(t *testing.T) {
 	for name, damage := range map[string]func(dir string) error{
 		"CURRENT missing": func(dir string) error { return os.Remove(filepath.Join(dir, currentName)) },
 		"CURRENT refers to a missing manifest": func(dir string) error {
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -47,7 +47,7 @@
 	return int(b.newest % (buckets + 1))
 }
 
-// CountRequest counts a request to the service.
+// CountRequest records a request to the service, which permits ratio more retries within the window.
 func (b *Budget) CountRequest(now time.Duration) { b.requests[b.roll(now)]++ }
 
 // Available returns the number of retries that may be sent now. It may be negative.
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSumOfAllNodes simulates 13 nodes that get uneven traffic, restart, and retry as
+// TestBoundOverAllNodes simulates 13 nodes that get uneven traffic, restart, and retry as
 // often as allowed, and checks the bound on retries in all sliding windows.
-func TestSumOfAllNodes(t *testing.T) {
+func TestBoundOverAllNodes(t *testing.T) {
 	const (
 		nodes, ratio, slack = 13, 0.2, 64.0
 		window              = 10 * time.Second
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestNothingIsLeftAfterARestart checks that a new budget allows no retries until it
+// TestBudgetAfterRestart checks that a new budget allows no retries until it
 // gets slack, and that charged retries expire with the window.
-func TestNothingIsLeftAfterARestart(t *testing.T) {
+func TestBudgetAfterRestart(t *testing.T) {
 	b := New(0.2, 10*time.Second)
 	if b.Spend(time.Second) {
 		t.Error("a new budget without slack allowed a retry")
--- a/internal/dataplane/health/health_test.go
+++ b/internal/dataplane/health/health_test.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestHanging checks that hanging requests count as failures before they end, and that a hanging server gets one probe per
-// interval until it responds.
-func TestHanging(t *testing.T) {
+// TestHangingRequests checks that hanging requests count as failures before they end, and that a hanging server gets one
+// probe per interval until it responds.
+func TestHangingRequests(t *testing.T) {
 	sim := newHealthSim(3)
 	sim.run(5*time.Second, false, sim.failShare(0, ""))
 	before := sim.sent["z0"] + sim.sent["z1"] + sim.sent["z2"] + sim.sent["z3"]
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestTwoProbesOfOneId checks that two probes with the same ID, sent by different clients, do not block further probes after
+// TestDuplicateProbeID checks that two probes with the same ID, sent by different clients, do not block further probes after
 // they have ended.
-func TestTwoProbesOfOneId(t *testing.T) {
+func TestDuplicateProbeID(t *testing.T) {
 	s := New(0)
 	call := Call{TypicalLatency: 100 * ms}
 	for i := range maxConsecutiveFailures {
--- a/internal/dataplane/http1/http1_test.go
+++ b/internal/dataplane/http1/http1_test.go
@@ -22,8 +22,8 @@
 	return req, body, r, err
 }
 
-// TestRequestsOfUncertainForm checks that requests that two implementations could interpret differently are rejected.
-func TestRequestsOfUncertainForm(t *testing.T) {
+// TestAmbiguousRequests checks that requests that two implementations could interpret differently are rejected.
+func TestAmbiguousRequests(t *testing.T) {
 	const line, host = "GET /a/ HTTP/1.1\r\n", "Host: h\r\n"
 	for name, test := range map[string]struct {
 		text   string
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestHopByHopHeadersStay(t *testing.T) {
+func TestHopByHopHeaders(t *testing.T) {
 	got := string(AppendEndToEnd(nil, Headers{{"Connection", "X-A, keep-alive"}, {"X-A", "1"}, {"X-B", "2"}, {"TE", "x"}, {"Target-Instance", "i"}}, "target-instance"))
 	if got != "X-B: 2\r\n" {
 		t.Errorf("got %q, want only X-B", got)
--- a/internal/dataplane/http1/write.go
+++ b/internal/dataplane/http1/write.go
@@ -12,8 +12,8 @@
 
 // containsName reports whether a list contains a field name, ignoring case.
 func containsName(name string, list []string) bool {
-	for _, listed := range list {
-		if SameName(listed, name) {
+	for _, other := range list {
+		if SameName(other, name) {
 			return true
 		}
 	}
@@ -41,7 +41,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendRequestLine appends the first line of a request.
+// AppendRequestLine appends the request line. It does not validate method and target.
 func AppendRequestLine(dst []byte, method, target string) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
--- a/internal/dataplane/proxy/listener_test.go
+++ b/internal/dataplane/proxy/listener_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestAConnectionIsIdleFromItsAnswerOn checks that the idle timeout runs from the last response, so that a slow response does
+// TestIdleTimeoutAfterResponse checks that the idle timeout runs from the last response, so that a slow response does
 // not shorten it, and that a configured increase applies at once.
-func TestAConnectionIsIdleFromItsAnswerOn(t *testing.T) {
+func TestIdleTimeoutAfterResponse(t *testing.T) {
 	idle := 5 * time.Second
 	conn := &clientConn{listener: &Listener{Bounds: func() Bounds { return Bounds{Idle: idle} }}}
 	start := time.Now()
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestDrainedServersGetNothing checks that servers receive no requests after the drain time, and that a request without any
+// TestDrainedServers checks that servers receive no requests after the drain time, and that a request without any
 // server is rejected with Retry-After.
-func TestDrainedServersGetNothing(t *testing.T) {
+func TestDrainedServers(t *testing.T) {
 	h := newHarnessWithDrain(t, nil, 0)
 	for _, heartbeat := range h.inbound.Servers() {
 		heartbeat.Draining, heartbeat.Seq = true, 1
--- a/internal/dataplane/router/cluster_test.go
+++ b/internal/dataplane/router/cluster_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestUpdatesAddUp applies random changes incrementally and compares the result with that of applying the full state.
-func TestUpdatesAddUp(t *testing.T) {
+// TestIncrementalUpdates applies random changes incrementally and compares the result with that of applying the full state.
+func TestIncrementalUpdates(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newStateSource(seed)
 		var incremental ClusterStateBuilder
--- a/internal/dataplane/router/request.go
+++ b/internal/dataplane/router/request.go
@@ -106,7 +106,7 @@
 // Attempts returns the number of servers that have received the request.
 func (r *Request) Attempts() int { return len(r.reached) }
 
-// Next returns the next action.
+// Next returns the next action: an attempt at a server, a wait, or a response by the node itself.
 func (r *Request) Next(now time.Duration) Action {
 	if now >= r.Deadline {
 		return Action{Response: r.giveUp(now, "no server in time")}
--- a/internal/dataplane/router/router_test.go
+++ b/internal/dataplane/router/router_test.go
@@ -54,9 +54,9 @@
 	return r
 }
 
-// TestTries checks that a request that may have run is retried only if it is idempotent, and that one that has not run is
+// TestRetries checks that a request that may have run is retried only if it is idempotent, and that one that has not run is
 // retried, or answered with a Retry-After.
-func TestTries(t *testing.T) {
+func TestRetries(t *testing.T) {
 	answered := func(status int32) *wire.ForwardResponse {
 		return &wire.ForwardResponse{Result: wire.ForwardResponse_ANSWERED, Status: status}
 	}
--- a/internal/distribution/relay/age_test.go
+++ b/internal/distribution/relay/age_test.go
@@ -7,9 +7,9 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// TestTransitDoesNotHideAge guards against a contact that looks later to the child than it was, however long the feed was in
+// TestAgeWithTransitTime guards against a contact that looks later to the child than it was, however long the feed was in
 // transit, or earlier by more than the request's transit and the clock drift.
-func TestTransitDoesNotHideAge(t *testing.T) {
+func TestAgeWithTransitTime(t *testing.T) {
 	const (
 		parentOffset = 5 * time.Hour // offset of the parent's clock from true time
 		childOffset  = 2 * time.Hour
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestDriftDoesNotHideAge guards against a contact that looks later than it was because of drift between the two clocks.
-func TestDriftDoesNotHideAge(t *testing.T) {
+// TestAgeWithClockDrift guards against a contact that looks later than it was because of drift between the two clocks.
+func TestAgeWithClockDrift(t *testing.T) {
 	for _, contact := range []time.Duration{-20 * time.Second, time.Second, renewAfter} { // time since the subscription
 		for _, driftSign := range []time.Duration{-1, 1} {
 			measured := contact + driftSign*contact/(2*maxClockDriftDivisor) // on the parent's clock
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestHubNeverGoesBack guards against a hub that applies old or gapped changes, or a child that takes an incomplete state for
+// TestHubUpdateOrder guards against a hub that applies old or gapped changes, or a child that takes an incomplete state for
 // current.
-func TestHubNeverGoesBack(t *testing.T) {
+func TestHubUpdateOrder(t *testing.T) {
 	hub := NewHub(func() time.Duration { return 0 })
 	change := func(from, to uint64) *wire.Changes {
 		return &wire.Changes{From: from, To: to, Resources: []*wire.Resource{{Index: to, Value: &wire.Resource_Config{
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -88,11 +88,11 @@
 	if s == nil {
 		return
 	}
-	promise := "no"
+	notExecutedLabel := "no"
 	if notExecuted {
-		promise = "yes"
+		notExecutedLabel = "yes"
 	}
-	s.requests.WithLabelValues(route, fmt.Sprint(status), promise).Inc()
+	s.requests.WithLabelValues(route, fmt.Sprint(status), notExecutedLabel).Inc()
 	s.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
--- a/internal/pkg/bytedelta/bytedelta_test.go
+++ b/internal/pkg/bytedelta/bytedelta_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestRecordsThatAreAlike inserts, deletes, changes or moves one of many similar records, and checks that the delta copies the
+// TestSimilarRecords inserts, deletes, changes or moves one of many similar records, and checks that the delta copies the
 // other records.
-func TestRecordsThatAreAlike(t *testing.T) {
+func TestSimilarRecords(t *testing.T) {
 	record := func(i, value int) string {
 		return fmt.Sprintf("name=record-%d,path=/some/place%d/,kind=the same for all of them,value=%08d,limit=100,weight=0;", i, i, value)
 	}
--- a/internal/simulation/lab/operator.go
+++ b/internal/simulation/lab/operator.go
@@ -65,13 +65,13 @@
 		from = &s.operatorMachine
 	}
 	first := s.rng.IntN(len(s.members))
-	var try func(i int, member *quorumMember)
-	try = func(i int, member *quorumMember) {
+	var callMember func(i int, member *quorumMember)
+	callMember = func(i int, member *quorumMember) {
 		if i > 2*len(s.members) {
 			done(errProposalDropped)
 			return
 		}
-		next := func() { try(i+1, s.members[(first+i+1)%len(s.members)]) }
+		next := func() { callMember(i+1, s.members[(first+i+1)%len(s.members)]) }
 		s.call(from, &member.machine, size, controlCallTimeout, func(answer func(int, func())) {
 			member.post(func() {
 				if !member.raft.IsLeader() {
@@ -80,7 +80,7 @@
 						if leader == nil || leader == member {
 							next()
 						} else {
-							try(i+1, leader)
+							callMember(i+1, leader)
 						}
 					})
 					return
@@ -95,5 +95,5 @@
 			}
 		})
 	}
-	try(0, s.members[first])
+	callMember(0, s.members[first])
 }
--- a/internal/simulation/lab/server.go
+++ b/internal/simulation/lab/server.go
@@ -13,21 +13,21 @@
 
 // server models the application server of a node.
 type server struct {
-	sim          *sim
-	service      *Service
-	node         *node
-	id           string // ID of the current process
-	up           bool
-	draining     bool
-	drainAcked   bool
-	drainAckedAt time.Duration
-	speed        float64       // factor on the work
-	slowdown     float64       // further factor on the work during a fault
-	warmUntil    time.Duration // end of the slow start
-	grey         Fault         // Kind is empty if there is none
-	stalledUntil time.Duration
-	heartbeatSeq uint64 // sequence number of the last heartbeat
-	runs         []*run // runs in progress; ended runs are removed when a run starts
+	sim            *sim
+	service        *Service
+	node           *node
+	id             string // ID of the current process
+	up             bool
+	draining       bool
+	drainAcked     bool
+	drainAckedAt   time.Duration
+	speed          float64 // factor on the work
+	slowdown       float64 // further factor on the work during a fault
+	slowStartUntil time.Duration
+	grey           Fault // Kind is empty if there is none
+	stalledUntil   time.Duration
+	heartbeatSeq   uint64 // sequence number of the last heartbeat
+	runs           []*run // runs in progress; ended runs are removed when a run starts
 }
 
 // run is the execution of a request by a server.
@@ -48,7 +48,7 @@
 	v.sim.incarnations++
 	v.id = fmt.Sprintf("i-%d", v.sim.incarnations)
 	v.up, v.draining, v.drainAcked, v.slowdown, v.stalledUntil, v.heartbeatSeq = true, false, false, max(1, v.slowdown), 0, 0
-	v.warmUntil = v.sim.now + sec(v.service.SlowStartS)
+	v.slowStartUntil = v.sim.now + sec(v.service.SlowStartS)
 	id := v.id
 	v.sim.after(time.Duration(v.sim.rng.Int64N(int64(100*time.Millisecond))), func() { v.heartbeatLoop(id) })
 }
@@ -85,7 +85,7 @@
 	v.heartbeatSeq++
 	reply := v.node.admission.Heartbeat(v.sim.now, localserver.Heartbeat{
 		ID: v.id, Service: v.service.Name, Address: v.node.name, Zone: v.node.zone, Slots: v.service.Slots, Draining: v.draining, Seq: v.heartbeatSeq,
-		WarmupLeft: max(0, v.warmUntil-v.sim.now),
+		WarmupLeft: max(0, v.slowStartUntil-v.sim.now),
 	})
 	v.node.deliverGrants(reply.Grants)
 	if reply.OK && v.draining && !v.drainAcked {
@@ -198,7 +198,7 @@
 	if v.service.Tail > 0 && s.rng.Float64() < v.service.Tail {
 		work = time.Duration(float64(work) * v.service.TailFactor)
 	}
-	if s.now < v.warmUntil {
+	if s.now < v.slowStartUntil {
 		work = time.Duration(float64(work) * max(1, v.service.SlowStartFactor))
 	}
 	return work + max(0, v.stalledUntil-s.now)
--- a/internal/simulation/scale/events.go
+++ b/internal/simulation/scale/events.go
@@ -44,7 +44,7 @@
 	{"loss", "a tenth of the hollow nodes fail at once", (*run).nodeLoss},
 	{"return", "the failed nodes start again", (*run).recover},
 	{"cut", "a region is partitioned, and a route is changed meanwhile; convergence is timed from the end of the partition", (*run).regionPartition},
-	{"cold", "all processes are killed and start again at once", (*run).coldStart},
+	{"cold", "all processes are killed and start again at once", (*run).fullRestart},
 }
 
 // EventNames returns the names of all events, in the order in which a run executes them.
--- a/internal/simulation/scale/failures.go
+++ b/internal/simulation/scale/failures.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func (r *run) coldStart(ctx context.Context, e *EventReport) error {
+func (r *run) fullRestart(ctx context.Context, e *EventReport) error {
 	r.killAll()
 	clear(r.running)
 	startedAt := time.Now()
--- a/internal/simulation/scale/machines.go
+++ b/internal/simulation/scale/machines.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// startQuorum starts the quorum members.
+// startQuorum starts a quorum member on each of the first quorumSize machines.
 func (r *run) startQuorum() error {
 	for machine := range quorumSize {
 		if err := r.startReal(machine, "core", "ivydeck-control", quorumRole); err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// startRealNodes starts the real nodes.
+// startRealNodes starts the sidecars of the real nodes, on the machines after those of the quorum.
 func (r *run) startRealNodes() error {
 	for machine := quorumSize; machine < quorumSize+r.Real; machine++ {
 		if err := r.startReal(machine, "sidecar", "ivydeck-data", realRole); err != nil {
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -183,7 +183,7 @@
 	return quantile(all, 0.5), nil
 }
 
-// newNodeState returns a node with an empty state.
+// newNodeState returns the state of node 0 with an empty hub and a memberlist that contains only the node.
 func newNodeState(o *StateOptions) *nodeState {
 	n := &nodeState{hub: relay.NewHub(func() time.Duration { return 0 }), memberlist: membership.New(o.member(0), 1, 0)}
 	n.outbound = &proxy.Outbound{Node: nodeName(0), Zone: o.zone(0), Backend: serviceName(0), RetryRatio: 0.2, RetryWindow: 10 * time.Second,
--- a/internal/simulation/simdisk/folder.go
+++ b/internal/simulation/simdisk/folder.go
@@ -34,7 +34,7 @@
 	synced int // length of the durable prefix of data, in bytes
 }
 
-// NewFolder returns an empty folder.
+// NewFolder returns an empty folder without a scheduled power loss.
 func NewFolder() *Folder {
 	return &Folder{current: map[string]*inode{}, durable: map[string]*inode{}, unsynced: map[string][]*inode{}, operationsLeft: -1, powerLost: make(chan struct{})}
 }
--- a/internal/simulation/standin/standin.go
+++ b/internal/simulation/standin/standin.go
@@ -93,13 +93,13 @@
 func (s *Server) sendHeartbeat(ctx context.Context) {
 	s.mu.Lock()
 	s.sequence++
-	beat := heartbeat{Service: s.options.Service, Address: s.options.Address, Zone: s.options.Zone, Slots: s.options.Slots,
+	message := heartbeat{Service: s.options.Service, Address: s.options.Address, Zone: s.options.Zone, Slots: s.options.Slots,
 		Status: "in_service", Sequence: s.sequence}
 	if s.draining {
-		beat.Status = "draining"
+		message.Status = "draining"
 	}
 	s.mu.Unlock()
-	body, err := msgpack.Marshal(&beat)
+	body, err := msgpack.Marshal(&message)
 	if err != nil {
 		return
 	}
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestFramesCountAsContact checks that OnFrame is called for each frame of a message.
-func TestFramesCountAsContact(t *testing.T) {
+// TestOnFrame checks that OnFrame is called for each frame of a message.
+func TestOnFrame(t *testing.T) {
 	addr, pool, _ := serve(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
--- a/internal/transport/sock/sock.go
+++ b/internal/transport/sock/sock.go
@@ -17,7 +17,7 @@
 	read   func(fd uintptr) bool // created once, as Idle is called for each request
 }
 
-// NewInspector returns an Inspector for a connection.
+// NewInspector returns an Inspector for a connection, which the caller still owns.
 func NewInspector(raw syscall.RawConn) *Inspector {
 	i := &Inspector{raw: raw}
 	i.read = func(fd uintptr) bool {
