--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -30,7 +30,7 @@
 		return errors.Join(append(errs, enc.Encode(statuses))...)
 	}
 	for _, s := range statuses {
-		fmt.Printf("%s: is leader %v, leader %s, term %d, commit index %d, revision %d\n", s.Node, s.IsLeader, s.Leader, s.Term, s.Commit, s.Revision)
+		fmt.Printf("%s: is leader %v, leader address %s, term %d, commit index %d, revision %d\n", s.Node, s.IsLeader, s.Leader, s.Term, s.Commit, s.Revision)
 		if !s.IsLeader {
 			continue
 		}
@@ -59,7 +59,8 @@
 	return server.Status{}, errors.Join(append(errs, errors.New("none of the queried quorum members is the leader"))...)
 }
 
-// table prints value as indented JSON, or a table of the header and the lines of tab-separated cells that rows writes.
+// table prints value as indented JSON, or a table of the header and of the rows, which rows writes as lines of tab-separated
+// cells.
 func table(output string, value any, header string, rows func(w io.Writer)) error {
 	if output == "json" {
 		enc := json.NewEncoder(os.Stdout)
--- a/cmd/ivydeckctl/top.go
+++ b/cmd/ivydeckctl/top.go
@@ -91,7 +91,7 @@
 		nodes = append(nodes, r)
 		served, refused, failed = served+r.served, refused+r.refused, failed+r.failed
 	}
-	fmt.Fprintf(out, "%s  %d nodes (%d silent): %.1f served, %.1f refused, %.1f failed a second\n",
+	fmt.Fprintf(out, "%s  %d nodes (%d did not respond): %.1f served, %.1f refused, %.1f failed per second\n",
 		time.Now().Format(time.TimeOnly), current.Queried, current.Unresponsive, served, refused, failed)
 	showServices(out, current.Nodes)
 	c.showNodes(out, nodes)
--- a/cmd/ivydeckctl/top_test.go
+++ b/cmd/ivydeckctl/top_test.go
@@ -42,7 +42,7 @@
 	(&topCmd{Rows: 1}).show(&out, server.NodeReports{}, current, time.Hour)
 	lines := strings.Split(out.String(), "\n")
 	fields := func(i int) string { return strings.Join(strings.Fields(lines[i]), " ") }
-	if !strings.Contains(lines[0], "3 nodes (1 silent): 60.0 served, 0.0 refused, 5.0 failed a second") ||
+	if !strings.Contains(lines[0], "3 nodes (1 did not respond): 60.0 served, 0.0 refused, 5.0 failed per second") ||
 		fields(2) != "s 2 1 0 6 2 8 0.60 0.25 4" || fields(4) != "bad 10.0 0.0 5.0 0 0 0" || fields(6) != "i-2 s bad 4 2 4 * false" || len(lines) != 8 {
 		t.Errorf("unexpected output:\n%s", out.String())
 	}
--- a/internal/controlplane/raft/snapshot_sim_test.go
+++ b/internal/controlplane/raft/snapshot_sim_test.go
@@ -15,7 +15,7 @@
 )
 
 var catchUpSeeds = flag.Int("catchup-seeds", 9, "number of simulated runs of lagging members under a full rate of changes")
-var firstCatchUpSeed = flag.Uint64("catchup-seed", 0, "seed of the first of these runs")
+var firstCatchUpSeed = flag.Uint64("catchup-seed", 0, "seed of the first simulated run of lagging members")
 
 // This simulation tests how lagging members catch up. A quorum commits changes at full rate, and the transfer of a snapshot
 // takes seconds. Members crash, freeze and are cut off, also while a snapshot is transferred, installed or written.
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -28,8 +28,8 @@
 	return mux
 }
 
-// requireOperator rejects TLS calls from peers without the operator role. Routes without this check are open to
-// every role, because they show only which processes exist and what state they are in.
+// requireOperator rejects TLS calls from peers without the operator role. Routes without this check are read-only and
+// open to every role. They return the current configuration and the state of processes and servers.
 func (srv *Server) requireOperator(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS != nil {
--- a/internal/controlplane/server/operator_requests.go
+++ b/internal/controlplane/server/operator_requests.go
@@ -15,8 +15,8 @@
 type OperatorResult int
 
 // Results of operators' requests. Stale and Invalid are final: the change was not accepted and never will be. After
-// Redirected and Unavailable, the change may have been committed or may still be; the operator can safely retry the
-// same change.
+// Redirected and Unavailable, the change may have been committed or may be committed later; the operator can safely
+// retry the same change.
 const (
 	Unavailable     OperatorResult = iota // retry after a pause, possibly at another member
 	Redirected                            // retry at the leader
@@ -59,14 +59,14 @@
 	Body   []byte     // set for Found
 }
 
-// operatorRequests processes operators' requests. It is a state machine without I/O, driven by the loop. Each request
-// gets exactly one answer, at its deadline at the latest.
+// operatorRequests processes operators' requests. It is a state machine without I/O, driven by the server's loop. Each
+// request gets exactly one answer, at its deadline at the latest.
 type operatorRequests struct {
 	requests *requestQueue
 	state    func() backup.Backup // returns the applied state
 }
 
-// replacement is an operator's new configuration and the command that replaces the current one by it.
+// replacement is an operator's new configuration and the command that replaces the current one with it.
 type replacement struct {
 	command  *wire.Command
 	change   catalog.Change
--- a/internal/controlplane/server/operator_sim_test.go
+++ b/internal/controlplane/server/operator_sim_test.go
@@ -31,7 +31,7 @@
 	simCompactAfter = 12          // entries after which the log is compacted
 )
 
-// simPadding is common to all configurations, so that the log contains differences between them.
+// simPadding is part of every configuration, so that changes are logged as deltas.
 var simPadding = strings.Repeat("service", 60)
 
 // simMember is a simulated quorum member with a simulated disk and the production consensus, state, request queue and
@@ -45,7 +45,7 @@
 	api          operatorRequests
 	appliedIndex uint64
 	startAt      time.Duration // time of the restart while the member is down
-	powerLoss    bool          // while down, the address doesn't respond; otherwise it refuses connections
+	powerLoss    bool          // the address doesn't respond while the member is down; if false, it refuses connections
 	frozenUntil  time.Duration // the member doesn't run before this time
 	inbox        []simMessage
 }
@@ -95,8 +95,8 @@
 	newestAccepted uint64   // newest acknowledged revision
 	lastID         int      // last number used in identities of members and configurations
 	answerLoss     float64  // probability that a conclusive answer is lost
-	maxPerOperator int      // concurrent operations
-	acceptedLimit  int      // accepted changes that members remember; 0 for the production limit
+	maxPerOperator int      // maximum number of concurrent operations of an operator
+	acceptedLimit  int      // number of accepted changes that a member keeps; 0 for the production limit
 	faultless      bool     // no faults are injected
 	paused         bool     // no new operations until the restore
 	restoreData    []byte   // snapshot data to restore at the end of this step
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		if !bytes.Equal(r.snapshot.Data, data) || len(r.catalog.Servers()) != 12000 {
-			t.Errorf("received %d bytes, want %d; or servers are missing", len(r.snapshot.Data), len(data))
+			t.Errorf("received %d bytes, want %d; the data differs or servers are missing", len(r.snapshot.Data), len(data))
 		}
 		if err := st.Save(store.Batch{Snapshot: r.snapshot, Staged: r.staged, ReplacesLog: true}); err != nil {
 			t.Fatal(err)
@@ -137,10 +137,10 @@
 	st := openStore(t, dir)
 	defer st.Close()
 	if st.Snapshot.GetIndex() != 900 || !bytes.Equal(st.Snapshot.Data, data) {
-		t.Errorf("snapshot after a restart has index %d and %d bytes", st.Snapshot.GetIndex(), len(st.Snapshot.GetData()))
+		t.Errorf("snapshot after a restart has index %d and %d bytes, want index 900 and the data that was sent", st.Snapshot.GetIndex(), len(st.Snapshot.GetData()))
 	}
 	if attempts < 3 || total > len(data)+attempts*maxUnacknowledged {
-		t.Errorf("%d bytes sent in %d attempts for a snapshot of %d bytes", total, attempts, len(data))
+		t.Errorf("%d bytes sent in %d attempts for a snapshot of %d bytes, want at least 3 attempts and at most maxUnacknowledged resent bytes for each", total, attempts, len(data))
 	}
 }
 
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -14,7 +14,8 @@
 //	save.go      atomic batches; incremental deletion of obsolete entries
 //	record.go    keys, checksums, formats
 //	snapshot.go  snapshots in files: staged, or received in chunks
-//	storage.go   goleveldb's storage in a Folder; folder.go a Folder of the operating system
+//	storage.go   goleveldb's storage in a Folder
+//	folder.go    Folder, and its implementation on the operating system's files
 package store
 
 import (
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -100,7 +100,8 @@
 	return resp.StatusCode, respBody, err
 }
 
-// Read returns the current configuration, encoded as the operator sent it and parsed. Both are nil if there is none.
+// Read returns the current configuration: its encoding as sent by the operator, and its parsed form. Both are nil if there
+// is none.
 func (c *Client) Read(ctx context.Context) ([]byte, *meshconfig.Config, error) {
 	status, body, err := c.call(ctx, http.MethodGet, "/config/read", nil, nil)
 	switch {
@@ -164,7 +165,7 @@
 	return json.Unmarshal(body, into)
 }
 
-// Trace returns the trace records of a request and its calls that the nodes keep.
+// Trace returns the nodes' trace records of a request and of its downstream calls.
 func (c *Client) Trace(ctx context.Context, attempt string) (trace server.Trace, err error) {
 	return trace, c.fetch(ctx, "/trace/"+url.PathEscape(attempt), &trace)
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -36,13 +36,13 @@
 		return body, config, err
 	}
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", path, err)
+		return nil, nil, fmt.Errorf("parsing %s: %w", path, err)
 	}
 	var encoded bytes.Buffer
 	enc := msgpack.NewEncoder(&encoded)
 	enc.SetSortMapKeys(true) // deterministic, so that a resent file is recognized
 	if err := enc.Encode(values); err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", path, err)
+		return nil, nil, fmt.Errorf("encoding %s as MessagePack: %w", path, err)
 	}
 	config, err := meshconfig.Parse(encoded.Bytes())
 	return encoded.Bytes(), config, err
@@ -86,7 +86,7 @@
 	return m
 }
 
-// backends returns the services by name.
+// backends returns the backends by name.
 func backends(c *meshconfig.Config) map[string]any {
 	m := map[string]any{}
 	for _, b := range c.Backends {
--- a/internal/simulation/modelcheck/modelcheck_test.go
+++ b/internal/simulation/modelcheck/modelcheck_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestShortestTrace checks that a search finds an injected fault, votes that do not survive a crash, with a shortest trace, and
+// TestShortestTrace checks that a search finds a shortest trace to the violation caused by votes that are lost in a crash, and
 // that the search is deterministic.
 func TestShortestTrace(t *testing.T) {
 	b := Bounds{Members: 3, Terms: 2, Link: 1, Crashes: 1, LoseVotes: true}
@@ -88,7 +88,7 @@
 func TestWalks(t *testing.T) {
 	r := Walks(WalkOptions{Walks: 300, Seed: 1, Steps: 150})
 	if r.Violation != "" || !r.Complete || r.Steps < 300*100 {
-		t.Errorf("%d steps; violation with seed %d: %s\n%s", r.Steps, r.Seed, r.Violation, strings.Join(r.Trace, "\n"))
+		t.Errorf("%d steps, want at least 30000; violation with seed %d: %s\n%s", r.Steps, r.Seed, r.Violation, strings.Join(r.Trace, "\n"))
 	}
 	t.Logf("%d steps in %v", r.Steps, r.Elapsed)
 	a, b := walk(7, 100), walk(7, 100)
--- a/internal/transport/identity/ca.go
+++ b/internal/transport/identity/ca.go
@@ -35,13 +35,13 @@
 )
 
 // Authority is a certificate authority stored in a folder: a key, its certificate, and the bundle of trusted certificates.
-// The folder holds the private key and stays with the issuer. Processes receive the bundle and the files written by Issue.
+// The folder contains the private key and must not be distributed. Processes receive the bundle and the files written by Issue.
 type Authority struct{ dir string }
 
-// NewAuthority creates an authority in a folder. It is an error if the folder already holds one.
+// NewAuthority creates an authority in a folder. It returns an error if the folder already holds one.
 func NewAuthority(dir string, validity time.Duration) (*Authority, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("identity: %w", err)
+		return nil, fmt.Errorf("identity: creating the authority's folder: %w", err)
 	}
 	a := &Authority{dir}
 	if _, err := os.Stat(a.path(caKey)); !errors.Is(err, fs.ErrNotExist) {
@@ -98,7 +98,7 @@
 func (a *Authority) Rotate(validity time.Duration) error {
 	old, err := os.ReadFile(a.path(caCert))
 	if err != nil {
-		return fmt.Errorf("identity: %w", err)
+		return fmt.Errorf("identity: reading the authority: %w", err)
 	}
 	return a.renew(validity, old)
 }
@@ -107,7 +107,7 @@
 func (a *Authority) Retire() error {
 	cert, err := os.ReadFile(a.path(caCert))
 	if err != nil {
-		return fmt.Errorf("identity: %w", err)
+		return fmt.Errorf("identity: reading the authority: %w", err)
 	}
 	return replaceFile(a.path(caBundle), cert, 0o644)
 }
@@ -124,7 +124,7 @@
 	}
 	cert, err := x509.ParseCertificate(block.Bytes)
 	if err != nil {
-		return nil, nil, fmt.Errorf("identity: %s: %w", a.path(caCert), err)
+		return nil, nil, fmt.Errorf("identity: parsing %s: %w", a.path(caCert), err)
 	}
 	if data, err = os.ReadFile(a.path(caKey)); err != nil {
 		return nil, nil, fmt.Errorf("identity: reading the authority: %w", err)
@@ -134,7 +134,7 @@
 	}
 	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, nil, fmt.Errorf("identity: %s: %w", a.path(caKey), err)
+		return nil, nil, fmt.Errorf("identity: parsing %s: %w", a.path(caKey), err)
 	}
 	signer, ok := key.(crypto.Signer)
 	if !ok {
@@ -181,7 +181,7 @@
 		return Files{}, err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return Files{}, fmt.Errorf("identity: %w", err)
+		return Files{}, fmt.Errorf("identity: creating the output folder: %w", err)
 	}
 	f := Files{Cert: filepath.Join(dir, name.Name+".crt"), Key: filepath.Join(dir, name.Name+".key"), Bundle: a.Bundle()}
 	// The certificate is written last. A process that reloads in between finds a key that does not match, and keeps its
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -19,7 +19,7 @@
 // Role determines which methods the holder of a certificate may call.
 type Role string
 
-// The roles. A certificate has exactly one. The values are frozen, as certificates contain them.
+// The roles. A certificate has exactly one. The values must not change, because certificates contain them.
 const (
 	QuorumMember Role = "core"     // member of the Raft quorum
 	Node         Role = "node"     // sidecar machine
@@ -60,7 +60,7 @@
 	case found != 1:
 		return Name{}, fmt.Errorf("identity: the certificate has %d names of the form %s://ROLE/NAME, want exactly one", found, scheme)
 	case name.Name == "" || strings.Contains(name.Name, "/"):
-		return Name{}, fmt.Errorf("identity: the certificate's name is %q", name.Name)
+		return Name{}, fmt.Errorf("identity: the certificate's name is %q, want a non-empty name without a slash", name.Name)
 	}
 	for _, r := range roles {
 		if name.Role == r {
@@ -107,7 +107,7 @@
 func read(files Files) (credentials, error) {
 	cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	if err != nil {
-		return credentials{}, fmt.Errorf("identity: %s with %s: %w", files.Cert, files.Key, err)
+		return credentials{}, fmt.Errorf("identity: loading certificate %s with key %s: %w", files.Cert, files.Key, err)
 	}
 	name, err := nameOf(cert.Leaf)
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	bundle, err := os.ReadFile(files.Bundle)
 	if err != nil {
-		return credentials{}, fmt.Errorf("identity: %w", err)
+		return credentials{}, fmt.Errorf("identity: reading the bundle: %w", err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(bundle) {
@@ -207,7 +207,7 @@
 	}
 	leaf := cs.PeerCertificates[0]
 	if _, err := leaf.Verify(x509.VerifyOptions{Roots: s.credentials().roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
-		return fmt.Errorf("identity: the peer's certificate: %w", err)
+		return fmt.Errorf("identity: verifying the peer's certificate: %w", err)
 	}
 	_, err := nameOf(leaf)
 	return err
--- a/internal/transport/identity/identity_test.go
+++ b/internal/transport/identity/identity_test.go
@@ -39,7 +39,8 @@
 	return s
 }
 
-// handshake performs a TLS handshake over a pipe. It returns the peer name and the error of the server (0) and the client (1).
+// handshake performs a TLS handshake over a pipe. It returns the peer's name and the error as seen by the server (index 0) and
+// by the client (index 1).
 func handshake(server, client *tls.Config) (peers [2]Name, errs [2]error) {
 	a, b := net.Pipe()
 	defer a.Close()
