--- a/cmd/ivydeckctl/status.go
+++ b/cmd/ivydeckctl/status.go
@@ -59,8 +59,8 @@
 	return server.Status{}, errors.Join(append(errs, errors.New("none of the queried quorum members is the leader"))...)
 }
 
-// table prints value as indented JSON, or a table of the header and of the rows, which rows writes as lines of tab-separated
-// cells.
+// table prints value as indented JSON if output is json. Otherwise it prints a table with the given header; rows writes the
+// lines below it, with tabs between the cells.
 func table(output string, value any, header string, rows func(w io.Writer)) error {
 	if output == "json" {
 		enc := json.NewEncoder(os.Stdout)
--- a/internal/controlplane/catalog/view_test.go
+++ b/internal/controlplane/catalog/view_test.go
@@ -53,7 +53,7 @@
 		case g.rng.IntN(4) == 0 && len(routes) > 1:
 			routes = slices.Delete(routes, at, at+1)
 		case g.rng.IntN(3) == 0 && len(routes) > 1:
-			i, j := g.rng.IntN(len(routes)), g.rng.IntN(len(routes)) // the order has no meaning
+			i, j := g.rng.IntN(len(routes)), g.rng.IntN(len(routes)) // the order of routes has no effect
 			routes[i], routes[j] = routes[j], routes[i]
 		default:
 			r := g.route(g.rng.IntN(50))
@@ -131,7 +131,7 @@
 		source := New()
 		history := map[uint64]string{0: ""}
 		configs := map[uint64]*meshconfig.Config{}
-		touched := []int{0} // by index
+		touched := []int{0} // number of resources changed at each index
 		views := make([]*View, 12)
 		for i := range views {
 			views[i] = NewView()
@@ -149,7 +149,7 @@
 				touched = append(touched, len(changes.Resources))
 				history[source.Index()], configs[source.Index()] = content(source.view), source.config
 			}
-			if g.rng.IntN(60) == 0 { // a member that was restored from a snapshot behaves alike
+			if g.rng.IntN(60) == 0 { // continue with a source restored from a snapshot
 				data, err := source.Snapshot()
 				source = New()
 				if err = restoreSnapshot(source, data, err); err != nil {
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// waitFor waits for an event whose attributes match.
+// waitFor waits for an event with the given name and matching attributes. The test fails after a minute without one.
 func (l eventLog) waitFor(t *testing.T, name string, matches func(attrs map[string]slog.Value) bool) {
 	t.Helper()
 	timeout := time.After(time.Minute)
@@ -61,7 +61,7 @@
 	settings []*nodefile.Settings
 }
 
-// newTestQuorum returns a quorum with the settings of its members, none of which is started.
+// newTestQuorum returns a quorum of the given number of members, none of which is started.
 func newTestQuorum(t *testing.T, members int) *testQuorum {
 	q := &testQuorum{t: t}
 	subnet := fmt.Sprintf("127.%d.%d", 20+rand.IntN(200), 1+rand.IntN(250))
@@ -101,8 +101,8 @@
 	return log, stop
 }
 
-// register registers the servers numbered from up to but excluding to. It sends proposals to the first member, and then
-// to the leader named in responses.
+// register registers the servers with numbers in [from, to). It sends proposals to the first member, and then to the
+// leader named in responses.
 func (q *testQuorum) register(from, to int) {
 	ctx, cancel := context.WithTimeout(q.t.Context(), time.Minute)
 	defer cancel()
--- a/internal/controlplane/server/membership_driver.go
+++ b/internal/controlplane/server/membership_driver.go
@@ -21,7 +21,7 @@
 
 // membershipDriver performs the I/O of raft.MembershipManager: it sends join requests, proposes the leader's membership
 // changes, handles join and leave requests, and runs the graceful shutdown of this process. Only the loop may access
-// its fields, except joinQueue.
+// manager and learners.
 type membershipDriver struct {
 	server    *Server
 	manager   *raft.MembershipManager
@@ -63,8 +63,8 @@
 	return known
 }
 
-// propose proposes a membership change, if there is one. If another change is in progress, the proposal fails, and the
-// manager returns it again at a later tick.
+// propose proposes a membership change, if there is one. It fails while another change is in progress. tick retries, as
+// the manager returns its changes again.
 func (m *membershipDriver) propose(change raft.MembershipChange) error {
 	if change.Next == nil {
 		return nil
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// reportLateLearners logs each learner that was not promoted within sync_time_s. After that time, the quorum has to
-// tolerate the next loss.
+// reportLateLearners logs each learner that was not promoted within sync_time_s, the time after which the quorum should
+// tolerate another loss.
 func (m *membershipDriver) reportLateLearners() {
 	srv := m.server
 	if !srv.consensus.IsLeader() {
@@ -172,8 +172,8 @@
 	})
 }
 
-// beginLeave starts the graceful shutdown of this process. finished is closed once another member leads and a majority
-// of the remaining voters has all of the log.
+// beginLeave starts the graceful shutdown of this process. finished is closed once the process may exit; see
+// leaveAction and raft.LeaveStatus.
 func (m *membershipDriver) beginLeave() (finished <-chan struct{}) {
 	m.manager.Leave()
 	done := make(chan struct{})
@@ -211,15 +211,15 @@
 func (m *membershipDriver) nextLeaveAction() leaveAction {
 	srv := m.server
 	isVoter := false
-	others := 0
+	otherVoters := 0
 	for _, p := range srv.consensus.Peers() {
 		if p.Id == srv.store.ID {
 			isVoter = p.Voter
 		} else if p.Voter {
-			others++
+			otherVoters++
 		}
 	}
-	if !isVoter || others == 0 {
+	if !isVoter || otherVoters == 0 {
 		return leaveAction{done: true}
 	}
 	if srv.consensus.IsLeader() {
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	if st.Damaged != nil {
-		log.Error("store.damaged", "err", st.Damaged, "moved_to", "log.damaged, beside the new folder")
+		log.Error("store.damaged", "err", st.Damaged, "moved_to", "log.damaged in data_dir")
 	}
 	poolOptions := rpc.PoolOptions{Identity: source}
 	srv := &Server{
--- a/internal/controlplane/store/powerloss_test.go
+++ b/internal/controlplane/store/powerloss_test.go
@@ -95,7 +95,7 @@
 		return store.Batch{Snapshot: snapshot, Staged: staged, ReplacesLog: true, HardState: &wire.HardState{Term: term}}, err
 	default:
 		from := current.last() + 1
-		if rng.IntN(4) == 0 { // entries of another leader replace some
+		if rng.IntN(4) == 0 { // entries of another leader overwrite the end of the log
 			from -= uint64(rng.IntN(len(current.entries) + 1))
 		}
 		batch := store.Batch{HardState: &wire.HardState{Term: term, Vote: rng.Uint64N(5)}}
@@ -176,7 +176,7 @@
 }
 
 // runUntilPowerLoss starts a process that opens the store and saves batches, and cuts the power after the given number of
-// operations on the folder. It returns nil after the power loss, or the error that ended the process before.
+// operations on the folder. It returns nil after the power loss, or the error that ended the process before it.
 func (m *member) runUntilPowerLoss(operations int, rng *rand.Rand) error {
 	m.folder.PowerOffAfter(operations)
 	initial := m.expected
@@ -266,8 +266,8 @@
 	return simulated.saves, nil
 }
 
-// TestPowerLosses cuts the power at random operations on the folder. Each unsynced change of a name survives or is lost
-// independently. The store then opens, with the content after the last Save that returned or the one in progress.
+// TestPowerLosses cuts the power at random operations on the folder, which loses some of the unsynced changes. The store
+// then opens, with the content after the last Save that returned or the one in progress.
 func TestPowerLosses(t *testing.T) {
 	var saves atomic.Int64
 	t.Run("members", func(t *testing.T) {
--- a/internal/dataplane/proxy/refusal_log.go
+++ b/internal/dataplane/proxy/refusal_log.go
@@ -12,9 +12,9 @@
 
 // rejections counts the requests for a service that were rejected since the last log record.
 type rejections struct {
-	since      time.Duration
-	gates      int // requests refused by the gate of the service or of a downstream service
-	noCapacity int // admitted requests for which no server had capacity
+	since      time.Duration // time of the last log record
+	gates      int           // requests refused by the gate of the service or of a downstream service
+	noCapacity int           // admitted requests for which no server had capacity
 }
 
 // count counts a rejection. It returns and resets the counts if they are due to be logged.
@@ -40,7 +40,7 @@
 
 // serverLoad sums up the load of a server on this machine since the last log record of rejections for lack of a slot.
 type serverLoad struct {
-	since    time.Duration
+	since    time.Duration // time of the last log record
 	busy     time.Duration // total duration of the runs that have ended
 	rejected int
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if _, encoded, err := Load(writeFile(t, "a.msgpack", string(body))); err != nil || len(Diff(a, encoded)) != 0 {
-		t.Errorf("loading the encoded configuration: %v", err)
+		t.Errorf("loading the encoded configuration: error %v, want none and no differences", err)
 	}
 	_, b, err := Load(writeFile(t, "b.toml", strings.NewReplacer("= 4", "= 5", "1000", "900", `"/a/"`, `"/b/"`).Replace(configText)))
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	for name, broken := range map[string]string{"x.toml": "revision = ", "y.yaml": "revision: [", "z.msgpack": "\xc1", "w.toml": "revision = 1\n[[route_table]]\nname=\"q\"\n"} {
 		if _, _, err := Load(writeFile(t, name, broken)); err == nil {
-			t.Errorf("%s was accepted", name)
+			t.Errorf("Load accepted the invalid file %s", name)
 		}
 	}
 }
--- a/internal/simulation/lab/scenario.go
+++ b/internal/simulation/lab/scenario.go
@@ -63,8 +63,8 @@
 	MBps     float64 `toml:"mbps"`      // megabytes a second that a machine can send; 0 is unlimited
 }
 
-// Retry is the retry budget that all nodes share: in a window, at most Ratio times the
-// requests plus Slack may be retries.
+// Retry is the retry budget of each service over all nodes: within a window, there may be at
+// most Slack retries plus Ratio times the number of requests.
 type Retry struct {
 	Ratio   float64 `toml:"ratio"`
 	WindowS float64 `toml:"window_s"`
@@ -79,7 +79,7 @@
 
 // Clients describes how clients retry refused requests.
 type Clients struct {
-	MaxAttempts int `toml:"tries"` // attempts of one request; a client retries only attempts that did not run
+	MaxAttempts int `toml:"tries"` // maximum per request; a client retries only if a response states that the request did not run
 }
 
 // Service is a service and its application servers.
@@ -87,11 +87,11 @@
 	Name        string  `toml:"name"`
 	Servers     int     `toml:"servers"`
 	Slots       int     `toml:"slots"`
-	WorkMs      float64 `toml:"work_ms"` // mean of an exponential distribution, without the calls of other services
+	WorkMs      float64 `toml:"work_ms"` // mean duration of a run without its calls to other services; exponentially distributed
 	LostAnswers float64 `toml:"broken"`  // share of the runs whose response is lost
 	Rejects     float64 `toml:"balk"`    // share of the requests that are rejected before they run
 
-	Speeds          []float64 `toml:"speeds"` // factors on the work, assigned to servers in turn; 1 if empty
+	Speeds          []float64 `toml:"speeds"` // factors on WorkMs, assigned to servers in turn; 1 if empty
 	Tail            float64   `toml:"tail"`   // share of the runs that take TailFactor times as long
 	TailFactor      float64   `toml:"tail_x"`
 	Errors          float64   `toml:"errors"` // share of the runs that end with status 500
@@ -112,7 +112,7 @@
 	Calls           []Call  `toml:"calls"`
 }
 
-// Call describes the calls of another route that a run makes, one after another.
+// Call describes the calls that a run makes to another route, one after another.
 type Call struct {
 	Route string  `toml:"route"`
 	Times float64 `toml:"times"` // mean number per run
@@ -179,7 +179,7 @@
 
 const host = "lab.example" // host of all routes
 
-// config returns the operator's configuration with a revision, encoded as msgpack.
+// config returns the operator's configuration with the given revision, encoded as msgpack.
 func (s *Scenario) config(revision uint64) ([]byte, error) {
 	config := meshconfig.Config{Revision: revision}
 	for _, service := range s.Services {
--- a/internal/simulation/modelcheck/directed.go
+++ b/internal/simulation/modelcheck/directed.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// directed are searches that start after a scenario. A scenario itself must not violate a property.
+// directed contains the searches that start after a scenario. A scenario itself must not violate a property.
 var directed = []SearchConfig{
 	// Figure 8 of the Raft paper: an entry of term 2 on one disk conflicts with an entry of a later term on another.
 	{"figure-8", `
