--- a/decide/admission.go
+++ b/decide/admission.go
@@ -37,7 +37,7 @@
 	longestTTL    []time.Duration // longest TTL received, by class
 
 	normalizedLatency  float64 // r: mean response time in multiples of the latency target
-	latencySum         float64 // time that calls spent here in this period, in multiples of their targets
+	latencySum         float64 // time that calls spent on this node in this period, in multiples of targets
 	periodOutcomes     float64 // calls that ended in this period
 	totalOutcomes      float64 // calls that ended in earlier periods
 	pendingLatencyRate float64 // growth of latencySum per nanosecond: sum of 1/target over calls in flight
@@ -157,7 +157,7 @@
 	level := b.level(value)
 	width := 1 / float64(len(b.valueLevels))
 	low := width * float64(level)
-	if value < b.valueLevels[0] { // a request of no value is refused before those of the lowest level
+	if value < b.valueLevels[0] { // a value below the lowest level, such as 0, is refused first
 		low -= width
 	} else if level > 0 {
 		low += math.Pow(1-b.levelShare(level), levelGapExponent)
--- a/decide/admission_gate.go
+++ b/decide/admission_gate.go
@@ -15,7 +15,7 @@
 	gateLatencyMax    = 2.0                    // r from which every request is refused
 	gateLowPressure   = 0.83                   // pressure below which LowPressure returns true
 	gateIdleLatency   = 0.5                    // upper bound of r for an idle service
-	gateIdleSlack     = 0.001                  // tolerated excess of its pressure over gateLatencyMin
+	gateIdleSlack     = 0.001                  // bound of an idle service's pressure minus gateLatencyMin
 
 	saturationWindow       = time.Second // time constant of the decay of the saturation counters
 	saturationPrior        = 2           // unsaturated requests assumed in addition to the counted ones
@@ -36,7 +36,7 @@
 	rng               *rand.Rand
 	levels            []int   // priorities, the lowest (the largest number) first
 	normalizedLatency float64 // r
-	latencySum        float64 // response times of this period, in multiples of the latency targets
+	latencySum        float64 // sum of the response times of this period, in multiples of the latency targets
 	periodOutcomes    float64 // requests that ended in this period
 	periodEnd         time.Duration
 	inflight          int // admitted requests that have not ended
--- a/decide/admission_gate_test.go
+++ b/decide/admission_gate_test.go
@@ -134,16 +134,16 @@
 	}
 	// A local server that has recently reported free capacity is preferred to a remote one, whatever the number of
 	// this node's calls in flight.
-	for report, wantFar := range map[ServerReport]bool{{RelativeLatency: 1, Utilization: 0.5}: false, {RelativeLatency: 1, Utilization: 0.9}: true, {}: true} {
-		p := NewPicker(1)
-		p.SetTargets(0, []Target{{ID: "near", Local: true}, {ID: "far"}}, 0)
+	for report, farWhenRecent := range map[ServerReport]bool{{RelativeLatency: 1, Utilization: 0.5}: false, {RelativeLatency: 1, Utilization: 0.9}: true, {}: true} {
+		picker := NewPicker(1)
+		picker.SetTargets(0, []Target{{ID: "near", Local: true}, {ID: "far"}}, 0)
 		for range 2 * localPreference {
-			p.Begin("near")
+			picker.Begin("near")
 		}
-		p.Begin("near")
-		p.End(time.Second, "near", Served, report)
-		for age, wantFar := range map[time.Duration]bool{0: wantFar, 2 * utilizationWindow: true} {
-			if id, _, _ := p.Pick(time.Second+age, nil); (id == "far") != wantFar {
+		picker.Begin("near")
+		picker.End(time.Second, "near", Served, report)
+		for age, wantFar := range map[time.Duration]bool{0: farWhenRecent, 2 * utilizationWindow: true} {
+			if id, _, _ := picker.Pick(time.Second+age, nil); (id == "far") != wantFar {
 				t.Errorf("%v after the report %+v: server %s was picked", age, report, id)
 			}
 		}
@@ -288,23 +288,23 @@
 func TestRetryAfter(t *testing.T) {
 	g := NewGate(1, 0)
 	const target, maxWait = time.Second, 1300 * time.Millisecond
-	mean := func(probability float64, maxWait time.Duration) (average time.Duration) {
+	mean := func(probability float64, limit time.Duration) (average time.Duration) {
 		shortest, longest := time.Hour, time.Duration(0)
 		for range 200 {
-			retryAfter := g.RetryAfter(target, maxWait, probability)
-			if retryAfter <= 0 || retryAfter > max(maxWait, time.Millisecond) {
-				t.Fatalf("retry-after of %v, want at most %v", retryAfter, maxWait)
+			retryAfter := g.RetryAfter(target, limit, probability)
+			if retryAfter <= 0 || retryAfter > max(limit, time.Millisecond) {
+				t.Fatalf("retry-after of %v, want at most %v", retryAfter, limit)
 			}
 			shortest, longest, average = min(shortest, retryAfter), max(longest, retryAfter), average+retryAfter/200
 		}
-		if maxWait > 0 && longest-shortest < maxWait/4 {
+		if limit > 0 && longest-shortest < limit/4 {
 			t.Errorf("retry-after between %v and %v, want more jitter", shortest, longest)
 		}
 		return average
 	}
-	certain, never := mean(1, maxWait), mean(0, maxWait)
-	if half := mean(0.5, maxWait); certain > 600*time.Millisecond || never < 900*time.Millisecond || half < certain || half > never {
-		t.Errorf("mean retry-after of %v at probability 1, %v at 0.5, %v at 0", certain, half, never)
+	atOne, atZero := mean(1, maxWait), mean(0, maxWait)
+	if atHalf := mean(0.5, maxWait); atOne > 600*time.Millisecond || atZero < 900*time.Millisecond || atHalf < atOne || atHalf > atZero {
+		t.Errorf("mean retry-after of %v at probability 1, %v at 0.5, %v at 0", atOne, atHalf, atZero)
 	}
 	mean(0, 0)
 }
--- a/internal/controlplane/raft/partition_sim_test.go
+++ b/internal/controlplane/raft/partition_sim_test.go
@@ -22,7 +22,7 @@
 	longPartitionDuration = 40 * time.Second // a quarter of the partitions last this long
 	maxRecoveryTime       = 5 * time.Second  // all members must be current within this time after a partition
 	maxCurrentAge         = relay.StaleAfter // maximum contact age of a current member
-	maxUnprovenAge        = 21 * time.Second // maximum age of an unconfirmed state with which a relay becomes ready, plus a second
+	maxUnprovenAge        = 21 * time.Second // one second more than the age up to which a relay becomes ready with an unconfirmed state
 	partitionTail         = 64               // entries kept before a snapshot; few, so that partitioned members need one
 	clockDriftDivisor     = 4000             // relay clocks deviate by at most 1/clockDriftDivisor of the time
 )
@@ -51,7 +51,7 @@
 	message   *wire.RaftMessage
 }
 
-// acknowledgement is the acknowledgement of a change to a client.
+// acknowledgement records that a change was acknowledged to a client.
 type acknowledgement struct {
 	acknowledgedAt time.Duration
 	index          uint64 // largest index acknowledged up to this time
@@ -106,7 +106,7 @@
 }
 
 func (s *partitionSim) start(member *partitionMember) {
-	member.clockOffset = s.randomDuration(0, 10*time.Second) - s.now // each process has another clock
+	member.clockOffset = s.randomDuration(0, 10*time.Second) - s.now // the clock changes with each start of the process
 	member.node = New(member.disk.ID, member.disk.Hard, member.disk.Snap, slices.Clone(member.disk.Entries), s.rng.Uint64(), s.clock(member))
 	member.applied = member.disk.Snap.GetIndex()
 	member.node.SetRetention(partitionTail, partitionTail)
@@ -262,7 +262,7 @@
 	}
 }
 
-// check checks that the states of a member and its relays are not older than their contact ages, and that the member reports
+// check verifies that the states of a member and its relays are not older than their contact ages, and that the member reports
 // no leader without a message from it within an election timeout.
 func (s *partitionSim) check(member *partitionMember) {
 	checkAge := func(description string, contact, now time.Duration, applied uint64) {
--- a/internal/simulation/scale/plan.go
+++ b/internal/simulation/scale/plan.go
@@ -54,7 +54,7 @@
 	Quiet      time.Duration // length of the quiet event
 	Stream     time.Duration // length of each stream of changes
 	Cut        time.Duration // length of the partition of a region
-	MinEvent   time.Duration // minimum length of an event, which keeps the share of the sampling small
+	MinEvent   time.Duration // minimum length of an event, which limits the effect of sampling on its measures
 	Settle     time.Duration // timeout for convergence after an event
 	Bound      time.Duration // time limit of the run
 	Events     []string      // names of events besides the start; empty for all
--- a/internal/simulation/scale/scale_test.go
+++ b/internal/simulation/scale/scale_test.go
@@ -18,7 +18,7 @@
 	"ivydeck/internal/program"
 )
 
-// TestMain runs the test binary as one of the programs of a run if it is started under the name of one.
+// TestMain runs one of the programs instead of the tests if the binary is started under the name of that program.
 func TestMain(m *testing.M) {
 	switch filepath.Base(os.Args[0]) {
 	case "ivydeck-control":
@@ -165,12 +165,12 @@
 	if _, err := n.dialer(inside)(t.Context(), to); !os.IsTimeout(err) {
 		t.Errorf("a dial out of a partitioned region returned %v, want a timeout", err)
 	}
-	own := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(j.Network, inside))}} // dials like a process without a simulated partition
-	foreign, err := own.DialContext(t.Context(), "tcp", to)
+	plainDialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(j.Network, inside))}} // dials like a process without a simulated partition
+	unfiltered, err := plainDialer.DialContext(t.Context(), "tcp", to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := sendAndReceive(t, wrapped, foreign, "lost"); got != "" {
+	if got := sendAndReceive(t, wrapped, unfiltered, "lost"); got != "" {
 		t.Errorf("the listener received %q from a partitioned region, want nothing", got)
 	}
 	n.setPartition(-1)
@@ -213,7 +213,7 @@
 	if y, halfWidth := l.At(math.Log(10_000)); !ok || math.Abs(l.Slope-2) > 1e-9 || math.Abs(math.Exp(y)/2e6-1) > 1e-9 || halfWidth > 1e-6 {
 		t.Errorf("power fit of a quadratic series: %+v, %v", l, ok)
 	}
-	// y = 1 + 2x with residuals 1, -1, -1, 1. The residual standard error is sqrt(4/2); that of the slope is this over sqrt(5).
+	// y = 1 + 2x with residuals 1, -1, -1, 1. The residual standard error is sqrt(4/2). That of the slope is sqrt(4/2) / sqrt(5).
 	l, ok = linearFit([]float64{0, 1, 2, 3}, []float64{2, 2, 4, 8})
 	if want := 4.303 * math.Sqrt(2) / math.Sqrt(5); !ok || math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Intercept-1) > 1e-9 || math.Abs(l.SlopeError()-want) > 0.01 {
 		t.Errorf("linear fit of y = 1 + 2x: %+v, slope ± %g", l, l.SlopeError())
