--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -183,7 +183,7 @@
 }
 
 // finish removes a finished call and records its response time, in multiples of its latency target, but at
-// least minLatency. The caller passes the latency target for a call that was not served: otherwise fast
+// least minLatency. For a refused or failed call, refuseOrFail passes the latency target: otherwise fast
 // failures would look like a fast service, and more calls would be admitted.
 func (b *Balancer) finish(c *call, minLatency time.Duration) {
 	delete(b.calls, c.ID)
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -3,13 +3,13 @@
 import "time"
 
 // Detection of dead idle connections: a middlebox may drop idle connections after an unknown time. Lost and
-// answered sends are counted by the idle time of their connection. Connections that were idle for at least
-// the time at which more sends are lost than answered are closed instead of reused.
+// answered sends are counted by the idle time of their connection. If more sends are lost than answered from
+// some idle time on, connections that were idle for that long are closed instead of reused.
 const (
 	minIdleTime       = 100 * time.Millisecond // connections idle for less are never considered dead
 	idleTimeBuckets   = 8                      // buckets of idle times, each twice as long as the one before
 	idleOutcomeWindow = 10 * time.Second       // time constant of the decay of the counters
-	// minimum of lost sends to consider connections dead, if more are lost than answered
+	// minimum number of lost sends for connections to be considered dead
 	minLostSends         = 2
 	connectFailureWindow = 32 // attempts over which the connection failures are averaged
 )
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -1,6 +1,6 @@
 package decide
 
-// slowStartSafety is the share of the permitted load of a starting server that is used.
+// slowStartSafety is the share of the permitted load that the nodes send to a starting server.
 const slowStartSafety = 0.5
 
 // slowStartShare returns the guaranteed share of a server's capacity. It is 1 after the slow start.
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -13,7 +13,7 @@
 // responses per server to estimate latencies.
 const (
 	frontSubsetSize  = 8    // minimum subset size of a front node, and desired number of nodes per server
-	innerSubsetSize  = 5    // the same for other tiers; smaller, for more calls from a node to each server
+	innerSubsetSize  = 5    // the same for other tiers; smaller, so that a node calls each server more often
 	localSubsetShare = 0.75 // share of the subset in the node's zone
 
 	// wait before the first retry of a list request, doubled with each further one
--- a/internal/balancer/node/loop.go
+++ b/internal/balancer/node/loop.go
@@ -64,9 +64,9 @@
 	attempts     sync.WaitGroup
 	shuttingDown bool // whether new requests are failed
 	nextID       uint64
-	pending      map[uint64]*pending
-	peers        map[string]*peer
-	started      map[string]time.Duration
+	pending      map[uint64]*pending      // by request ID
+	peers        map[string]*peer         // by server ID
+	started      map[string]time.Duration // start times of the servers' processes, by server ID
 	timers       timers
 	actions      []decide.Action
 	unsent       []attemptEnded // outcomes of attempts that could not be started
--- a/internal/balancer/node/node.go
+++ b/internal/balancer/node/node.go
@@ -23,7 +23,7 @@
 	quietPeriod    = 200 * time.Millisecond
 	// A shutdown fails the requests that are still pending after the longest deadline of a
 	// class, or maxDrainWait if that is shorter, plus shutdownMargin. The platform kills
-	// the process at the earliest 0.7 s after that deadline.
+	// the process no earlier than 0.7 s after that deadline.
 	maxDrainWait   = 3 * time.Second
 	shutdownMargin = 300 * time.Millisecond
 )
--- a/internal/balancer/node/servers.go
+++ b/internal/balancer/node/servers.go
@@ -44,7 +44,7 @@
 	l.execute(l.balancer.Members(l.now, decide.Members{Change: change, Servers: update.servers()}, l.actions[:0]))
 }
 
-// remove deletes a peer, prevents attempts that are not yet written, and closes its idle connections.
+// remove deletes a peer and closes its idle connections. Attempts whose request is not yet written are not sent.
 func (l *loop) remove(p *peer) {
 	p.closed.Store(true)
 	l.upstream.closeIdle(p.id)
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -93,8 +93,9 @@
 // nodes the present number of nodes, including this one. Nodes that have left within
 // the last two windows still count, as they may have used their shares.
 //
-// Unless FirstStart is set, the share is 0 for the first window. The retries that the
-// previous process sent, or that other nodes sent with larger shares, are unknown.
+// The share is 0 until membershipDelay has passed. Unless FirstStart is set, it is also 0
+// for the first window, because the retries that the previous process sent, or that
+// other nodes sent with larger shares, are unknown.
 func (s *Shares) Share(age time.Duration, nodes int) float64 {
 	if nodes >= s.maxNodes || age-s.maxNodesAt > 2*s.Window {
 		s.maxNodes, s.maxNodesAt = nodes, age
--- a/internal/dataplane/health/health.go
+++ b/internal/dataplane/health/health.go
@@ -32,12 +32,12 @@
 
 // Hanging servers and overdue requests.
 const (
-	hangTimeout          = 700 * time.Millisecond // time without a response after which a server hangs
+	hangTimeout          = 700 * time.Millisecond // time without a response after which a server counts as hanging
 	minHangingCalls      = 3                      // minimum number of running requests of a hanging server
 	hangProbeInterval    = 500 * time.Millisecond // minimum time between probes of a hanging server
 	overdueLatencyFactor = 6                      // multiple of the typical latency after which a running request counts as failed
 	minOverdueTime       = 600 * time.Millisecond // lower bound of that time
-	lateLatencyFactor    = 3                      // time-outs before this multiple of the typical latency are ignored
+	lateLatencyFactor    = 3                      // timeouts before this multiple of the typical latency are ignored
 )
 
 // Relative latency of a server.
--- a/internal/dataplane/router/hedge.go
+++ b/internal/dataplane/router/hedge.go
@@ -9,7 +9,7 @@
 	minHedgeLatencyFactor = 1.4                   // lower bound of that multiple for requests that would miss their latency target
 	minHedgeDelay         = 50 * time.Millisecond // lower bound of the hedge delay
 	hedgeBudgetReserve    = 3                     // retries that hedging leaves for failed requests
-	hedgeShare            = 0.02                  // maximum share of a service's requests; if all are slow, hedging does not help
+	hedgeShare            = 0.02                  // maximum share of a service's requests that is hedged; if all are slow, hedging does not help
 	maxHedgeTokens        = 2                     // maximum number of hedged attempts in a burst
 )
 
--- a/internal/dataplane/router/outcome.go
+++ b/internal/dataplane/router/outcome.go
@@ -19,7 +19,7 @@
 	}
 	if outcome.Result == wire.ForwardResponse_NOT_SENT {
 		r.rejections++
-		r.unhealthy = r.unhealthy || outcome.Unhealthy
+		r.unhealthyRejection = r.unhealthyRejection || outcome.Unhealthy
 		if len(r.inFlight) > 0 {
 			return nil, false
 		}
--- a/internal/dataplane/router/request.go
+++ b/internal/dataplane/router/request.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	queueRetryPause   = 15 * time.Millisecond // between rounds of attempts while no server has a free slot
+	queueRetryPause   = 15 * time.Millisecond // pause between rounds of attempts while no server has a free slot
 	maxWaitDivisor    = 5                     // a request waits for a server for up to its latency target divided by this
 	minWait           = 30 * time.Millisecond // lower bound of that wait
 	maxRejections     = 12                    // rejections after which a request that has waited for maxWait is given up
@@ -40,12 +40,12 @@
 	service            *service
 	waitingSince       time.Duration // start of the wait for a server
 	inFlight           []string      // servers with an attempt in flight
-	reached            []string      // servers that have received it
+	reached            []string      // servers that have received the request
 	mayHaveRun         bool          // an attempt may have run
 	excluded           []string      // servers that must not be picked
 	serverSpace        [3][2]string  // initial backing arrays of the three lists
-	rejections         int           // by servers that did not receive the request
-	unhealthy          bool          // an ejected server rejected the request
+	rejections         int           // number of attempts rejected before the server received the request
+	unhealthyRejection bool          // an ejected server rejected the request
 	saturationRecorded bool          // recordSaturation has reported this request
 }
 
@@ -112,8 +112,8 @@
 		return Action{Response: r.giveUp(now, "no server in time")}
 	}
 	action, ok := r.pick(now)
-	if !ok && r.unhealthy { // an unhealthy server is better than no server
-		r.unhealthy = false
+	if !ok && r.unhealthyRejection { // an unhealthy server is better than no server
+		r.unhealthyRejection = false
 		r.readmitRejecting()
 		action, ok = r.pick(now)
 	}
--- a/internal/dataplane/router/update.go
+++ b/internal/dataplane/router/update.go
@@ -12,8 +12,8 @@
 	"ivydeck/internal/transport/wire"
 )
 
-// Update replaces the ClusterState. A change of the configuration rebuilds no server lists, and a change of servers only the
-// lists of their services.
+// Update replaces the ClusterState. A change of the configuration rebuilds no server lists, and a change of servers rebuilds
+// only the lists of their services.
 func (t *Table) Update(now time.Duration, cluster *ClusterState) {
 	old := t.cluster
 	t.cluster = cluster
