--- a/internal/controlplane/raft/leave.go
+++ b/internal/controlplane/raft/leave.go
@@ -37,8 +37,8 @@
 	return status, true
 }
 
-// isLeaving reports whether a member has announced its shutdown and has not been restarted since. A response
-// unresponsiveAfter or more after the last announcement means that it has been restarted.
+// isLeaving reports whether a member has announced its shutdown and has not been restarted since. If it still
+// responds when unresponsiveAfter has passed since its last announcement, it has been restarted.
 func (n *Node) isLeaving(id uint64) bool {
 	announcedAt, known := n.leaving[id]
 	p := n.progress[id]
--- a/internal/controlplane/server/ack_gate.go
+++ b/internal/controlplane/server/ack_gate.go
@@ -6,9 +6,9 @@
 )
 
 // ackGate determines the minimum number of voters for an acknowledgement. When a system is bootstrapped, the quorum
-// must first reach the wanted size: if a voter were lost before, the others could hold an acknowledged change and be
-// unable to elect a leader. Later one voter may be missing, between the removal of a replaced voter and the promotion
-// of its replacement.
+// must first reach the wanted size. Otherwise the loss of a voter could leave an acknowledged change with members that
+// cannot elect a leader. Later one voter may be missing, between the removal of a replaced voter and the promotion of
+// its replacement.
 type ackGate struct {
 	bootstrapped bool // the quorum has reached the wanted number of voters, or the system has run before
 }
--- a/internal/controlplane/server/http_nodes.go
+++ b/internal/controlplane/server/http_nodes.go
@@ -48,7 +48,7 @@
 	Running      uint32   `json:"running"`
 	Queued       uint32   `json:"waiting"`
 	Slots        uint32   `json:"slots"`
-	EjectedZones []string `json:"out"` // zones whose callers avoid it; "*" for all zones
+	EjectedZones []string `json:"out"` // zones whose callers avoid the server; "*" for all zones
 	Draining     bool     `json:"draining"`
 }
 
@@ -92,7 +92,7 @@
 	Status   int32  `json:"status"`
 	Reason   string `json:"why,omitempty"`
 	Attempts uint32 `json:"tries,omitempty"`
-	AgoMs    uint32 `json:"ago_ms"` // time from its start on the node to the query
+	AgoMs    uint32 `json:"ago_ms"` // time from the request's start on the node to the query
 	TookMs   uint32 `json:"took_ms"`
 }
 
--- a/internal/controlplane/server/leader.go
+++ b/internal/controlplane/server/leader.go
@@ -28,8 +28,8 @@
 	srv.removeLostServers()
 }
 
-// removeLostServers proposes to deregister the servers on nodes that gossip reports as lost. It skips the round while
-// commands of the request queue are in progress.
+// removeLostServers proposes to deregister the servers on nodes that gossip reports as lost. It proposes nothing
+// while commands of the request queue are in progress.
 func (srv *Server) removeLostServers() {
 	lost := srv.catalog.MembersOn(func(node string) bool { return srv.gossip.Lost(node, srv.now()-srv.leaderSince) })
 	if len(lost) == 0 || len(srv.requests.proposed) > 0 {
--- a/internal/controlplane/server/loop.go
+++ b/internal/controlplane/server/loop.go
@@ -41,8 +41,7 @@
 }
 
 // loop runs the consensus until the server stops. Once stop is closed, it begins a graceful shutdown: it returns when
-// another member leads and a majority of the remaining voters has all of this log, or after the grace time divided by
-// leaveGraceDivisor.
+// this process may exit (see beginLeave), or after the grace time divided by leaveGraceDivisor.
 func (srv *Server) loop(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/controlplane/server/raft_transport.go
+++ b/internal/controlplane/server/raft_transport.go
@@ -65,7 +65,8 @@
 	return s
 }
 
-// stopStaleSenders stops the senders for processes that are not members, except for one.
+// stopStaleSenders stops the senders for processes that are not members. It skips the process with identity
+// except.
 func (srv *Server) stopStaleSenders(except uint64) {
 	for id, s := range srv.senders {
 		if id != except && srv.peer(id) == nil {
--- a/internal/controlplane/server/request_queue.go
+++ b/internal/controlplane/server/request_queue.go
@@ -34,9 +34,9 @@
 const (
 	// maxRequests bounds the number of requests in progress.
 	maxRequests = 4096
-	// leaderlessTimeout is the time without contact to a leader after which requests fail instead of being queued. It
-	// is longer than an election, so a member without a leader for this time is likely partitioned, and callers should
-	// try another member.
+	// leaderlessTimeout is the time without contact with a leader after which requests fail instead of being queued. It
+	// is longer than an election. A member without a leader for this time is likely partitioned, and callers should try
+	// another member.
 	leaderlessTimeout = 1500 * time.Millisecond
 )
 
--- a/internal/controlplane/server/snapshot_receive.go
+++ b/internal/controlplane/server/snapshot_receive.go
@@ -77,7 +77,8 @@
 }
 
 // receiveChunks writes the chunks of an offered snapshot to the store, acknowledges each, and decodes the state when
-// all are received. It calls started with the offset from which it resumes an earlier transfer.
+// all are received. It calls started with the offset of the first chunk, which is zero unless an earlier transfer is
+// resumed.
 func receiveChunks(stream messageStream, offer *wire.SnapshotOffer, st *store.Store, started func(offset uint64)) (*receivedSnapshot, error) {
 	incoming, err := st.Receive(offer.Snapshot.GetIndex(), offer.Size, offer.Checksum)
 	if err != nil {
@@ -118,7 +119,7 @@
 	srv.installing = received
 	srv.consensus.InstallSnapshot(srv.now(), received.snapshot)
 	srv.flush()
-	if srv.installing != nil { // not installed: the log has already passed its index
+	if srv.installing != nil { // the member already has the snapshot's entries, or the server has stopped
 		srv.installing = nil
 		received.staged.Discard()
 	}
