--- a/internal/config/meshconfig/meshconfig.go
+++ b/internal/config/meshconfig/meshconfig.go
@@ -47,7 +47,7 @@
 	longestPrefix int                // upper bound of the length of all prefixes, in bytes
 }
 
-// linearCheckLimit is the number of routes up to which services are searched without an index.
+// linearCheckLimit is the maximum number of routes whose services are looked up without an index.
 const linearCheckLimit = 8
 
 // check validates the revision, the limits, the routes at the given indexes and, if backends is set, the services. It returns
--- a/internal/config/nodefile/nodefile.go
+++ b/internal/config/nodefile/nodefile.go
@@ -18,7 +18,7 @@
 
 const (
 	maxBytes         = 1 << 20 // maximum size of the file
-	maxTraceCapacity = 1 << 20 // maximum number of requests
+	maxTraceCapacity = 1 << 20 // maximum value of trace.keep, in requests
 )
 
 // Class is a machine class of the deploy file.
@@ -123,7 +123,7 @@
 type ParseErrors []string
 
 // Error returns all errors in one line.
-func (f ParseErrors) Error() string { return strings.Join(f, "; ") }
+func (e ParseErrors) Error() string { return strings.Join(e, "; ") }
 
 // reader parses values and collects their errors.
 type reader struct {
--- a/internal/dataplane/localserver/localserver.go
+++ b/internal/dataplane/localserver/localserver.go
@@ -57,7 +57,7 @@
 	freeRuns         []*run          // free list
 }
 
-// incarnation is one incarnation of a server.
+// incarnation holds the last heartbeat, the health and the queue of one incarnation of a server.
 type incarnation[T comparable] struct {
 	Heartbeat
 	heartbeatAt    time.Duration
--- a/internal/dataplane/localserver/runs.go
+++ b/internal/dataplane/localserver/runs.go
@@ -22,8 +22,8 @@
 }
 
 // RecordCall reports whether the request with this Attempt-Id is a call made by a run on
-// this machine, and whether that run is a retry. It counts such a call for the run. A
-// call was admitted together with its run. Any other request starts a new call graph.
+// this machine, and whether that run is a retry. It counts such a call for the run. The
+// call graph of the run has already been admitted. Any other request starts a new one.
 func (s *Registry[T]) RecordCall(attempt, service string) (inner, retry bool) {
 	r := s.caller(attempt)
 	if r == nil {
--- a/internal/dataplane/proxy/client.go
+++ b/internal/dataplane/proxy/client.go
@@ -199,7 +199,7 @@
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			now := time.Now()
-			if deadline, ok := c.idleDeadline(now, waitStart); ok && now.Before(deadline) && c.ctx.Err() == nil {
+			if newDeadline, ok := c.idleDeadline(now, waitStart); ok && now.Before(newDeadline) && c.ctx.Err() == nil {
 				continue
 			}
 			return err
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -51,7 +51,7 @@
 		queueTicket = new(ticket)
 	}
 	decision, reason, grants := i.registry.Arrive(i.now(), request, queueTicket)
-	if decision == localserver.Queue { // a SlotGrant is delivered with mu held, so not before the channel exists
+	if decision == localserver.Queue { // the channel exists before the SlotGrant, which is delivered with mu held
 		queueTicket.granted = make(chan bool, 1)
 	} else {
 		i.freeTicket = queueTicket
@@ -77,8 +77,8 @@
 	case localserver.Full:
 		return nil, &wire.ForwardResponse{Result: wire.ForwardResponse_NOT_SENT, Reason: reason, Queued: true}
 	case localserver.Queue:
-		if reason := i.awaitSlot(ctx, request, queueTicket, deadline); reason != "" {
-			return nil, notSent(false, "%s", reason)
+		if waitReason := i.awaitSlot(ctx, request, queueTicket, deadline); waitReason != "" {
+			return nil, notSent(false, "%s", waitReason)
 		}
 	}
 	return pool, nil
@@ -174,14 +174,14 @@
 	notInterrupted := stopInterrupt()
 	if err != nil {
 		conn.netConn.Close()
-		response := &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}
+		failure := &wire.ForwardResponse{Result: wire.ForwardResponse_BROKEN, Reason: err.Error()}
 		switch {
 		case ctx.Err() != nil:
-			response.Reason, cancelled = cancelledText, true
+			failure.Reason, cancelled = cancelledText, true
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			response.Result = wire.ForwardResponse_DEADLINE_EXCEEDED
+			failure.Result = wire.ForwardResponse_DEADLINE_EXCEEDED
 		}
-		return response, cancelled
+		return failure, cancelled
 	}
 	response = checkResponse(request, &conn.resp, body, conn.used)
 	if notInterrupted && !conn.resp.Close && !conn.skipped && conn.reader.Buffered() == 0 {
@@ -220,9 +220,9 @@
 	return http1.AppendRequestBody(dst, request.Method, request.Body)
 }
 
-// checkResponse converts a response from the server to the outcome of a request. It checks the Attempt-Id first: the body of
-// another request, or the promise that another one has not run, must not be attributed to this request. used is set if the
-// connection has carried an earlier request, to which a response without an id may belong.
+// checkResponse converts a response from the server to the outcome of a request. It checks the Attempt-Id first: a body or
+// a Not-Executed that belongs to another request must not be attributed to this one. used is set if the connection has carried
+// an earlier request, to which a response without an id may belong.
 func checkResponse(request *wire.ForwardRequest, resp *http1.Response, body []byte, used bool) *wire.ForwardResponse {
 	notExecuted := resp.Headers.Count("Not-Executed") > 0 || resp.Status == 421
 	switch id := resp.Headers.Get("Attempt-Id"); {
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -19,7 +19,8 @@
 // Heartbeat is the state that a server reports to the sidecar on its machine.
 type Heartbeat = localserver.Heartbeat
 
-// ticket identifies a request that may be queued for a slot. If it is queued, its channel receives one value.
+// ticket identifies a request that may be queued for a slot. If it is queued, granted receives the decision, unless the request
+// is dequeued first.
 type ticket struct{ granted chan bool }
 
 // Inbound forwards requests to the servers on this machine. As all requests to them pass through it, it counts those in
@@ -67,7 +68,8 @@
 // StartOffset returns the duration from t to the zero time of the trace records.
 func (i *Inbound) StartOffset(t time.Time) time.Duration { return i.start.Sub(t) }
 
-// deliverGrants delivers grants to queued requests. It does not block, as each ticket receives one and has a buffer for it.
+// deliverGrants delivers grants to queued requests. It does not block: each ticket receives at most one grant, and its channel
+// has a buffer for it.
 func deliverGrants(grants []localserver.SlotGrant[*ticket]) {
 	for _, grant := range grants {
 		grant.Ticket.granted <- grant.Granted
@@ -86,7 +88,8 @@
 	}
 }
 
-// removeServer closes the idle connections to an incarnation that has ended. It must be called with mu held.
+// removeServer removes the pool of an incarnation that has ended, and closes its idle connections. It must be called with mu
+// held.
 func (i *Inbound) removeServer(id string) {
 	if pool := i.pools[id]; pool != nil {
 		delete(i.pools, id)
--- a/internal/dataplane/proxy/listener.go
+++ b/internal/dataplane/proxy/listener.go
@@ -68,7 +68,7 @@
 	bodyMemory   atomic.Int64     // bytes
 }
 
-// BeginShutdown makes each connection close with the next response that leaves no request pending.
+// BeginShutdown closes each connection after the next response that leaves it without pending requests.
 func (l *Listener) BeginShutdown() { l.shuttingDown.Store(true) }
 
 // Stop stops reading requests. It closes connections without a pending request at once, and the others after their last
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -21,11 +21,11 @@
 const (
 	responseMargin = 15 * time.Millisecond        // a request is answered this long before its deadline
 	maxBudgetMs    = 3_600_000                    // the largest accepted Time-Budget
-	noTimeBudget   = time.Duration(math.MaxInt64) // without Time-Budget: only the timeout of the route applies
+	noTimeBudget   = time.Duration(math.MaxInt64) // budget of a request without Time-Budget; only the timeout of the route applies
 
 	maxPriorities      = 16                     // maximum number of priorities in status and metrics
 	loggedPriorities   = 3                      // number of highest priorities whose admission probabilities are logged
-	configWait         = 300 * time.Millisecond // time that a request waits for the first configuration
+	configWait         = 300 * time.Millisecond // maximum time that a request waits for the first configuration
 	noConfigRetryAfter = 500 * time.Millisecond // Retry-After if there is no configuration after configWait
 )
 
@@ -36,11 +36,11 @@
 // decisions are those of a router.Table.
 type Outbound struct {
 	Node, Zone, Backend string
-	RetryRatio          float64       // retry_ratio, see router.Options.RetryRatio
+	RetryRatio          float64       // see router.Options.RetryRatio
 	RetryWindow         time.Duration // see router.Options.RetryWindow
 	Pool                *rpc.Pool
 	Log                 *slog.Logger
-	Metrics             *metrics.Set
+	Metrics             *metrics.Set                                      // may be nil
 	RecordCall          func(attempt, service string) (inner, retry bool) // see localserver.Registry.RecordCall; may be nil
 	CallFailed          func(attempt string)                              // see localserver.Registry.CallFailed; may be nil
 	Trace               func(trace.Record)                                // receives a record of each request; may be nil
@@ -92,13 +92,13 @@
 
 // Priorities returns the number of priorities in the configuration, or maxPriorities if there are more.
 func (o *Outbound) Priorities() int {
-	highest := 0
+	priorities := 0
 	if config := o.cluster().Config; config != nil {
 		for _, route := range config.Routes {
-			highest = max(highest, route.Priority+1)
+			priorities = max(priorities, route.Priority+1)
 		}
 	}
-	return min(highest, maxPriorities)
+	return min(priorities, maxPriorities)
 }
 
 // Pressure returns the pressure of a service as seen by calls from this node; see router.Table.Pressure.
@@ -288,5 +288,5 @@
 	}
 }
 
-// Wait waits for the attempts that are in flight. Attempts may outlast their requests, but not their deadlines.
+// Wait waits for the attempts that may outlast their requests. They end at their deadlines at the latest.
 func (o *Outbound) Wait() { o.lateAttempts.Wait() }
--- a/internal/dataplane/proxy/server_conn.go
+++ b/internal/dataplane/proxy/server_conn.go
@@ -85,8 +85,9 @@
 	p.idle = append(p.idle, conn)
 }
 
-// read reads the response to a request, its head into c.resp. It skips up to maxSkipped responses to other requests, because
-// the right one may follow and a non-idempotent request can't be retried. A connection with a skipped response is not reused.
+// read reads the response to a request. It stores the head in c.resp and returns the body. It skips up to maxSkipped responses
+// to other requests, because the right one may follow and a non-idempotent request can't be retried. A connection with a
+// skipped response is not reused.
 func (c *serverConn) read(method, attemptID string) (body []byte, err error) {
 	limits := http1.Limits{Head: maxServerHead, Body: maxServerBody}
 	for n := 0; ; n++ {
--- a/internal/dataplane/sidecar/listeners.go
+++ b/internal/dataplane/sidecar/listeners.go
@@ -16,12 +16,12 @@
 }
 
 // listen binds all addresses of the settings. On an error it closes those that it has already bound.
-func listen(set *nodefile.Settings) (*listeners, error) {
+func listen(settings *nodefile.Settings) (*listeners, error) {
 	l := new(listeners)
 	for _, target := range []struct {
 		listener *net.Listener
 		address  string
-	}{{&l.internal, set.Internal()}, {&l.outbound, set.Outbound}, {&l.control, set.Control}, {&l.readiness, set.Readiness}} {
+	}{{&l.internal, settings.Internal()}, {&l.outbound, settings.Outbound}, {&l.control, settings.Control}, {&l.readiness, settings.Readiness}} {
 		var err error
 		if *target.listener, err = net.Listen("tcp", target.address); err != nil {
 			l.close()
--- a/internal/dataplane/sidecar/shutdown.go
+++ b/internal/dataplane/sidecar/shutdown.go
@@ -12,12 +12,12 @@
 	maxReadWindow    = 2900 * time.Millisecond // upper bound on readWindow
 	stopMargin       = 1600 * time.Millisecond // no requests are read within this time of the end
 	exitMargin       = 600 * time.Millisecond  // the process exits this long before the end
-	cancelMargin     = 200 * time.Millisecond  // pending requests are cancelled this long before exitMargin, to be answered in time
+	cancelMargin     = 200 * time.Millisecond  // pending requests are cancelled this long before the exit, which leaves time to write the responses
 )
 
 // readWindow returns how long after SIGTERM requests are still read. The platform requires a response to every request that a
-// client sends more than three seconds after SIGTERM, however long it takes. Reading ends before, so that clients retry such
-// requests on other nodes. Earlier requests may fail in the second half of the grace period.
+// client sends more than three seconds after SIGTERM, however long it takes. The node stops reading before that, so that clients
+// retry such requests on other nodes. Earlier requests may fail in the second half of the grace period.
 func readWindow(grace time.Duration) time.Duration { return min(maxReadWindow, grace-stopMargin) }
 
 // shutDown stops the node gracefully: it stops accepting requests, waits until pending requests are answered, and leaves the
--- a/internal/dataplane/sidecar/status.go
+++ b/internal/dataplane/sidecar/status.go
@@ -19,9 +19,9 @@
 		status.Services = append(status.Services, &wire.ServiceStatus{Service: service.Service, NormalizedLatency: service.NormalizedLatency, AdmissionProbabilities: service.Probabilities, RetryBudgetLeft: service.RetryBudgetLeft})
 	}
 	unhealthy := n.inbound.Unhealthy()
-	servers, running, waiting := n.inbound.Load()
+	servers, inflight, queued := n.inbound.Load()
 	for i, server := range servers {
-		status.Servers = append(status.Servers, &wire.ServerStatus{Member: server.ID, Service: server.Service, Running: uint32(running[i]), Queued: uint32(waiting[i]),
+		status.Servers = append(status.Servers, &wire.ServerStatus{Member: server.ID, Service: server.Service, Running: uint32(inflight[i]), Queued: uint32(queued[i]),
 			Slots: uint32(server.Slots), EjectedZones: unhealthy[server.ID], Draining: server.Draining})
 	}
 	return status, nil
--- a/internal/dataplane/sidecar/update.go
+++ b/internal/dataplane/sidecar/update.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// adopt adds the local server as registered by the previous process, until the server sends a heartbeat. It does nothing once
-// the process has run for two heartbeat intervals.
+// adopt adds the local server as the previous process registered it, so that it can serve before its first heartbeat. It does
+// nothing once the process has run for two heartbeat intervals.
 func (n *Node) adopt(changes *wire.Changes) {
 	settings := n.settings.Load()
 	if time.Since(n.startTime) >= 2*settings.HeartbeatInterval {
--- a/internal/transport/rpc/conn.go
+++ b/internal/transport/rpc/conn.go
@@ -194,11 +194,11 @@
 	var buf []byte
 	var f wire.Frame
 	for {
-		head, err := r.Peek(4)
+		prefix, err := r.Peek(4)
 		if err != nil {
 			return err
 		}
-		n := binary.BigEndian.Uint32(head)
+		n := binary.BigEndian.Uint32(prefix)
 		r.Discard(4)
 		if n > maxFrame {
 			return fmt.Errorf("a frame of %d bytes from %s, the maximum is %d", n, c.nc.RemoteAddr(), maxFrame)
--- a/internal/transport/rpc/stream.go
+++ b/internal/transport/rpc/stream.go
@@ -96,7 +96,7 @@
 }
 
 // OnEnd sets the function that is called when Done is closed, or calls it now if Done is already closed. ClearOnEnd removes
-// it. It must not block.
+// it. f must not block.
 func (s *Stream) OnEnd(f func()) {
 	s.mu.Lock()
 	ended := s.endErr != nil
@@ -110,7 +110,7 @@
 }
 
 // OnFrame sets the function that is called for each received data frame. The frames of a large message on a slow link thus
-// show that the peer is live before the message is complete. It must not block.
+// show that the peer is live before the message is complete. f must not block.
 func (s *Stream) OnFrame(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/rpc/traffic.go
+++ b/internal/transport/rpc/traffic.go
@@ -33,7 +33,7 @@
 	m.bytesReceived.Add(uint64(bytes))
 }
 
-// unknownMethod counts the calls of methods that have no handler.
+// unknownMethod is the method name under which calls of methods without a handler are counted.
 const unknownMethod = "unknown"
 
 var (
@@ -51,7 +51,7 @@
 	return m.(*meter)
 }
 
-// meterOf returns the counters of a method named by a peer. All unknown names share a meter, which bounds their number.
+// meterOf returns the counters of a method named by a peer. All unknown names share a meter, which bounds the number of meters.
 func (s *Server) meterOf(method string) *meter {
 	if _, known := s.handlers[method]; !known {
 		method = unknownMethod
