--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -45,8 +45,8 @@
 	joinInterval              = 300 * time.Millisecond // time between push/pulls with seeds while the list has no other member
 	minPushPullInterval       = 2 * time.Second        // shortest time between push/pulls, after a change or a difference
 	maxPushPullBytesPerSecond = 512                    // limit of the digest traffic; lengthens minPushPullInterval in a large cluster
-	pushPullBaseInterval      = 5 * time.Second        // longest interval per pushPullScale members
-	pushPullScale             = 100                    // number of members; see pushPullBaseInterval
+	pushPullBaseInterval      = 5 * time.Second        // longest interval in a small cluster, plus as much per pushPullScale members
+	pushPullScale             = 100                    // number of members above which most push/pulls go to a random member
 	maxPushPullInterval       = time.Minute            // longest interval in a cluster of any size
 	pushPullsPerSeedPushPull  = 8                      // above pushPullScale members, one push/pull in this many is with seeds
 )
--- a/internal/controlplane/catalog/accept.go
+++ b/internal/controlplane/catalog/accept.go
@@ -27,7 +27,7 @@
 	return c.Config.Revision
 }
 
-// Parse parses and validates another configuration. It reuses the routes that are encoded alike in the current one.
+// Parse parses and validates another configuration. It reuses the routes whose encoding is the same in the current one.
 func (c Current) Parse(body []byte) (*meshconfig.Config, error) {
 	return meshconfig.ParseNext(body, c.Config)
 }
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -89,11 +89,11 @@
 		changes.Resources = append(changes.Resources, serverResource(indexOf(state.ServerIndexes, i), server))
 	}
 	if config != nil {
-		header := []uint64{state.ConfigIndex}
+		headerIndexes := []uint64{state.ConfigIndex}
 		if state.ConfigIndex == 0 {
-			header = nil
+			headerIndexes = nil
 		}
-		changes.Resources = append(changes.Resources, headerResource(indexOf(header, 0), config))
+		changes.Resources = append(changes.Resources, headerResource(indexOf(headerIndexes, 0), config))
 		for i, b := range config.Backends {
 			changes.Resources = append(changes.Resources, backendResource(indexOf(state.BackendIndexes, i), b))
 		}
--- a/internal/simulation/lab/faults.go
+++ b/internal/simulation/lab/faults.go
@@ -267,9 +267,9 @@
 	})
 }
 
-func (s *sim) stopNode(n *node, power bool) {
-	n.stop(power)
-	if power && n.server != nil && n.server.up {
+func (s *sim) stopNode(n *node, powerOff bool) {
+	n.stop(powerOff)
+	if powerOff && n.server != nil && n.server.up {
 		n.server.stop()
 	}
 }
--- a/internal/simulation/lab/forwarding.go
+++ b/internal/simulation/lab/forwarding.go
@@ -47,7 +47,7 @@
 	routed      *router.Request
 	inner       bool // a call made by a local server
 	ended       bool
-	inFlight    int // attempts at servers without an outcome
+	inFlight    int // attempts at servers that have no outcome yet
 	done        func(router.Response)
 }
 
@@ -221,8 +221,8 @@
 
 func (f *forwardedRequest) alive() bool { return f.node.up && f.node.incarnation == f.incarnation }
 
-// handleSlotDecision is called when the request leaves the queue. It continues in a
-// separate event, because the registry must not be called while it grants slots.
+// handleSlotDecision handles the registry's decision on a queued request. It continues in
+// a separate event, because the registry must not be called while it grants slots.
 func (f *forwardedRequest) handleSlotDecision(granted bool) {
 	f.decided = true
 	s := f.node.sim
--- a/internal/simulation/lab/network.go
+++ b/internal/simulation/lab/network.go
@@ -116,8 +116,8 @@
 	to.pendingCalls = append(to.pendingCalls, p)
 	n.after(wait, func() { p.end(true) })
 	n.send(from, to, size+rpcBytes, func() {
-		serve(func(size int, receive func()) {
-			n.send(to, from, size+rpcBytes, func() {
+		serve(func(responseSize int, receive func()) {
+			n.send(to, from, responseSize+rpcBytes, func() {
 				if !p.ended && from.incarnation == incarnation {
 					p.ended = true
 					receive()
@@ -131,11 +131,11 @@
 }
 
 // stop stops a machine's process. Its callers notice the broken connections after a link
-// delay, or after powerLossTimeout if the machine loses power.
-func (n *network) stop(m *machine, power bool) {
-	m.up, m.powered = false, !power
+// delay, or after powerLossTimeout if powerOff is set.
+func (n *network) stop(m *machine, powerOff bool) {
+	m.up, m.powered = false, !powerOff
 	noticeDelay := ms(n.LinkMs)
-	if power {
+	if powerOff {
 		noticeDelay = powerLossTimeout
 	}
 	calls := m.pendingCalls
--- a/internal/simulation/lab/node.go
+++ b/internal/simulation/lab/node.go
@@ -15,14 +15,14 @@
 )
 
 var (
-	errProposalDropped = errors.New("the leader did not complete the operation")
-	errTooFewVoters    = errors.New("too few voters to acknowledge a proposal")
+	errNotCompleted = errors.New("the leader did not complete the operation")
+	errTooFewVoters = errors.New("too few voters to acknowledge a proposal")
 )
 
 const (
 	maintenanceInterval = 500 * time.Millisecond
 	readinessRetryPause = 100 * time.Millisecond
-	readinessCheck      = 20 * time.Millisecond
+	readinessInterval   = 20 * time.Millisecond
 	deadlineMargin      = 15 * time.Millisecond // subtracted from the deadline of a request at the node
 	headerBytes         = 300                   // size of a request or response without its body, in bytes
 )
@@ -36,7 +36,7 @@
 	selector   relay.Selector
 	parent     *child // subscription at the parent; nil while there is none
 	lastFeedAt time.Duration
-	freshAt    time.Duration // latest time at which the node's state is known to be current
+	contactAt  time.Duration // latest known time at which a quorum confirmed the state
 	readiness  relay.Readiness
 
 	table            *router.Table
@@ -57,9 +57,9 @@
 	s.incarnations++
 	n.incarnation, n.up, n.powered, n.startedAt = s.incarnations, true, true, s.now
 	n.parents = relay.ParentCache{Self: n.name, Zone: n.zone}
-	n.selector, n.parent, n.freshAt, n.registering = relay.Selector{}, nil, -time.Hour, false
+	n.selector, n.parent, n.contactAt, n.registering = relay.Selector{}, nil, -time.Hour, false
 	n.cluster, n.registered, n.membersVersion = router.ClusterStateBuilder{}, catalog.NodeServers{Node: n.name}, 0
-	n.hub = relay.NewHub(func() time.Duration { return s.now - n.freshAt })
+	n.hub = relay.NewHub(func() time.Duration { return s.now - n.contactAt })
 	n.table = router.NewTable(router.Options{Node: n.name, Zone: n.zone, RetryRatio: s.scenario.Retry.Ratio, RetryWindow: sec(s.scenario.Retry.WindowS), Seed: s.rng.Uint64()})
 	n.admission = localserver.New[*ticket](ms(s.scenario.DrainMs), ms(s.scenario.HeartbeatMs))
 	n.shares = budget.Shares{Slack: s.scenario.Retry.Slack, Window: sec(s.scenario.Retry.WindowS), FirstStart: s.now == 0}
@@ -90,7 +90,7 @@
 	s.callLeader(&n.machine, rpcBytes, func(leader *quorumMember, answer func(error)) {
 		leader.read(func(ok bool) {
 			if !ok {
-				answer(errProposalDropped)
+				answer(errNotCompleted)
 				return
 			}
 			latest = leader.catalog.Index()
@@ -111,9 +111,9 @@
 	if !n.up || n.incarnation != incarnation {
 		return
 	}
-	proof := n.readiness.Check(s.now-n.startedAt, s.now-n.freshAt, n.hub.Index())
+	proof := n.readiness.Check(s.now-n.startedAt, s.now-n.contactAt, n.hub.Index())
 	if proof == relay.NoProof {
-		s.after(readinessCheck, func() { n.checkReadiness(incarnation) })
+		s.after(readinessInterval, func() { n.checkReadiness(incarnation) })
 		return
 	}
 	n.ready = true
@@ -122,9 +122,9 @@
 	}
 }
 
-func (n *node) stop(power bool) {
+func (n *node) stop(powerOff bool) {
 	if n.up {
-		n.sim.stop(&n.machine, power)
+		n.sim.stop(&n.machine, powerOff)
 		if n.server != nil {
 			n.server.breakRuns()
 		}
@@ -201,7 +201,7 @@
 		return
 	}
 	before := n.hub.Index()
-	current, ok := n.hub.Receive(feed, func() { n.freshAt = max(n.freshAt, contactAt) })
+	current, ok := n.hub.Receive(feed, func() { n.contactAt = max(n.contactAt, contactAt) })
 	after := n.hub.Index()
 	if after < before {
 		n.sim.recordViolation("the update index of %s decreased from %d to %d", n.name, before, after)
--- a/internal/simulation/lab/operator.go
+++ b/internal/simulation/lab/operator.go
@@ -8,10 +8,11 @@
 )
 
 // sendConfigs sends the next configuration, and schedules the following one if the scenario
-// sets an interval. Reads that start after an acknowledgement must not return an older one.
+// sets an interval. A read that starts after an acknowledgement must return at least the
+// acknowledged revision.
 func (s *sim) sendConfigs() {
 	every := sec(s.scenario.Operator.EveryS)
-	retry := func(d time.Duration) { s.after(d, s.sendConfigs) }
+	scheduleNext := func(d time.Duration) { s.after(d, s.sendConfigs) }
 	body, err := s.scenario.config(s.baseRevision + 1)
 	s.check(err)
 	base := s.baseRevision
@@ -27,24 +28,24 @@
 			s.ackedRevision, s.baseRevision = max(s.ackedRevision, base+1), base+1
 			s.measurements.ackLatencies = append(s.measurements.ackLatencies, s.now-sentAt)
 			if every > 0 {
-				retry(every)
+				scheduleNext(every)
 			}
 		case errors.Is(err, catalog.ErrStale):
-			s.readRevision(retry)
+			s.readRevision(scheduleNext)
 		default:
-			retry(300 * time.Millisecond)
+			scheduleNext(300 * time.Millisecond)
 		}
 	})
 }
 
 // readRevision reads the current revision, and records a violation if it is older than one
 // that was acknowledged before the read.
-func (s *sim) readRevision(retry func(time.Duration)) {
+func (s *sim) readRevision(scheduleNext func(time.Duration)) {
 	s.callLeader(nil, rpcBytes, func(leader *quorumMember, answer func(error)) {
 		acked := s.ackedRevision // before the read starts
 		leader.read(func(ok bool) {
 			if !ok {
-				answer(errProposalDropped)
+				answer(errNotCompleted)
 				return
 			}
 			if revision := leader.catalog.Revision(); revision < acked {
@@ -54,7 +55,7 @@
 			}
 			answer(nil)
 		})
-	}, func(error) { retry(100 * time.Millisecond) })
+	}, func(error) { scheduleNext(100 * time.Millisecond) })
 }
 
 // callLeader calls f in the leader's event loop, and done with its result. It tries the
@@ -68,7 +69,7 @@
 	var callMember func(i int, member *quorumMember)
 	callMember = func(i int, member *quorumMember) {
 		if i > 2*len(s.members) {
-			done(errProposalDropped)
+			done(errNotCompleted)
 			return
 		}
 		next := func() { callMember(i+1, s.members[(first+i+1)%len(s.members)]) }
@@ -89,7 +90,7 @@
 			})
 		}, func(sent bool) {
 			if sent {
-				done(errProposalDropped) // it may still be committed
+				done(errNotCompleted) // it may still be committed
 			} else {
 				next()
 			}
--- a/internal/simulation/lab/peerview.go
+++ b/internal/simulation/lab/peerview.go
@@ -57,9 +57,9 @@
 }
 
 func (v *peerView) sendProbe(probe membership.Probe) {
-	v.exchangeProbe(probe.Address, probe.Request, probe.Timeout(), func(answer *wire.ProbeResponse) {
-		for _, more := range v.memberlist.HandleProbeResult(v.sim.now, probe, answer) {
-			v.sendProbe(more)
+	v.exchangeProbe(probe.Address, probe.Request, probe.Timeout(), func(response *wire.ProbeResponse) {
+		for _, followUp := range v.memberlist.HandleProbeResult(v.sim.now, probe, response) {
+			v.sendProbe(followUp)
 		}
 	})
 }
@@ -79,13 +79,13 @@
 		peer.memberlist.Merge(v.sim.now, request.From)
 		peer.memberlist.Merge(v.sim.now, request.Updates...)
 		reply := func(reached bool) {
-			probed := peer.memberlist.HandleProbe(request)
-			probed.Reached = reached
-			size := proto.Size(probed)
-			v.sim.measurements.probeBytes += int64(size + rpcBytes)
-			answer(size, func() {
-				v.memberlist.Merge(v.sim.now, probed.Updates...)
-				done(probed)
+			response := peer.memberlist.HandleProbe(request)
+			response.Reached = reached
+			responseSize := proto.Size(response)
+			v.sim.measurements.probeBytes += int64(responseSize + rpcBytes)
+			answer(responseSize, func() {
+				v.memberlist.Merge(v.sim.now, response.Updates...)
+				done(response)
 			})
 		}
 		if request.Target == nil {
--- a/internal/simulation/lab/quorum_member.go
+++ b/internal/simulation/lab/quorum_member.go
@@ -88,10 +88,11 @@
 	return &wire.Peer{Id: m.disk.ID, Address: m.name, ControlAddress: m.name, Voter: voter}
 }
 
-// stop stops the process and loses unsynced writes. power also turns the machine off.
-func (m *quorumMember) stop(power bool) {
+// stop stops the process and loses unsynced writes. If powerOff is set, it also turns the
+// machine off.
+func (m *quorumMember) stop(powerOff bool) {
 	if m.up {
-		m.sim.stop(&m.machine, power)
+		m.sim.stop(&m.machine, powerOff)
 		m.disk.Crash(m.sim.rng)
 		m.leadershipLost()
 	}
@@ -226,7 +227,7 @@
 	if pending := m.proposals[entry.Index]; pending != nil {
 		delete(m.proposals, entry.Index)
 		if pending.term != entry.Term {
-			applyErr = errProposalDropped
+			applyErr = errNotCompleted
 		}
 		pending.done(applyErr)
 	}
--- a/internal/simulation/lab/report.go
+++ b/internal/simulation/lab/report.go
@@ -21,7 +21,7 @@
 type group struct {
 	Name       string
 	Results    []*Result
-	Metrics    []string // mean and interval of each metric, in the order of Metrics
+	Metrics    []string // mean and interval of each metric, in the order of the package variable Metrics
 	Plots      []template.HTML
 	Routes     []routeRow
 	Violations []string
--- a/internal/simulation/lab/result.go
+++ b/internal/simulation/lab/result.go
@@ -63,9 +63,9 @@
 	AckMaxMs        float64                `json:"ack_max_ms"`
 	Acks            int                    `json:"acks"`
 	Entries         uint64                 `json:"entries"`         // highest commit index
-	ProbesS         float64                `json:"probes_s"`        // mean number of probes per node and second
-	ProbeBytesS     float64                `json:"probe_bytes_s"`   // mean number of bytes per node and second
-	FeedBytesS      float64                `json:"feed_bytes_s"`    // mean number of bytes per node and second
+	ProbesS         float64                `json:"probes_s"`        // mean number of probes per machine and second
+	ProbeBytesS     float64                `json:"probe_bytes_s"`   // mean number of bytes per machine and second
+	FeedBytesS      float64                `json:"feed_bytes_s"`    // mean number of bytes per machine and second
 	BusiestBps      float64                `json:"busiest_bytes_s"` // bytes per second sent by the machine that sends most
 	CrossZoneBps    float64                `json:"crossed_bytes_s"` // total bytes per second between zones
 	DiskBytes       int                    `json:"disk_bytes"`      // maximum size of a quorum member's disk
--- a/internal/simulation/lab/shrink.go
+++ b/internal/simulation/lab/shrink.go
@@ -6,8 +6,8 @@
 
 // Shrink reduces a scenario that violates an invariant: it ends the run soon after the first
 // violation, and removes faults and the workload of routes that the violation does not need.
-// fails runs a scenario, and returns the second of the first violation and whether there was
-// one.
+// fails runs a scenario, and returns the time of the first violation in seconds, and whether
+// there was one.
 func Shrink(scenario *Scenario, fails func(*Scenario) (atS float64, violated bool)) *Scenario {
 	best := *scenario
 	if violationS, ok := fails(&best); ok {
--- a/internal/simulation/lab/sim.go
+++ b/internal/simulation/lab/sim.go
@@ -30,7 +30,7 @@
 	rateFactors     []float64 // factor on the request rate of each route
 	lossShares      []float64 // shares of the active MessageLoss faults
 
-	baseRevision, ackedRevision uint64                              // base of the operator's next configuration, and its last acknowledged revision
+	baseRevision, ackedRevision uint64                              // base of the operator's next configuration, and the last acknowledged revision
 	lastDeliveries              map[[2]*quorumMember]*time.Duration // see lastDelivery
 	violations                  []string
 	firstViolationAt            time.Duration // simulated time of the first violation
@@ -40,7 +40,7 @@
 const (
 	maxRecentEvents = 40
 	maxViolations   = 20              // violations in a result
-	chaosFreeEnd    = 8 * time.Second // end of a run, without random faults, in which the mesh recovers
+	chaosFreeEnd    = 8 * time.Second // time before the end of a run in which no random fault is active
 )
 
 // recordEvent records an event that is reported if there are violations.
--- a/internal/simulation/lab/sweep.go
+++ b/internal/simulation/lab/sweep.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Job is one run of a sweep: a scenario, a seed, and the varied setting for the result.
+// Job is one run of a sweep. Varied is copied to its Result.
 type Job struct {
 	Scenario *Scenario
 	Seed     uint64
