--- a/internal/simulation/lab/quorum_member.go
+++ b/internal/simulation/lab/quorum_member.go
@@ -234,7 +234,7 @@
 }
 
 // manage is the leader's periodic work: it transfers leadership away from a slow disk
-// and removes the servers of dead nodes.
+// and removes the servers of lost nodes.
 func (m *quorumMember) manage() {
 	if !m.raft.IsLeader() {
 		m.leadershipLost()
@@ -247,9 +247,9 @@
 	if m.raft.ShouldTransferLeadership() && m.raft.TransferLeadership(m.sim.now) {
 		return
 	}
-	dead := m.catalog.MembersOn(func(node string) bool { return m.memberlist.Lost(m.sim.now, node, m.sim.now-m.leaderSince) })
-	if len(dead) > 0 && len(m.proposals) == 0 {
-		m.propose(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: dead}}}, func(error) {})
+	lost := m.catalog.MembersOn(func(node string) bool { return m.memberlist.Lost(m.sim.now, node, m.sim.now-m.leaderSince) })
+	if len(lost) > 0 && len(m.proposals) == 0 {
+		m.propose(&wire.Command{Change: &wire.Command_Remove{Remove: &wire.RemoveServers{Members: lost}}}, func(error) {})
 	}
 }
 
